--- a/include/pathcleat/accounts/account.hpp
+++ b/include/pathcleat/accounts/account.hpp
@@ -24,7 +24,7 @@
 /// @ingroup accounts
 struct Account {
   std::string name;
-  std::vector<KeyDigest> keys;
+  std::vector<KeyedDigest> keys;
   std::optional<int> priority;  ///< goes before the route's; 0: most urgent
   AccountLimit limit;
   std::vector<std::string> home_regions;  ///< empty: any region
@@ -44,6 +44,7 @@
 /// numbers: what is ambiguous is refused, not guessed. A burst without a rate
 /// limits nothing and is no fault.
 /// @ingroup accounts
-std::optional<std::string> FaultIn(const std::vector<Account>& accounts);
+std::optional<std::string> ValidateAccounts(
+    const std::vector<Account>& accounts);
 
 }  // namespace pathcleat
--- a/include/pathcleat/accounts/account_meter.hpp
+++ b/include/pathcleat/accounts/account_meter.hpp
@@ -15,8 +15,8 @@
 
 /// @brief What one host knows of the fleet when it decides.
 /// @ingroup accounts
-struct FleetState {
-  AccountUse others;        ///< what the other hosts take of the account
+struct QuotaInput {
+  AccountUsage others;      ///< what the other hosts take of the account
   int hosts = 1;            ///< that share its limit, this one included
   int unheard = 0;          ///< of them, that this host has never heard
   bool has_silent = false;  ///< some that took a share are not heard now
@@ -46,25 +46,25 @@
   const AccountLimit& limit() const { return limit_; }
 
   /// @brief Takes one request, if the limit allows it.
-  bool TryTake(const FleetState& fleet, Time now);
+  bool TryAcquire(const QuotaInput& fleet, Time now);
 
   /// @brief A request that was taken has not run: it does not count.
-  void GiveBack(Time now);
+  void Release(Time now);
 
   /// @brief How long until one more would be taken; zero: now.
-  Duration NextIn(const FleetState& fleet, Time now) const;
+  Duration TimeUntilAvailable(const QuotaInput& fleet, Time now) const;
 
   /// @brief Between two that are taken, in the long run.
-  Duration Spacing(const FleetState& fleet) const;
+  Duration MeanInterval(const QuotaInput& fleet) const;
 
   /// @brief What is told to the others; from now on shares go by it.
-  AccountUse Tell(bool has_silent, Time now);
+  AccountUsage Tell(bool has_silent, Time now);
 
   /// @brief Whether shares bind now.
-  bool IsShared() const { return shared_; }
+  bool IsShareEnforced() const { return shared_; }
 
   /// @brief This host's part of the limit, 0 to 1.
-  double ShareOf(const FleetState& fleet) const;
+  double HostShare(const QuotaInput& fleet) const;
 
   /// @brief Requests a second that come to this host.
   double Demand(Time now) const { return demand_.PerSecond(now); }
@@ -73,14 +73,14 @@
   bool IsIdle(Time now) const;
 
  private:
-  void Advance(const FleetState& fleet, Time now);
-  void Share(const FleetState& fleet, Time now);
+  void Advance(const QuotaInput& fleet, Time now);
+  void Share(const QuotaInput& fleet, Time now);
   double Depth() const;
   double Capacity(double share) const;
-  double RateOfAll(const FleetState& fleet) const;
-  double BeyondLimit(const FleetState& fleet, Time now) const;
-  double DemandOfAll(const FleetState& fleet, Time now) const;
-  bool IsRush(const FleetState& fleet, Time now) const;
+  double RateOfAll(const QuotaInput& fleet) const;
+  double BeyondLimit(const QuotaInput& fleet, Time now) const;
+  double DemandOfAll(const QuotaInput& fleet, Time now) const;
+  bool IsRush(const QuotaInput& fleet, Time now) const;
   bool IsLocalRush(Time now) const;
   double NextFraction();
 
--- a/include/pathcleat/accounts/account_table.hpp
+++ b/include/pathcleat/accounts/account_table.hpp
@@ -26,7 +26,7 @@
 
   /// @brief The account that holds a key; null if none does. The pointer keeps
   /// its version alive.
-  std::shared_ptr<const Account> Find(const KeyDigest& key) const;
+  std::shared_ptr<const Account> Find(const KeyedDigest& key) const;
 
   /// @brief The account of a name; null if there is none.
   const Account* FindNamed(std::string_view name) const;
@@ -37,7 +37,7 @@
  private:
   Accounts accounts_;
   /// Sorted by digest: 20 bytes a key, where a hash table takes 64.
-  std::vector<std::pair<KeyDigest, std::uint32_t>> by_key_;
+  std::vector<std::pair<KeyedDigest, std::uint32_t>> by_key_;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/accounts/caller_identity.hpp
+++ b/include/pathcleat/accounts/caller_identity.hpp
@@ -10,7 +10,7 @@
 
 /// @brief What is wrong with the key that a request carries.
 /// @ingroup accounts
-enum class KeyFault {
+enum class ApiKeyFault {
   kNone,
   kMissing,
   kRepeated,   ///< more than one Authorization field
@@ -20,13 +20,13 @@
 
 /// @brief Stable lower-case name of a fault, as logs and metrics tell it.
 /// @ingroup accounts
-const char* ReasonOf(KeyFault fault);
+const char* ReasonOf(ApiKeyFault fault);
 
 /// @brief Who calls.
 /// @ingroup accounts
 struct CallerIdentity {
   std::shared_ptr<const Account> account;  ///< null unless fault is kNone
-  KeyFault fault = KeyFault::kMissing;
+  ApiKeyFault fault = ApiKeyFault::kMissing;
 };
 
 /// @brief Finds the account of a request by the bearer key in its
--- a/include/pathcleat/accounts/fleet_usage.hpp
+++ b/include/pathcleat/accounts/fleet_usage.hpp
@@ -26,7 +26,7 @@
   void Take(const UsageReport& report, Time now);
 
   /// @brief What all others together take of an account.
-  AccountUse Of(std::uint64_t account) const;
+  AccountUsage Of(std::uint64_t account) const;
 
   /// @brief Whether a source is silent that has told something before.
   bool HasSilent(Time now) const;
@@ -36,16 +36,16 @@
   /// fleet that was cut apart. The smaller part itself keeps to the share that
   /// it had.
   /// @param hears_most whether most of the known hosts are heard.
-  void ForgetSilent(bool hears_most, Time now);
+  void ExpireSilentSources(bool hears_most, Time now);
 
   /// @brief A host has ended by a planned stop: what it took is free.
   void Forget(const std::string& host);
 
   /// @brief Sums of the hosts of the own domain, this one left out.
-  std::unordered_map<std::uint64_t, AccountUse> OfOwnDomain() const;
+  std::unordered_map<std::uint64_t, AccountUsage> OwnDomainUsage() const;
 
   /// @brief The last reports of the other failure domains.
-  std::vector<UsageReport> OfOtherDomains() const;
+  std::vector<UsageReport> OtherDomainReports() const;
 
  private:
   struct Source {
@@ -59,7 +59,7 @@
   std::string own_domain_;
   std::string own_host_;
   std::map<SourceName, Source> sources_;
-  std::unordered_map<std::uint64_t, AccountUse> sums_;
+  std::unordered_map<std::uint64_t, AccountUsage> sums_;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/accounts/key_digest.hpp
+++ b/include/pathcleat/accounts/key_digest.hpp
@@ -14,12 +14,12 @@
 /// @brief What stands for a client account's key everywhere but in the store:
 /// a keyed hash, equal on all hosts of a fleet. The key cannot be told from it.
 /// @ingroup accounts
-using KeyDigest = std::array<std::uint8_t, 16>;
+using KeyedDigest = std::array<std::uint8_t, 16>;
 
 /// @brief The first few hexadecimal digits of a digest, for operators to tell
 /// keys apart.
 /// @ingroup accounts
-std::string ShortText(const KeyDigest& digest);
+std::string ShortHex(const KeyedDigest& digest);
 
 /// @brief Turns keys into digests by a secret of the fleet. Looking digests up
 /// tells by its time nothing of use: who does not know the secret cannot choose
@@ -42,7 +42,7 @@
   void WhenReady(std::function<void()> callback);
 
   /// @brief The digest of a key. The secret must be known.
-  KeyDigest Digest(std::string_view key) const;
+  KeyedDigest Digest(std::string_view key) const;
 
  private:
   using Secret = std::array<unsigned char, 16>;
--- a/include/pathcleat/accounts/quota_control.hpp
+++ b/include/pathcleat/accounts/quota_control.hpp
@@ -17,15 +17,15 @@
 struct QuotaDecision {
   bool allowed = true;
   double limit_per_second = 0;
-  double fleet_demand = 0;  ///< requests a second, as known here
-  double share = 1;         ///< this host's part of the limit
-  Duration next_in{0};      ///< until this host may take one more
-  Duration spacing{0};      ///< between two that it takes, in the long run
+  double fleet_demand = 0;           ///< requests a second, as known here
+  double share = 1;                  ///< this host's part of the limit
+  Duration time_until_available{0};  ///< until this host may take one more
+  Duration spacing{0};  ///< between two that it takes, in the long run
 };
 
 /// @brief The hosts of the fleet, as they matter to limits.
 /// @ingroup accounts
-struct LimitSharers {
+struct QuotaHosts {
   int known = 1;            ///< this one included
   int unheard = 0;          ///< of them, not heard since this host started
   bool hears_most = false;  ///< most of those that are known
@@ -34,7 +34,7 @@
 /// @brief Keeps the limits of all accounts at this host, and tells the others
 /// what it takes of them. Not thread-safe.
 /// @ingroup accounts
-class QuotaControl final : public UsageTeller {
+class QuotaControl final : public UsagePublisher {
  public:
   /// @param seed another one at each host and start.
   QuotaControl(const std::string& domain,
@@ -47,20 +47,20 @@
   void Adopt(const std::vector<Account>& accounts);
 
   /// @brief Who shares the limits. Call a few times a second.
-  void SetHosts(const LimitSharers& sharers, Time now);
+  void SetHosts(const QuotaHosts& sharers, Time now);
 
   /// @brief A host has ended by a planned stop.
-  void OnHostEnded(const std::string& host) { fleet_.Forget(host); }
+  void OnHostStopped(const std::string& host) { fleet_.Forget(host); }
 
   /// @brief Takes a request of an account.
   QuotaDecision Take(const Account& account, Time now);
 
   /// @brief A request that was taken was refused later, and has not run.
-  void GiveBack(const Account& account, Time now);
+  void Release(const Account& account, Time now);
 
   /// @brief Requests a second that come to the fleet from accounts that have
   /// homes and a limit, by region; those of several homes are shared evenly.
-  std::map<std::string, double> DemandAtHome(
+  std::map<std::string, double> DemandByHomeRegion(
       const std::vector<Account>& accounts,
       Time now) const;
 
@@ -73,14 +73,14 @@
 
   UsageReport OwnUsage(Time now) override;
   UsageReport DomainUsage(Time now) override;
-  std::vector<UsageReport> KnownUsage() const override;
-  void OnUsage(const UsageReport& report, Time now) override;
+  std::vector<UsageReport> UsageSnapshot() const override;
+  void OnUsageReport(const UsageReport& report, Time now) override;
 
  private:
   bool HasSilent(Time now) const;
-  FleetState StateOf(std::uint64_t account, Time now) const;
+  QuotaInput StateOf(std::uint64_t account, Time now) const;
   QuotaDecision DecisionOf(const AccountMeter& meter,
-                           const FleetState& state,
+                           const QuotaInput& state,
                            Time now) const;
 
   std::string domain_;
@@ -88,10 +88,11 @@
   std::uint64_t seed_;
   QuotaBounds bounds_;
   FleetUsage fleet_;
-  LimitSharers sharers_;
+  QuotaHosts sharers_;
   bool has_news_ = false;
   std::unordered_map<std::uint64_t, AccountMeter> meters_;  ///< by AccountId
-  std::unordered_map<std::uint64_t, AccountUse> told_;  ///< by this host, last
+  std::unordered_map<std::uint64_t, AccountUsage>
+      told_;  ///< by this host, last
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/accounts/usage_report.hpp
+++ b/include/pathcleat/accounts/usage_report.hpp
@@ -15,7 +15,7 @@
 
 /// @brief Requests a second of one account, averaged over about a second.
 /// @ingroup accounts
-struct AccountUse {
+struct AccountUsage {
   double demand = 0;    ///< that come
   double weight = 0;    ///< by which shares go: the demand, or less of it
   double admitted = 0;  ///< of the demand, within the account's limit
@@ -25,7 +25,7 @@
 /// @ingroup accounts
 struct UsageEntry {
   std::uint64_t account = 0;  ///< AccountId
-  float demand = 0;           ///< as in AccountUse
+  float demand = 0;           ///< as in AccountUsage
   float weight = 0;
   float admitted = 0;
 
@@ -37,7 +37,7 @@
 
 /// @brief So many entries fit a datagram of 1,472 bytes, at 20 bytes each.
 /// @ingroup accounts
-inline constexpr std::size_t kMostUsageEntries = 66;
+inline constexpr std::size_t kMaxUsageEntries = 66;
 
 /// @brief What a host, or all hosts of a failure domain together, take of the
 /// accounts' limits now. An account that is not named takes next to nothing.
@@ -65,9 +65,9 @@
 
 /// @brief Who takes part in what hosts tell each other of their usage.
 /// @ingroup accounts
-class UsageTeller {
+class UsagePublisher {
  public:
-  virtual ~UsageTeller() = default;
+  virtual ~UsagePublisher() = default;
 
   /// @brief What this host tells the others of its failure domain.
   virtual UsageReport OwnUsage(Time now) = 0;
@@ -77,9 +77,9 @@
 
   /// @brief What it knows of other failure domains, for a host that has just
   /// started beside it.
-  virtual std::vector<UsageReport> KnownUsage() const = 0;
+  virtual std::vector<UsageReport> UsageSnapshot() const = 0;
 
-  virtual void OnUsage(const UsageReport& report, Time now) = 0;
+  virtual void OnUsageReport(const UsageReport& report, Time now) = 0;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/calls/key_ledger.hpp
+++ b/include/pathcleat/calls/key_ledger.hpp
@@ -17,7 +17,7 @@
 /// @ingroup calls
 struct ClaimedKey {
   std::string row_name;
-  KeyRow row;
+  IdempotencyKeyRow row;
   std::uint64_t version = 0;
 };
 
@@ -26,12 +26,12 @@
 struct ClaimResult {
   KeyAction action = KeyAction::kRefuseNotRun;
   ClaimedKey claimed;  ///< for kRun
-  HttpResponse kept;   ///< for kAnswerKept
+  HttpResponse kept;   ///< for kReplayAnswer
 };
 
 /// @brief A request's claim to its idempotency key.
 /// @ingroup calls
-struct KeyRequest {
+struct KeyClaimRequest {
   std::string row_name;
   std::uint64_t fingerprint = 0;
   std::uint64_t ends_wall_micros = 0;
@@ -45,7 +45,7 @@
   KeyLedger(boost::asio::io_context& loop, TableStore& store, EventLog& events);
 
   /// @brief Claims a key; the callback comes once.
-  void Claim(const KeyRequest& request,
+  void Claim(const KeyClaimRequest& request,
              std::function<void(ClaimResult)> callback);
 
   /// @brief The request ran: keeps its answer for repeats.
--- a/include/pathcleat/calls/key_row.hpp
+++ b/include/pathcleat/calls/key_row.hpp
@@ -12,7 +12,7 @@
 
 /// @brief An idempotency key's row as it lies in the table service.
 /// @ingroup calls
-struct KeyRow {
+struct IdempotencyKeyRow {
   KeyState state = KeyState::kRunning;
   std::string token;
   std::uint64_t fingerprint = 0;
@@ -22,14 +22,16 @@
 
 /// @brief Name of the row of a service's key.
 /// @ingroup calls
-std::string KeyRowName(const std::string& service, const std::string& key);
+std::string IdempotencyKeyRowName(const std::string& service,
+                                  const std::string& key);
 
 /// @brief JSON form of a row; bodies are kept in base64.
 /// @ingroup calls
-std::string ToJson(const KeyRow& row);
+std::string ToJson(const IdempotencyKeyRow& row);
 
 /// @brief The row of a JSON text; no value if it is not one.
 /// @ingroup calls
-std::optional<KeyRow> KeyRowFromJson(const std::string& text);
+std::optional<IdempotencyKeyRow> IdempotencyKeyRowFromJson(
+    const std::string& text);
 
 }  // namespace pathcleat
--- a/include/pathcleat/calls/open_requests.hpp
+++ b/include/pathcleat/calls/open_requests.hpp
@@ -11,7 +11,7 @@
 /// @brief A caller's request under way, as its host sees it. It leaves the
 /// list that it is in when it is destroyed.
 /// @ingroup calls
-class OpenRequest
+class InFlightRequest
     : public boost::intrusive::list_base_hook<
           boost::intrusive::link_mode<boost::intrusive::auto_unlink>> {
  public:
@@ -25,28 +25,28 @@
   /// @brief That time is over.
   virtual void OnDeadline() = 0;
 
-  OpenRequest() = default;
-  OpenRequest(const OpenRequest&) = delete;
-  OpenRequest& operator=(const OpenRequest&) = delete;
-  virtual ~OpenRequest() = default;
+  InFlightRequest() = default;
+  InFlightRequest(const InFlightRequest&) = delete;
+  InFlightRequest& operator=(const InFlightRequest&) = delete;
+  virtual ~InFlightRequest() = default;
 };
 
 /// @brief The callers' requests under way at a host.
 /// @ingroup calls
-class OpenRequests {
+class InFlightRequests {
  public:
-  void Add(OpenRequest& request) { requests_.push_back(request); }
+  void Add(InFlightRequest& request) { requests_.push_back(request); }
 
   /// @brief Tells each request that the host ends. Requests may leave
   /// meanwhile.
   void OnHostEnds() {
-    ForEach([](OpenRequest& request) { request.OnHostEnds(); });
+    ForEach([](InFlightRequest& request) { request.OnHostEnds(); });
   }
 
   /// @brief Ends those whose deadline was before this time. Requests may leave
   /// meanwhile.
   void EndOverdue(Time before) {
-    ForEach([before](OpenRequest& request) {
+    ForEach([before](InFlightRequest& request) {
       if (request.deadline() < before) {
         request.OnDeadline();
       }
@@ -55,7 +55,7 @@
 
  private:
   using List =
-      boost::intrusive::list<OpenRequest,
+      boost::intrusive::list<InFlightRequest,
                              boost::intrusive::constant_time_size<false>>;
 
   template <class Step>
@@ -63,7 +63,7 @@
     List told;
     told.swap(requests_);
     while (!told.empty()) {
-      OpenRequest& request = told.front();
+      InFlightRequest& request = told.front();
       told.pop_front();
       requests_.push_back(request);
       step(request);
--- a/include/pathcleat/calls/pick_request.hpp
+++ b/include/pathcleat/calls/pick_request.hpp
@@ -13,9 +13,9 @@
 /// Its service is not chosen yet.
 /// @param request_id stands for the key where the route has none.
 /// @ingroup calls
-PickRequest PickRequestOf(const HeaderNames& names,
-                          const Exchange& exchange,
-                          const Route& route,
-                          const std::string& request_id);
+PickRequest MakePickRequest(const HeaderNames& names,
+                            const Exchange& exchange,
+                            const Route& route,
+                            const std::string& request_id);
 
 }  // namespace pathcleat
--- a/include/pathcleat/calls/rest_limit.hpp
+++ b/include/pathcleat/calls/rest_limit.hpp
@@ -14,10 +14,10 @@
 class RestLimit {
  public:
   /// @brief A connection that had rested so long was gone.
-  void OnForgotten(Duration rested, Time now);
+  void OnStaleConnection(Duration rested, Time now);
 
   /// @brief The longest rest that is trusted now.
-  Duration Longest(Time now) const;
+  Duration MaxIdle(Time now) const;
 
  private:
   Duration least_ = kTrusted;
--- a/include/pathcleat/calls/run_record.hpp
+++ b/include/pathcleat/calls/run_record.hpp
@@ -7,13 +7,13 @@
 /// is known that it was none, so that what is forgotten to be noted makes an
 /// answer promise too little, and never too much.
 /// @ingroup calls
-class RunRecord {
+class RunTracker {
  public:
   void OnSent() { ++sends_; }
 
   /// @brief A send was no run: no byte left this host, or the upstream says
   /// that it did not run it.
-  void OnKnownNotRun() { --sends_; }
+  void OnNotRun() { --sends_; }
 
   bool MayHaveRun() const { return sends_ > 0; }
 
--- a/include/pathcleat/calls/stop_plan.hpp
+++ b/include/pathcleat/calls/stop_plan.hpp
@@ -29,20 +29,20 @@
 
   /// @brief Whether the stop bounds a request that must be answered by
   /// `deadline`: its own time would end too late.
-  bool Shortens(Time deadline) const;
+  bool ShortensDeadline(Time deadline) const;
 
   /// @brief Until when an upstream may work on a request that must be answered
   /// by `deadline`.
-  Time WorkEnd(Time deadline) const;
+  Time WorkDeadline(Time deadline) const;
 
   /// @brief Whether a request that must be answered by `deadline` may be begun.
-  bool MayBegin(const WorkTimes& times, Time deadline, Time now) const;
+  bool MayStart(const WorkTimes& times, Time deadline, Time now) const;
 
   /// @brief Until when new callers are taken.
   Time accepts_until() const { return accepts_until_; }
 
   /// @brief When all that is still unanswered is answered with what is known.
-  Time last_answers() const { return last_answers_; }
+  Time final_answer_time() const { return last_answers_; }
 
   /// @brief When the process ends, whatever is left.
   Time ends() const { return ends_; }
--- a/include/pathcleat/calls/unknown_fields.hpp
+++ b/include/pathcleat/calls/unknown_fields.hpp
@@ -19,7 +19,7 @@
   explicit UnknownFields(const HeaderNames& names);
 
   /// @brief The unknown fields of an answer, each name once in a process.
-  HttpHeaders TakeNew(const HttpHeaders& headers);
+  HttpHeaders FindNew(const HttpHeaders& headers);
 
  private:
   static constexpr std::size_t kMostNames = 128;
--- a/include/pathcleat/calls/upstream_pool.hpp
+++ b/include/pathcleat/calls/upstream_pool.hpp
@@ -17,7 +17,7 @@
 /// for an acknowledgement went into silence: twice TCP's shortest pause before
 /// a retransmission.
 /// @ingroup calls
-inline constexpr Duration kLeastSilence{400'000};
+inline constexpr Duration kMinSilence{400'000};
 
 /// @brief Kept connections to the upstreams, by upstream. The last one used
 /// is used first, so that those not needed grow old and are closed.
@@ -33,13 +33,15 @@
 
   /// @brief A kept connection was gone when it was used.
   /// @param rested since its last use.
-  void OnForgotten(const UpstreamInfo& upstream, Duration rested, Time now);
+  void OnStaleConnection(const UpstreamInfo& upstream,
+                         Duration rested,
+                         Time now);
 
   /// @brief A connection not yet open, though others are kept.
   HttpClientPtr Open(const UpstreamInfo& upstream);
 
   /// @brief Gives a connection back after its answer.
-  void Return(const std::string& upstream_id, const HttpClientPtr& client);
+  void Release(const std::string& upstream_id, const HttpClientPtr& client);
 
   /// @brief Closes the kept connections of an upstream.
   void Drop(const std::string& upstream_id);
@@ -49,9 +51,9 @@
   /// same time, what is kept to all.
   /// @return whether it was opened since the upstream's last silence: others
   /// tell nothing new of the upstream.
-  bool OnSilent(const std::string& upstream_id,
-                const HttpClient& client,
-                Time now);
+  bool OnSilentConnection(const std::string& upstream_id,
+                          const HttpClient& client,
+                          Time now);
 
   /// @brief Connections found silent so far.
   std::uint64_t silent() const { return silent_; }
--- a/include/pathcleat/calls/upstream_protocol.hpp
+++ b/include/pathcleat/calls/upstream_protocol.hpp
@@ -17,15 +17,15 @@
 /// waits no longer (0 or less), a day if it names more than that; what is no
 /// number is as good as missing.
 /// @ingroup calls
-std::optional<Duration> CallerDeadline(const HeaderNames& names,
-                                       const HttpRequest& request);
+std::optional<Duration> CallerTimeout(const HeaderNames& names,
+                                      const HttpRequest& request);
 
 /// @brief Whose a request is, as upstreams are told.
 /// @ingroup calls
-struct RequestOrigin {
+struct RequestMetadata {
   std::string request_id;
-  const Account* account = nullptr;  ///< null: the caller is of none
-  bool hides_key = false;            ///< callers' keys are of client accounts
+  const Account* account = nullptr;   ///< null: the caller is of none
+  bool strips_authorization = false;  ///< callers' keys are of client accounts
   bool repeatable = false;
 };
 
@@ -34,26 +34,26 @@
 /// and the upstream meant. What the caller says of its account is not passed
 /// on, nor is its key.
 /// @ingroup calls
-HttpRequest ToUpstream(const HeaderNames& names,
-                       const HttpRequest& request,
-                       const RequestOrigin& origin,
-                       const std::string& upstream_id,
-                       Duration left);
+HttpRequest MakeUpstreamRequest(const HeaderNames& names,
+                                const HttpRequest& request,
+                                const RequestMetadata& origin,
+                                const std::string& upstream_id,
+                                Duration left);
 
 /// @brief Tells a request's own answers from others' that arrive late: those
 /// with another id. An answer without an id is taken for its own.
 /// @ingroup calls
-HttpClient::Matcher AnswersOf(const HeaderNames& names,
-                              const std::string& request_id);
+HttpClient::Matcher MakeResponseMatcher(const HeaderNames& names,
+                                        const std::string& request_id);
 
 /// @brief The load that an upstream tells in an answer, if it tells any.
 /// @ingroup calls
-std::optional<LoadReport> LoadReportIn(const HeaderNames& names,
-                                       const HttpResponse& response);
+std::optional<LoadReport> ParseLoadReport(const HeaderNames& names,
+                                          const HttpResponse& response);
 
 /// @brief What an answer says of a limit of requests a second.
 /// @ingroup calls
-struct LimitField {
+struct RateLimitHeader {
   bool present = false;
   std::optional<double> per_second;  ///< nothing: what is present is no limit
 };
@@ -61,7 +61,8 @@
 /// @brief The limit that an upstream names in an answer. Of several the lowest
 /// holds.
 /// @ingroup calls
-LimitField LimitFieldIn(const HeaderNames& names, const HttpResponse& response);
+RateLimitHeader ParseRateLimit(const HeaderNames& names,
+                               const HttpResponse& response);
 
 /// @brief Whether the upstream says that it has not run the request.
 /// @ingroup calls
@@ -69,7 +70,7 @@
 
 /// @brief Whether a success carries what every whole answer carries.
 /// @ingroup calls
-bool IsWholeAnswer(const HeaderNames& names, const HttpResponse& response);
+bool IsCompleteAnswer(const HeaderNames& names, const HttpResponse& response);
 
 /// @brief A refusal that certainly was not run, and when to come back.
 /// @ingroup calls
@@ -78,7 +79,7 @@
 /// @brief Why requests beyond their account's limit are refused, as logs and
 /// metrics tell it.
 /// @ingroup calls
-inline constexpr const char* kOverLimit = "account_limit";
+inline constexpr const char* kAccountLimitReason = "account_limit";
 
 /// @brief The refusal of a request beyond its account's limit.
 /// @ingroup calls
--- a/include/pathcleat/core/event.hpp
+++ b/include/pathcleat/core/event.hpp
@@ -85,7 +85,7 @@
 
 /// @brief The catalogue's line for a code.
 /// @ingroup core
-const EventInfo& InfoOf(EventCode code);
+const EventInfo& EventInfoOf(EventCode code);
 
 /// @brief One event on the time line.
 /// @ingroup core
--- a/include/pathcleat/core/event_field.hpp
+++ b/include/pathcleat/core/event_field.hpp
@@ -43,7 +43,7 @@
 constexpr const char* kElapsedMs = "elapsed_ms";
 constexpr const char* kExpectedMs = "expected_ms";
 constexpr const char* kFailedTrials = "failed_trials";
-constexpr const char* kFleetDemand = "fleet_demand_per_second";
+constexpr const char* kFleetDemandPerSecond = "fleet_demand_per_second";
 constexpr const char* kFrom = "from";
 constexpr const char* kGivenUp = "given_up";
 constexpr const char* kKey = "affinity_key";
@@ -77,7 +77,7 @@
 
 /// @brief A whole number as a field.
 template <class Number>
-EventField NumberField(const char* name, Number value) {
+EventField IntegerField(const char* name, Number value) {
   return {name, static_cast<std::int64_t>(value)};
 }
 
--- a/include/pathcleat/core/event_log.hpp
+++ b/include/pathcleat/core/event_log.hpp
@@ -27,10 +27,10 @@
               EventFields fields = {});
 
   /// @brief An event as of now, not kept or logged yet.
-  Event Stamp(EventCode code,
-              std::string subject,
-              std::string text,
-              EventFields fields);
+  Event MakeEvent(EventCode code,
+                  std::string subject,
+                  std::string text,
+                  EventFields fields);
 
   /// @brief Keeps and logs a stamped event.
   void Write(Event event, LogClass log_class);
@@ -51,6 +51,6 @@
 
 /// @brief The class of the lines that go through a logger of this name.
 /// @ingroup core
-LogClass ClassOfLogger(const std::string& logger);
+LogClass LogClassOfLogger(const std::string& logger);
 
 }  // namespace pathcleat
--- a/include/pathcleat/core/hash.hpp
+++ b/include/pathcleat/core/hash.hpp
@@ -17,7 +17,7 @@
 
 /// @brief A hash mapped to [0, 1).
 /// @ingroup core
-double UnitOfHash(std::uint64_t hash);
+double ToUnitInterval(std::uint64_t hash);
 
 /// @brief One hash of two: the rank of a pair in rendezvous hashing.
 /// @ingroup core
--- a/include/pathcleat/core/histogram.hpp
+++ b/include/pathcleat/core/histogram.hpp
@@ -15,7 +15,7 @@
 class Histogram {
  public:
   /// Upper bounds of the buckets, seconds; the last bucket has none.
-  static constexpr std::array<double, 12> kBounds = {
+  static constexpr std::array<double, 12> kBucketBounds = {
       0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30};
 
   void Add(Duration duration);
@@ -25,7 +25,7 @@
   double sum_seconds() const { return sum_seconds_; }
 
  private:
-  std::array<std::uint64_t, kBounds.size() + 1> counts_{};
+  std::array<std::uint64_t, kBucketBounds.size() + 1> counts_{};
   double sum_seconds_ = 0;
 };
 
--- a/include/pathcleat/core/mechanism.hpp
+++ b/include/pathcleat/core/mechanism.hpp
@@ -33,7 +33,7 @@
 
 /// @brief The mechanism of a name, if there is one.
 /// @ingroup core
-std::optional<Mechanism> MechanismNamed(std::string_view name);
+std::optional<Mechanism> ParseMechanism(std::string_view name);
 
 /// @brief All names, for messages.
 /// @ingroup core
@@ -42,9 +42,11 @@
 /// @brief Which mechanisms are on: all that are not switched off.
 /// @ingroup core
 struct PolicySwitches {
-  std::set<Mechanism> off;
+  std::set<Mechanism> disabled;
 
-  bool IsOn(Mechanism mechanism) const { return !off.contains(mechanism); }
+  bool IsEnabled(Mechanism mechanism) const {
+    return !disabled.contains(mechanism);
+  }
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/core/time.hpp
+++ b/include/pathcleat/core/time.hpp
@@ -25,7 +25,7 @@
 /// @brief For tests: lets the clock leap as that of a machine does that was
 /// suspended. Timers stand still meanwhile.
 /// @ingroup core
-void LeapBootClock(Duration leap);
+void AdvanceBootClock(Duration leap);
 
 /// @brief A point on this machine's BootClock; never sent to another host.
 /// @ingroup core
--- a/include/pathcleat/crashes/crash_ledger.hpp
+++ b/include/pathcleat/crashes/crash_ledger.hpp
@@ -18,25 +18,25 @@
 
 /// @brief Whether a request may be sent to an upstream, with what decided.
 /// @ingroup crashes
-struct CrashVerdict {
+struct CrashDecision {
   bool blocked = false;     ///< it is not to be sent now
   std::size_t crashes = 0;  ///< upstreams known to have ended under it
   int failed_trials = 0;
   Duration age{0};          ///< since the last of them ended
   Duration retry_after{0};  ///< if blocked: until it may be tried again
-  std::string told_by;      ///< host that told of it last; empty: none did
+  std::string reported_by;  ///< host that told of it last; empty: none did
 };
 
 /// @brief What decided, as events tell it.
 /// @ingroup crashes
-EventFields FieldsOf(const CrashVerdict& verdict);
+EventFields ToEventFields(const CrashDecision& verdict);
 
 /// @brief A change in how a request is treated, for the log.
 /// @ingroup crashes
-struct CrashNotice {
+struct CrashBlockChange {
   RequestDigest request = 0;
-  CrashVerdict verdict;  ///< as it is now
-  bool blocked = false;  ///< since this change; false: not any more
+  CrashDecision verdict;  ///< as it is now
+  bool blocked = false;   ///< since this change; false: not any more
 };
 
 /// @brief Finds the requests that crash the upstreams that run them, from what
@@ -52,24 +52,24 @@
 /// At any moment one host of the fleet may try it, by a rank that all hosts
 /// reckon alike, and each tries it once in its turn. Not thread-safe.
 /// @ingroup crashes
-class CrashLedger final : public CrashTeller {
+class CrashLedger final : public CrashPublisher {
  public:
   CrashLedger(std::string domain, std::string host);
 
   /// @brief Told when other hosts should hear of a change at once.
-  void OnNews(std::function<void()> callback) {
+  void SetOnUpdate(std::function<void()> callback) {
     on_news_ = std::move(callback);
   }
 
   /// @brief Told when a request is blocked here, and when it no longer is.
-  void OnNotice(std::function<void(const CrashNotice&)> callback) {
+  void SetOnBlockChange(std::function<void(const CrashBlockChange&)> callback) {
     on_notice_ = std::move(callback);
   }
 
   /// @brief Whether nothing is suspected: no request needs a digest then.
   bool IsEmpty() const { return suspects_.empty(); }
   std::size_t size() const { return suspects_.size(); }
-  std::size_t Blocked() const;
+  std::size_t BlockedCount() const;
 
   /// @brief An upstream has ended while it had the request.
   /// @param upstream hash of its id.
@@ -79,7 +79,7 @@
   void OnAnswer(RequestDigest request, Time now);
 
   /// @brief To be asked before each send.
-  CrashVerdict Judge(RequestDigest request, Time now) const;
+  CrashDecision Judge(RequestDigest request, Time now) const;
 
   /// @brief A request is sent.
   /// @return whether it is blocked: then this is the host's trial of its turn.
@@ -93,10 +93,10 @@
   /// @brief Forgets what is too old. Call a few times a second.
   void Tick(Time now);
 
-  CrashReport ForDomain(bool reports, Time now) override;
-  CrashReport ForOtherDomains(Time now) override;
+  CrashReport OwnCrashes(bool reports, Time now) override;
+  CrashReport DomainCrashes(Time now) override;
   CrashReport Known(Time now) const override;
-  bool OnCrashes(const CrashReport& report, Time now) override;
+  bool OnCrashReport(const CrashReport& report, Time now) override;
 
  private:
   /// @brief How an entry is still to be told.
@@ -109,7 +109,7 @@
   };
   struct Suspect {
     CrashSuspect known;
-    std::string told_by;           ///< as in CrashVerdict
+    std::string reported_by;       ///< as in CrashDecision
     std::optional<Time> tried_in;  ///< turn of this host's last trial
     Time noted;                    ///< last change of this entry here
     Telling to_domain;
@@ -132,7 +132,7 @@
   std::vector<std::uint64_t> others_;
   Suspects suspects_;
   std::function<void()> on_news_;
-  std::function<void(const CrashNotice&)> on_notice_;
+  std::function<void(const CrashBlockChange&)> on_notice_;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/crashes/crash_report.hpp
+++ b/include/pathcleat/crashes/crash_report.hpp
@@ -16,11 +16,11 @@
 
 /// @brief A request under which so many upstreams have ended is refused.
 /// @ingroup crashes
-inline constexpr std::size_t kCrashesToBlock = 3;
+inline constexpr std::size_t kCrashBlockThreshold = 3;
 
 /// @brief That an upstream ended while it had a request.
 /// @ingroup crashes
-struct CrashSign {
+struct CrashObservation {
   std::uint64_t upstream = 0;  ///< hash of its id
   std::uint32_t age_ms = 0;
 
@@ -39,20 +39,21 @@
 /// @ingroup crashes
 struct CrashEntry {
   RequestDigest request = 0;
-  std::vector<CrashSign> signs;  ///< since its answer; kCrashesToBlock at most
-  std::uint32_t answered_ms =
+  std::vector<CrashObservation>
+      observations;  ///< since its answer; kCrashBlockThreshold at most
+  std::uint32_t answer_age_ms =
       kNeverAnswered;              ///< since an upstream answered it
   std::uint8_t failed_trials = 0;  ///< crashes after it was blocked for a while
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(request, signs, answered_ms, failed_trials);
+    archive(request, observations, answer_age_ms, failed_trials);
   }
 };
 
 /// @brief So many entries fit a datagram of 1,472 bytes, at 57 bytes each.
 /// @ingroup crashes
-inline constexpr std::size_t kMostCrashEntries = 24;
+inline constexpr std::size_t kMaxCrashEntries = 24;
 
 /// @brief What hosts tell each other of requests that crash upstreams.
 /// @ingroup crashes
@@ -78,23 +79,23 @@
 
 /// @brief Who takes part in what hosts tell each other of such requests.
 /// @ingroup crashes
-class CrashTeller {
+class CrashPublisher {
  public:
-  virtual ~CrashTeller() = default;
+  virtual ~CrashPublisher() = default;
 
   /// @brief What this host has seen and tells its own failure domain now.
   /// @param reports whether it reports for the domain: then what is blocked is
   /// told again and again, as hosts may have been cut off.
-  virtual CrashReport ForDomain(bool reports, Time now) = 0;
+  virtual CrashReport OwnCrashes(bool reports, Time now) = 0;
 
   /// @brief What the domain has seen; asked of the hosts that report for it.
-  virtual CrashReport ForOtherDomains(Time now) = 0;
+  virtual CrashReport DomainCrashes(Time now) = 0;
 
   /// @brief What a host that has just started should know.
   virtual CrashReport Known(Time now) const = 0;
 
   /// @return whether something of it was new here.
-  virtual bool OnCrashes(const CrashReport& report, Time now) = 0;
+  virtual bool OnCrashReport(const CrashReport& report, Time now) = 0;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/crashes/crash_suspect.hpp
+++ b/include/pathcleat/crashes/crash_suspect.hpp
@@ -26,24 +26,24 @@
 
   /// @brief Adds what another host knows.
   /// @return whether something of it was new.
-  bool Join(const CrashEntry& entry, Time now);
+  bool Merge(const CrashEntry& entry, Time now);
 
-  CrashEntry EntryOf(RequestDigest request, Time now) const;
+  CrashEntry ToEntry(RequestDigest request, Time now) const;
 
-  /// @brief Upstreams that ended under it; kCrashesToBlock stands for any
+  /// @brief Upstreams that ended under it; kCrashBlockThreshold stands for any
   /// larger number.
   std::size_t crashes() const { return signs_.size(); }
-  bool IsBlocked() const { return signs_.size() >= kCrashesToBlock; }
+  bool IsBlocked() const { return signs_.size() >= kCrashBlockThreshold; }
   int failed_trials() const { return failed_trials_; }
 
   /// @brief When the last of them ended, as far as it counted.
-  Time LastCrash() const;
+  Time LastCrashTime() const;
 
   /// @brief When a blocked request may be tried again.
   Time BlockedUntil() const;
 
   /// @brief Whether nothing more can come of what is known.
-  bool IsOutlived(Time now) const;
+  bool IsExpired(Time now) const;
 
  private:
   struct Sign {
@@ -51,7 +51,7 @@
     Time at;
   };
 
-  std::vector<Sign> signs_;  ///< since answered_; kCrashesToBlock at most
+  std::vector<Sign> signs_;  ///< since answered_; kCrashBlockThreshold at most
   Time answered_ = Time::min();
   std::uint8_t failed_trials_ = 0;
 };
--- a/include/pathcleat/crashes/request_digest.hpp
+++ b/include/pathcleat/crashes/request_digest.hpp
@@ -21,10 +21,10 @@
 /// secret. Without the secret nobody can make a request whose digest is that
 /// of another one, to get that one refused.
 /// @ingroup crashes
-inline constexpr std::string_view kRequestDigests = "request digests";
+inline constexpr std::string_view kRequestDigestPurpose = "request digests";
 
 /// @brief The digest of a request.
-/// @param digester made for kRequestDigests; its secret must be known.
+/// @param digester made for kRequestDigestPurpose; its secret must be known.
 /// @param account name of the caller's client account; empty: it has none.
 /// @ingroup crashes
 RequestDigest DigestOf(const HttpRequest& request,
--- a/include/pathcleat/feeds/change_journal.hpp
+++ b/include/pathcleat/feeds/change_journal.hpp
@@ -24,7 +24,7 @@
 
   /// @brief Everything was read anew as of a version: what changed before it
   /// is not known any more.
-  void StartAt(std::uint64_t version);
+  void ResetTo(std::uint64_t version);
 
   /// @brief The keys that changed after a version; nothing if the memory does
   /// not go back that far.
--- a/include/pathcleat/feeds/config_history.hpp
+++ b/include/pathcleat/feeds/config_history.hpp
@@ -24,18 +24,18 @@
   /// @param config the newest, as it was noted.
   /// @param known version in force there; one not remembered here, or 0, is
   /// told the whole.
-  const std::string& PartSince(const RoutingConfig& config,
-                               std::uint64_t known);
+  const std::string& EncodedUpdateSince(const RoutingConfig& config,
+                                        std::uint64_t known);
 
  private:
   struct Version {
     std::uint64_t number;
-    ListMarks routes;
-    ListMarks accounts;
+    ListHashes routes;
+    ListHashes accounts;
   };
 
   const Version* Find(std::uint64_t number) const;
-  ConfigPart MakePart(const RoutingConfig& config, const Version* base) const;
+  ConfigUpdate MakePart(const RoutingConfig& config, const Version* base) const;
 
   std::deque<Version> versions_;                  ///< oldest first
   std::map<std::uint64_t, std::string> encoded_;  ///< by the version known
--- a/include/pathcleat/feeds/config_lag.hpp
+++ b/include/pathcleat/feeds/config_lag.hpp
@@ -19,7 +19,7 @@
   explicit ConfigLag(Duration silence) : silence_(silence) {}
 
   /// @brief Another host has had a version in force for a time.
-  void OnTold(std::uint64_t version, Duration age, Time now);
+  void OnPeerVersion(std::uint64_t version, Duration age, Time now);
 
   /// @brief A version came into force here.
   void OnApplied(std::uint64_t version);
@@ -29,7 +29,7 @@
 
   /// @brief How long ago the first version that is missing here came into
   /// force anywhere; zero if none is missing.
-  Duration BehindFor(Time now) const;
+  Duration LagDuration(Time now) const;
 
  private:
   Duration silence_;
--- a/include/pathcleat/feeds/config_part.hpp
+++ b/include/pathcleat/feeds/config_part.hpp
@@ -15,34 +15,34 @@
 /// @brief What leads from the base's list to the new one.
 /// @ingroup feeds
 template <class Entry>
-struct ListChange {
-  std::vector<ListStep<Entry>> steps;
+struct ListDelta {
+  std::vector<ListDeltaStep<Entry>> steps;
   std::uint64_t digest = 0;  ///< of the new list's marks
 };
 
 /// @brief A configuration as one host passes it on to another: whole, or as
 /// what changes the routes and accounts of an older version.
 /// @ingroup feeds
-struct ConfigPart {
+struct ConfigUpdate {
   RoutingConfig config;    ///< without routes and accounts if there is a base
   std::uint64_t base = 0;  ///< version that the steps begin at; 0: whole
-  ListChange<Route> routes;
-  ListChange<Account> accounts;
+  ListDelta<Route> routes;
+  ListDelta<Account> accounts;
 };
 
 /// @brief The configuration that a part tells.
 /// @param known what this host has in force; null: nothing.
 /// @return nothing if the part is no change of it.
 /// @ingroup feeds
-std::optional<RoutingConfig> CompleteConfig(ConfigPart part,
-                                            const RoutingConfig* known);
+std::optional<RoutingConfig> ApplyConfigUpdate(ConfigUpdate part,
+                                               const RoutingConfig* known);
 
 /// @brief A part's bytes (cereal, portable binary).
 /// @ingroup feeds
-std::string EncodeConfigPart(const ConfigPart& part);
+std::string EncodeConfigUpdate(const ConfigUpdate& part);
 
 /// @brief Reads a part; nothing if the bytes are none.
 /// @ingroup feeds
-std::optional<ConfigPart> DecodeConfigPart(std::string_view bytes);
+std::optional<ConfigUpdate> DecodeConfigUpdate(std::string_view bytes);
 
 }  // namespace pathcleat
--- a/include/pathcleat/feeds/feed_tables.hpp
+++ b/include/pathcleat/feeds/feed_tables.hpp
@@ -19,9 +19,9 @@
 
 /// @brief What a host knows, as others ask for it.
 /// @ingroup feeds
-class FeedTables {
+class SnapshotProvider {
  public:
-  virtual ~FeedTables() = default;
+  virtual ~SnapshotProvider() = default;
 
   /// @brief Version of the newest change that this host knows.
   virtual std::uint64_t Newest(SourceTopic topic) const = 0;
--- a/include/pathcleat/feeds/fleet_snapshot.hpp
+++ b/include/pathcleat/feeds/fleet_snapshot.hpp
@@ -24,7 +24,7 @@
   std::uint64_t changed = 0;            ///< of the newest change it has seen
   bool whole = true;                    ///< false: what changed since a version
   bool unsettled = false;               ///< the store was away a moment ago
-  std::string config_part;              ///< for kOrders; empty: unchanged
+  std::string config_update;            ///< for kOrders; empty: unchanged
   RoutingConfig config;                 ///< what it tells; not sent itself
   std::set<std::string> drained;        ///< for kOrders: failure domains, all
   std::vector<RolloutOrder> rollouts;   ///< for kOrders: all that stand
--- a/include/pathcleat/feeds/peer_feed.hpp
+++ b/include/pathcleat/feeds/peer_feed.hpp
@@ -35,13 +35,13 @@
 
 /// @brief A question to another host.
 /// @ingroup feeds
-struct PeerQuestion {
+struct PeerFetch {
   FeedPeer peer;
   FeedRequest request;
   HttpClientPtr client;
 };
 
-using PeerQuestionPtr = std::shared_ptr<const PeerQuestion>;
+using PeerFetchPtr = std::shared_ptr<const PeerFetch>;
 
 /// @brief Passes what one host knows of the platform's tables on to others
 /// (HTTP, sealed with the hosts' key), at once or as soon as it changes.
@@ -57,7 +57,7 @@
   PeerFeed(boost::asio::io_context& loop,
            EventLog& events,
            PeerTraffic& traffic,
-           FeedTables& tables);
+           SnapshotProvider& tables);
 
   Result<void> Open(const std::string& address, std::uint16_t port);
 
@@ -73,24 +73,22 @@
   /// @brief Whether this host learns news from the store itself. While it
   /// does not, hosts that wait for news here are turned away: two hosts that
   /// wait for each other would learn nothing.
-  void SetFirstHand(bool first_hand);
+  void SetWatchingStore(bool first_hand);
 
   /// @brief Asks another host for what it knows beyond the request's version
   /// and the configuration in force here.
-  /// @return the question, for GiveUp; null if it cannot be asked.
-  PeerQuestionPtr Ask(const FeedPeer& peer,
-                      FeedRequest request,
-                      Handler handler);
+  /// @return the question, for Cancel; null if it cannot be asked.
+  PeerFetchPtr Ask(const FeedPeer& peer, FeedRequest request, Handler handler);
 
   /// @brief Ends a question that is not answered yet; its handler is not
   /// called any more.
-  void GiveUp(const PeerQuestion& question, const std::string& reason);
+  void Cancel(const PeerFetch& question, const std::string& reason);
 
  private:
   enum class PartUse : std::uint8_t { kComplete, kOvertaken, kUnusable };
 
   struct Waiting {
-    ExchangePtr exchange;
+    HttpExchangePtr exchange;
     FeedRequest request;
     Time until;
   };
@@ -103,25 +101,25 @@
     Time made;
   };
 
-  void Handle(const ExchangePtr& exchange);
+  void Handle(const HttpExchangePtr& exchange);
   const std::string& BodyOf(const FeedRequest& request);
   bool HasNews(const FeedRequest& request) const;
-  void Answer(const ExchangePtr& exchange, const FeedRequest& request);
-  std::optional<FeedAnswer> TakeAnswer(const PeerQuestion& question,
+  void Answer(const HttpExchangePtr& exchange, const FeedRequest& request);
+  std::optional<FeedAnswer> TakeAnswer(const PeerFetch& question,
                                        const CallResult& result);
-  void RecordFailure(const PeerQuestion& question,
+  void RecordFailure(const PeerFetch& question,
                      std::uint64_t bytes,
                      const std::string& reason);
   std::optional<FleetSnapshot> Open(const FeedRequest& request,
                                     const std::string& body);
   PartUse Complete(FleetSnapshot& snapshot);
-  bool IsOvertaken(const ConfigPart& part) const;
+  bool IsOvertaken(const ConfigUpdate& part) const;
   void Sweep();
 
   boost::asio::io_context& loop_;
   EventLog& events_;
   PeerTraffic& traffic_;
-  FeedTables& tables_;
+  SnapshotProvider& tables_;
   HttpServer server_;
   boost::asio::steady_timer sweep_timer_;
   std::vector<Waiting> waiting_;
--- a/include/pathcleat/feeds/relayed_source.hpp
+++ b/include/pathcleat/feeds/relayed_source.hpp
@@ -50,9 +50,9 @@
   void BeginWatch(const FeedPeer& peer,
                   const FeedRequest& request,
                   Callback callback);
-  PeerQuestionPtr AskPeer(const FeedPeer& peer,
-                          const FeedRequest& request,
-                          const Callback& callback);
+  PeerFetchPtr AskPeer(const FeedPeer& peer,
+                       const FeedRequest& request,
+                       const Callback& callback);
   enum class CallKind { kRead, kWatch };
   Callback Noting(SourceTopic topic, CallKind kind, Callback callback);
   void NoteStore(SourceTopic topic, StoreOutcome outcome);
@@ -65,8 +65,8 @@
   const HostTable& hosts_;
   int domains_;
   std::function<void()> on_access_;
-  std::map<std::string, Time> avoided_;             ///< peers, and until when
-  std::map<SourceTopic, PeerQuestionPtr> watches_;  ///< at other hosts
+  std::map<std::string, Time> avoided_;          ///< peers, and until when
+  std::map<SourceTopic, PeerFetchPtr> watches_;  ///< at other hosts
   std::map<SourceTopic, bool> at_store_;  ///< topics that the store answers
   std::set<SourceTopic> broken_;  ///< watches that ended without an answer
   std::map<SourceTopic, Time> waiting_since_;  ///< for others to have read
--- a/include/pathcleat/feeds/source_watcher.hpp
+++ b/include/pathcleat/feeds/source_watcher.hpp
@@ -32,14 +32,14 @@
 class SourceWatcher {
  public:
   using Handler = std::function<void(const SourceUpdate&)>;
-  using Observer = std::function<void(bool reached)>;
+  using ReachabilityHandler = std::function<void(bool reached)>;
   struct Pace;
 
   SourceWatcher(boost::asio::io_context& loop,
                 FleetSource& source,
                 SourceTopic topic,
                 Handler handler,
-                Observer observer);
+                ReachabilityHandler observer);
 
   void Start();
 
@@ -50,7 +50,7 @@
   /// @brief What was begun before this time may have been lost, as the store
   /// failed another call then, or this host stood still from then on: such a
   /// watch is begun anew.
-  void DistrustBefore(Time since);
+  void RestartIfOlderThan(Time since);
 
   /// @brief Another host, asked beside the watch, has answered. What is new in
   /// it is handled, and the watch goes on from there.
@@ -71,7 +71,7 @@
   Time answered_at() const { return answered_at_; }
 
   /// @brief Whether the last call was answered.
-  bool IsReached() const { return reached_; }
+  bool IsStoreReachable() const { return reached_; }
 
   /// @brief Whether the topic has been read whole once.
   bool IsLoaded() const { return loaded_; }
@@ -94,7 +94,7 @@
   SourceTopic topic_;
   const Pace& pace_;
   Handler handler_;
-  Observer observer_;
+  ReachabilityHandler observer_;
   boost::asio::steady_timer timer_;
   SourceAnswer page_;  ///< of a reading under way
   std::uint64_t first_page_version_ = 0;
--- a/include/pathcleat/fleet/domain_report.hpp
+++ b/include/pathcleat/fleet/domain_report.hpp
@@ -20,7 +20,7 @@
 
 /// @brief That a host was heard.
 /// @ingroup fleet
-struct MemberSign {
+struct MemberObservation {
   std::uint64_t id = 0;      ///< IncarnationId
   std::uint16_t age_ms = 0;  ///< since its last heartbeat; 32,767 at most
   bool leaving = false;
@@ -49,7 +49,7 @@
 /// @ingroup fleet
 struct MemberGroup {
   HostVersions versions;
-  std::vector<MemberSign> members;
+  std::vector<MemberObservation> members;
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -77,10 +77,10 @@
 
 /// @brief A report's bytes (cereal, portable binary).
 /// @ingroup fleet
-std::string EncodeReport(const DomainReport& report);
+std::string EncodeDomainReport(const DomainReport& report);
 
 /// @brief Reads a report; nothing if the bytes are none.
 /// @ingroup fleet
-std::optional<DomainReport> DecodeReport(std::string_view bytes);
+std::optional<DomainReport> DecodeDomainReport(std::string_view bytes);
 
 }  // namespace pathcleat
--- a/include/pathcleat/fleet/domain_reporter.hpp
+++ b/include/pathcleat/fleet/domain_reporter.hpp
@@ -33,7 +33,7 @@
   /// @brief What this host knows of its domain, in reports that fit a datagram:
   /// the next round.
   /// @param versions how far this host itself has come.
-  std::vector<DomainReport> Reports(const HostVersions& versions, Time now);
+  std::vector<DomainReport> MakeReports(const HostVersions& versions, Time now);
 
   /// @brief Addresses of the hosts that get the round's reports: one of each
   /// other domain, each time another one, so that a host that is cut off or
--- a/include/pathcleat/fleet/heartbeat_plan.hpp
+++ b/include/pathcleat/fleet/heartbeat_plan.hpp
@@ -25,7 +25,7 @@
 
   /// @brief A report on the own failure domain has come, or this host makes
   /// them itself.
-  void OnOwnDomainTold(Time now) { told_ = now; }
+  void OnOwnDomainReport(Time now) { told_ = now; }
 
   /// @brief Peer addresses for this round.
   std::vector<std::string> Receivers(Time now) const;
@@ -38,7 +38,7 @@
   std::vector<std::string> Known() const;
 
   /// @brief Of these, of the ones that are alive.
-  std::vector<std::string> Living(Time now) const;
+  std::vector<std::string> AliveInDomain(Time now) const;
 
  private:
   bool IsLarge(Time now) const;
--- a/include/pathcleat/fleet/host_table.hpp
+++ b/include/pathcleat/fleet/host_table.hpp
@@ -21,8 +21,8 @@
   HostInfo info;
   Time heard;  ///< its last sign of life, or when a row named it
   Time since;  ///< first sign of life of this incarnation
-  bool reported_alive = false;
-  bool ever_heard = false;  ///< false: known from the store's row alone
+  bool alive_at_last_check = false;
+  bool has_heartbeat = false;  ///< false: known from the store's row alone
   HostVersions versions;
 };
 
@@ -44,10 +44,10 @@
   void OnAwake(Time now);
 
   /// @brief For how long this host stood still, if that was not asked since.
-  Duration TakeStandstill() { return std::exchange(untold_still_, {}); }
+  Duration TakeStallDuration() { return std::exchange(untold_still_, {}); }
 
   /// @brief A row of the store names a host.
-  void OnListed(const HostInfo& host, Time now);
+  void OnStoreRow(const HostInfo& host, Time now);
 
   /// @brief A host's own message arrived.
   /// @return whether it was dead or unknown before.
@@ -55,14 +55,14 @@
 
   /// @brief Another failure domain names one of its hosts in full. That alone
   /// is no sign of life.
-  void OnIntroduced(const HostInfo& host, Time now);
+  void OnInfoReported(const HostInfo& host, Time now);
 
   /// @brief Another failure domain tells of a host that it has heard. One that
   /// was not introduced is passed over.
   /// @return the host if it was dead or unheard before; else null.
-  const KnownHost* OnReported(const MemberSign& member,
-                              const HostVersions& versions,
-                              Time now);
+  const KnownHost* OnMemberReported(const MemberObservation& member,
+                                    const HostVersions& versions,
+                                    Time now);
 
   bool IsAlive(const KnownHost& host, Time now) const;
 
@@ -83,16 +83,16 @@
 
   /// @brief Hosts that share a region's limits, this one included; never less
   /// than one, as the sharing divides by it.
-  int SharersIn(const std::string& region, Time now) const;
+  int LimitSharerCountIn(const std::string& region, Time now) const;
 
   /// @brief Hosts that share, by region, this one included.
-  std::map<std::string, int> SharersByRegion(Time now) const;
+  std::map<std::string, int> LimitSharerCountsByRegion(Time now) const;
 
   /// @brief Hosts that share, this one included.
-  int Sharers(Time now) const;
+  int LimitSharerCount(Time now) const;
 
   /// @brief Hosts alive now, this one included.
-  int Alive(Time now) const;
+  int AliveCount(Time now) const;
 
   /// @brief Whether another host that takes callers has this configuration, or
   /// a newer one, in force.
--- a/include/pathcleat/fleet/host_versions.hpp
+++ b/include/pathcleat/fleet/host_versions.hpp
@@ -14,7 +14,7 @@
   std::uint64_t commands = 0;   ///< operators' commands in force
   std::uint64_t orders = 0;     ///< newest change of the orders seen
   std::uint64_t upstreams = 0;  ///< newest change of the upstreams seen
-  StoreAccess store = StoreAccess::kFollowing;
+  StoreAccess store = StoreAccess::kFollowingPeer;
   std::uint32_t config_age_ms = 0;  ///< since that configuration came there
 
   template <class Archive>
--- a/include/pathcleat/fleet/informed_choice.hpp
+++ b/include/pathcleat/fleet/informed_choice.hpp
@@ -16,7 +16,7 @@
 /// next, so that a host that does not answer is not asked for ever.
 /// @return null if none knows it.
 /// @ingroup fleet
-const KnownHost* ChooseInformed(
+const KnownHost* ChooseUpToDateHost(
     const HostTable& hosts,
     const std::function<bool(const HostVersions&)>& knows,
     std::uint64_t salt,
--- a/include/pathcleat/fleet/peer_link.hpp
+++ b/include/pathcleat/fleet/peer_link.hpp
@@ -26,11 +26,11 @@
 
 /// @brief Who decides what hosts tell each other beside signs of life.
 /// @ingroup fleet
-struct PeerTellers {
-  UsageTeller& usage;    ///< of client accounts, in messages of their own
-  TallyTeller& tallies;  ///< of rollouts, in heartbeats and reports
-  CrashTeller& crashes;  ///< of requests that crash upstreams, as usage
-  LimitTeller& limits;   ///< that upstreams name, as usage
+struct PeerPublishers {
+  UsagePublisher& usage;    ///< of client accounts, in messages of their own
+  TallyPublisher& tallies;  ///< of rollouts, in heartbeats and reports
+  CrashPublisher& crashes;  ///< of requests that crash upstreams, as usage
+  LimitPublisher& limits;   ///< that upstreams name, as usage
 };
 
 /// @brief Sends this host's heartbeats to the others of its failure domain,
@@ -47,7 +47,7 @@
       HostTable& hosts,
       EventLog& events,
       PeerTraffic& traffic,
-      const PeerTellers& tellers,
+      const PeerPublishers& tellers,
       std::function<HostVersions()> versions,
       std::function<void(const std::string&, const HostVersions&)> on_versions);
 
@@ -66,13 +66,13 @@
 
   /// @brief Tells now what this host takes of client accounts' limits, and, if
   /// it reports for its domain, what the domain takes.
-  void TellUsage();
+  void PublishUsage();
 
   /// @brief Tells what has just become known of requests that crash upstreams.
-  void TellCrashes();
+  void PublishCrashes();
 
   /// @brief Tells what answers have told of late of upstreams' limits.
-  void TellLimits();
+  void PublishLimits();
 
  private:
   void Tick();
@@ -90,16 +90,16 @@
   void SendSealed(const std::string& address, const std::string& heartbeat);
   void SendHeartbeat(const std::string& address, bool wants_reply);
   void SendReport(const std::string& address, const std::string& sealed);
-  void OnUsage(const UsageReport& report);
+  void OnUsageReport(const UsageReport& report);
   void SendOwnUsage(Time now);
   void SendDomainUsage(Time now);
   void SendKnownUsage(const std::string& address);
   std::string SealUsage(UsageReport report);
   void SendUsage(const std::string& address, const std::string& sealed);
-  void OnCrashes(const CrashReport& report);
+  void OnCrashReport(const CrashReport& report);
   void SendCrashes(const std::vector<std::string>& receivers,
                    const CrashReport& report);
-  void OnLimits(const LimitReport& report);
+  void OnLimitReport(const LimitReport& report);
   void SendLimits(const std::vector<std::string>& receivers,
                   const LimitReport& report);
   void Send(const std::string& address, const std::string& sealed);
@@ -109,7 +109,7 @@
   HeartbeatPlan plan_;
   EventLog& events_;
   PeerTraffic& traffic_;
-  PeerTellers tellers_;
+  PeerPublishers tellers_;
   std::function<HostVersions()> versions_;
   std::function<void(const std::string&, const HostVersions&)> on_versions_;
   std::string key_;
--- a/include/pathcleat/fleet/peer_traffic.hpp
+++ b/include/pathcleat/fleet/peer_traffic.hpp
@@ -9,7 +9,7 @@
 
 /// @brief What hosts send each other.
 /// @ingroup fleet
-enum class PeerMessage : std::uint8_t {
+enum class PeerMessageKind : std::uint8_t {
   kHeartbeat,
   kReport,   ///< of a failure domain
   kUsage,    ///< of client accounts' limits
@@ -21,14 +21,15 @@
 
 /// @brief All kinds, in the order of their numbers.
 /// @ingroup fleet
-constexpr std::array kPeerMessages = {
-    PeerMessage::kHeartbeat, PeerMessage::kReport, PeerMessage::kUsage,
-    PeerMessage::kCrashes,   PeerMessage::kLimits, PeerMessage::kOrders,
-    PeerMessage::kUpstreams};
+constexpr std::array kPeerMessageKinds = {
+    PeerMessageKind::kHeartbeat, PeerMessageKind::kReport,
+    PeerMessageKind::kUsage,     PeerMessageKind::kCrashes,
+    PeerMessageKind::kLimits,    PeerMessageKind::kOrders,
+    PeerMessageKind::kUpstreams};
 
 /// @brief A kind's name on the page of figures.
 /// @ingroup fleet
-const char* ToString(PeerMessage kind);
+const char* ToString(PeerMessageKind kind);
 
 /// @brief Bytes that this host has exchanged with other hosts, by kind, and
 /// the transfers under way. Headers of HTTP, TCP and IP are not counted. Not
@@ -36,32 +37,32 @@
 /// @ingroup fleet
 class PeerTraffic {
  public:
-  void OnSent(PeerMessage kind, std::size_t bytes) {
+  void OnSent(PeerMessageKind kind, std::size_t bytes) {
     sent_.at(static_cast<std::size_t>(kind)) += bytes;
   }
-  void OnReceived(PeerMessage kind, std::size_t bytes) {
+  void OnReceived(PeerMessageKind kind, std::size_t bytes) {
     received_.at(static_cast<std::size_t>(kind)) += bytes;
   }
 
   /// @brief Another host was asked; OnEnded follows.
-  void OnAsked() { ++asked_; }
-  void OnEnded(bool given_up) {
+  void OnFetchStarted() { ++asked_; }
+  void OnEnded(bool failed_fetches) {
     --asked_;
-    given_up_ += given_up ? 1 : 0;
+    given_up_ += failed_fetches ? 1 : 0;
   }
 
   /// @brief A connection to another host was given up: open, but nothing came.
-  void OnSilent() { ++silent_; }
+  void OnSilentConnection() { ++silent_; }
   std::uint64_t silent() const { return silent_; }
 
   /// @brief A host of this fleet sent a datagram of a form not known here.
-  void OnUnknownForm() { ++unknown_forms_; }
-  std::uint64_t unknown_forms() const { return unknown_forms_; }
+  void OnUnknownFormat() { ++unknown_forms_; }
+  std::uint64_t unknown_formats() const { return unknown_forms_; }
 
-  std::uint64_t sent(PeerMessage kind) const {
+  std::uint64_t sent(PeerMessageKind kind) const {
     return sent_.at(static_cast<std::size_t>(kind));
   }
-  std::uint64_t received(PeerMessage kind) const {
+  std::uint64_t received(PeerMessageKind kind) const {
     return received_.at(static_cast<std::size_t>(kind));
   }
 
@@ -69,10 +70,10 @@
   int asked() const { return asked_; }
 
   /// @brief Questions that ended without an answer that could be used.
-  std::uint64_t given_up() const { return given_up_; }
+  std::uint64_t failed_fetches() const { return given_up_; }
 
  private:
-  using Counts = std::array<std::uint64_t, kPeerMessages.size()>;
+  using Counts = std::array<std::uint64_t, kPeerMessageKinds.size()>;
 
   Counts sent_{};
   Counts received_{};
--- a/include/pathcleat/fleet/relay_choice.hpp
+++ b/include/pathcleat/fleet/relay_choice.hpp
@@ -11,7 +11,7 @@
 
 /// @brief What decides whom a host asks for changes, beside the other hosts.
 /// @ingroup fleet
-struct RelayNeed {
+struct RelayCriteria {
   int domains = 1;                ///< failure domains of the fleet
   bool store_failed = false;      ///< the store has not answered this host
   std::set<std::string> avoided;  ///< peer addresses that have failed it
@@ -19,7 +19,7 @@
 
 /// @brief What decides whether a host reads a table of the store whole.
 /// @ingroup fleet
-struct ReadingNeed {
+struct StoreReadCriteria {
   int domains = 1;     ///< failure domains of the fleet
   Duration waited{0};  ///< for another host of its domain to have read it
 };
@@ -31,14 +31,16 @@
 /// others take what these know, and if that does not come, go to the store by
 /// turns.
 /// @ingroup fleet
-bool ReadsStore(const HostTable& hosts, const ReadingNeed& need, Time now);
+bool ShouldReadStore(const HostTable& hosts,
+                     const StoreReadCriteria& need,
+                     Time now);
 
 /// @brief Whom a host asks for changes of the store's tables.
 /// @ingroup fleet
 enum class RelayKind {
-  kStore,   ///< the store itself
-  kPeer,    ///< a host that watches the store
-  kNobody,  ///< nobody for a while: others of its domain try the store first
+  kStore,  ///< the store itself
+  kPeer,   ///< a host that watches the store
+  kNone,   ///< nobody for a while: others of its domain try the store first
 };
 
 /// @brief The choice; address and name are given for kPeer.
@@ -56,7 +58,7 @@
 /// first.
 /// @ingroup fleet
 RelayChoice ChooseRelay(const HostTable& hosts,
-                        const RelayNeed& need,
+                        const RelayCriteria& need,
                         Time now);
 
 }  // namespace pathcleat
--- a/include/pathcleat/fleet/store_access.hpp
+++ b/include/pathcleat/fleet/store_access.hpp
@@ -8,9 +8,9 @@
 /// @brief How a host learns what changes in the store.
 /// @ingroup fleet
 enum class StoreAccess : std::uint8_t {
-  kFollowing,  ///< from another host
-  kWatching,   ///< from the store itself, which answers
-  kFailing,    ///< it has asked the store of late and got no answer
+  kFollowingPeer,  ///< from another host
+  kWatching,       ///< from the store itself, which answers
+  kFailing,        ///< it has asked the store of late and got no answer
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/gateway/call.hpp
+++ b/include/pathcleat/gateway/call.hpp
@@ -25,10 +25,10 @@
 /// an Idempotency-Key it claims the key in the store before it is sent.
 /// @ingroup gateway
 class Call final : public std::enable_shared_from_this<Call>,
-                   public OpenRequest {
+                   public InFlightRequest {
  public:
   Call(GatewayState& state,
-       ExchangePtr exchange,
+       HttpExchangePtr exchange,
        std::shared_ptr<const Route> route,
        std::shared_ptr<const Account> account);
   ~Call() override { --state_.requests; }
@@ -48,7 +48,7 @@
   void GiveQuotaBack();
   bool MayClaim() const;
   void ClaimKey();
-  void OnKey(const KeyDecision& decision);
+  void OnKey(const IdempotencyDecision& decision);
   void Attempt();
   Pick ChooseNow();
   Duration ReturnAfter(const Pick& next);
@@ -69,7 +69,7 @@
   RequestDigest Digest();
   bool CountsCrashes() const;
   bool MayBeSuspected() const;
-  CrashVerdict JudgeCrashes(Time now);
+  CrashDecision JudgeCrashes(Time now);
   std::optional<Pick> KeptFromUpstreams(Time now);
   void NoteEndedUnder(const CallResult& result);
   void NoteRunEnded();
@@ -84,13 +84,13 @@
   void AnswerUnknown(int status, const std::string& reason);
   void Answer(HttpResponse response, RunOutcome outcome);
   bool WentWrong(RunOutcome outcome, Duration latency) const;
-  void CancelAttempt(BreakCause cause);
+  void CancelAttempt(AbortCause cause);
   void OnCallerLeft();
   void EndForCallerLeft();
   Duration Left() const;
 
   GatewayState& state_;
-  ExchangePtr exchange_;
+  HttpExchangePtr exchange_;
   std::shared_ptr<const Route> route_;
   std::shared_ptr<const Account> account_;  ///< null: the caller is of none
   boost::asio::steady_timer deadline_timer_;
@@ -102,7 +102,7 @@
   PickRequest request_;
   Time deadline_;
   bool retried_ = false;
-  RunRecord runs_;
+  RunTracker runs_;
   int attempts_ = 0;  ///< upstreams that the request has reached
   int unsent_ = 0;    ///< upstreams chosen that were sent nothing
   std::optional<RequestDigest> digest_;  ///< reckoned when it is needed
--- a/include/pathcleat/gateway/client_regions.hpp
+++ b/include/pathcleat/gateway/client_regions.hpp
@@ -20,12 +20,12 @@
   explicit ClientRegions(std::vector<std::string> regions);
 
   /// @brief Takes the blocks of a configuration over; later ones win.
-  void Assign(const std::vector<AssignBlock>& blocks);
+  void Assign(const std::vector<AssignClientBlock>& blocks);
 
   /// @param address IPv4 address as text.
   std::optional<std::string> RegionOf(const std::string& address) const;
 
-  std::size_t assigned() const { return assigned_; }
+  std::size_t assigned_count() const { return assigned_; }
 
  private:
   std::vector<std::string> regions_;
--- a/include/pathcleat/gateway/fleet_view.hpp
+++ b/include/pathcleat/gateway/fleet_view.hpp
@@ -17,7 +17,7 @@
 /// drains and the list of upstreams. It keeps the host's tables up to date,
 /// tells other hosts what it knows, and asks them when they know more.
 /// @ingroup gateway
-class FleetView : private FeedTables {
+class FleetView : private SnapshotProvider {
  public:
   /// @param store the platform's tables.
   /// @param on_config told of each configuration that comes into force.
@@ -54,7 +54,7 @@
   void OnPeerVersions(const std::string& from, const HostVersions& versions);
 
   /// @brief When a topic was last heard of, also that nothing has changed.
-  Time AnsweredAt(SourceTopic topic) const {
+  Time LastReceivedAt(SourceTopic topic) const {
     return WatcherOf(topic).answered_at();
   }
 
@@ -65,7 +65,7 @@
   void Tick(Time now);
 
   /// @brief Tells no other host anything more: at a planned stop.
-  void Leave() { peers_.SetFirstHand(false); }
+  void StopPublishing() { peers_.SetWatchingStore(false); }
 
  private:
   SourceWatcher& WatcherOf(SourceTopic topic);
--- a/include/pathcleat/gateway/gateway.hpp
+++ b/include/pathcleat/gateway/gateway.hpp
@@ -24,7 +24,7 @@
 
 /// @brief What lies outside a host's tables and is shown on its metrics page.
 /// @ingroup gateway
-struct GatewayProbes {
+struct ProcessStats {
   std::function<LogCounts()> log_dropped;  ///< lines, since the start
   const StoreCallStats* store_calls = nullptr;
 };
@@ -47,7 +47,7 @@
           KeyDigester& digester);
 
   /// @brief What the metrics page shows of the process around this host.
-  void SetProbes(GatewayProbes probes) { probes_ = std::move(probes); }
+  void SetProcessStats(ProcessStats probes) { probes_ = std::move(probes); }
 
   /// @brief Binds all sockets and begins.
   Result<void> Start();
@@ -72,14 +72,14 @@
  private:
   void NoteAwake(Time now);
   bool IsTooFarBehind() const;
-  void HandleCaller(const ExchangePtr& exchange);
+  void HandleCaller(const HttpExchangePtr& exchange);
   Duration ReturnUnloaded(const Exchange& exchange) const;
-  void RefuseKey(const ExchangePtr& exchange,
+  void RefuseKey(const HttpExchangePtr& exchange,
                  const Route& route,
-                 KeyFault fault);
-  void HandleReadiness(const ExchangePtr& exchange);
-  void HandleLocate(const ExchangePtr& exchange);
-  void HandleMetrics(const ExchangePtr& exchange);
+                 ApiKeyFault fault);
+  void HandleReadiness(const HttpExchangePtr& exchange);
+  void HandleLocate(const HttpExchangePtr& exchange);
+  void HandleMetrics(const HttpExchangePtr& exchange);
   void Tick();
   void FinishStop();
   void AwaitQuiet();
@@ -107,7 +107,7 @@
   OperatorService operator_service_;
   HttpServer operators_;
   HttpServer metrics_;
-  GatewayProbes probes_;
+  ProcessStats probes_;
   boost::asio::steady_timer tick_timer_;
   boost::asio::steady_timer stop_timer_;
   std::function<void()> stopped_;
--- a/include/pathcleat/gateway/gateway_state.hpp
+++ b/include/pathcleat/gateway/gateway_state.hpp
@@ -49,7 +49,7 @@
                std::uint64_t incarnation);
 
   /// @brief The retries that this host may make at a service.
-  RetryBudget& RetriesOf(const std::string& service);
+  RetryBudget& RetryBudgetOf(const std::string& service);
 
   /// @brief A request that was sent to an upstream has ended, in whatever way.
   void OnAttemptEnded(UpstreamState& upstream);
@@ -58,7 +58,7 @@
   void OnAttemptFailed(UpstreamState& upstream);
 
   /// @brief Shares what all hosts may do among those that are alive.
-  void ShareBounds(Time now);
+  void UpdateHostShares(Time now);
 
   /// @brief Tells which hosts may try again what crashes upstreams, and lets
   /// that age.
@@ -75,7 +75,7 @@
   HostTable hosts;
   RouteTable routes;
   const KeyDigester& digester;
-  KeyDigester request_digester{kRequestDigests};
+  KeyDigester request_hasher{kRequestDigestPurpose};
   AccountTable accounts;
   QuotaGate quotas;
   AccountStats account_stats;
@@ -90,20 +90,20 @@
   Metrics metrics;
   PeerTraffic peer_traffic;
   std::map<std::string, RetryBudget> retries;  ///< by service
-  OpenRequests open_requests;
+  InFlightRequests in_flight_requests;
   StopPlan stop;
   RolloutControl rollouts;
   CrashLedger crashes;
   ListenProbe listen_probe;
-  UnknownFields unknown_fields;
+  UnknownFields unknown_headers;
   LimitExchange limits;
   int requests = 0;  ///< callers' requests under way
   std::uint64_t next_request = 1;
   bool leaving = false;
-  bool store_reached = false;
-  Time routes_since;               ///< when the routes came into force here
-  std::uint64_t list_version = 0;  ///< of the list of upstreams
-  Time list_since;                 ///< when it last changed here
+  bool store_reachable = false;
+  Time routes_applied_at;  ///< when the routes came into force here
+  std::uint64_t upstream_list_version = 0;  ///< of the list of upstreams
+  Time upstream_list_changed_at;            ///< when it last changed here
 
  private:
   /// @brief How many hosts share the limits of client accounts.
--- a/include/pathcleat/gateway/key_guard.hpp
+++ b/include/pathcleat/gateway/key_guard.hpp
@@ -13,7 +13,7 @@
 /// @brief Whether a request with an idempotency key may run, or the answer
 /// that it gets in place of a run.
 /// @ingroup gateway
-struct KeyDecision {
+struct IdempotencyDecision {
   bool run = false;
   HttpResponse answer;
   RunOutcome outcome = RunOutcome::kNotRun;
@@ -34,13 +34,13 @@
   void Claim(const std::string& service,
              const HttpRequest& request,
              Duration left,
-             std::function<void(KeyDecision)> callback);
+             std::function<void(IdempotencyDecision)> callback);
 
   /// @brief Tells the outcome; does nothing without a claim.
   void Settle(const HttpResponse& response, RunOutcome outcome);
 
  private:
-  KeyDecision Decide(ClaimResult result, Duration left);
+  IdempotencyDecision Decide(ClaimResult result, Duration left);
 
   GatewayState& state_;
   std::optional<ClaimedKey> claimed_;
--- a/include/pathcleat/gateway/metrics_page.hpp
+++ b/include/pathcleat/gateway/metrics_page.hpp
@@ -15,7 +15,7 @@
 /// @ingroup gateway
 struct MetricsInputs {
   HostVersions versions;
-  std::map<SourceTopic, Time> feeds_answered;  ///< when each topic last was
+  std::map<SourceTopic, Time> feeds_received_at;  ///< when each topic last was
   LogCounts log_dropped{};
   const StoreCallStats* store_calls = nullptr;  ///< may be missing
 };
--- a/include/pathcleat/gateway/operator_service.hpp
+++ b/include/pathcleat/gateway/operator_service.hpp
@@ -21,13 +21,13 @@
                   CommandLog& commands,
                   const FleetSecrets& secrets);
 
-  void Handle(const ExchangePtr& exchange);
+  void Handle(const HttpExchangePtr& exchange);
 
  private:
   bool IsOperator(const HttpRequest& request) const;
-  KnownNames Names() const;
-  void Query(const ExchangePtr& exchange);
-  void Submit(const ExchangePtr& exchange, const ChangeCommand& command);
+  ValidNames Names() const;
+  void Query(const HttpExchangePtr& exchange);
+  void Submit(const HttpExchangePtr& exchange, const ChangeCommand& command);
   std::string Answer(const WhereQuery& query);
   std::string Answer(const WhyQuery& query) const;
   std::string Answer(const ShowQuery& query) const;
--- a/include/pathcleat/gateway/quota_gate.hpp
+++ b/include/pathcleat/gateway/quota_gate.hpp
@@ -13,7 +13,7 @@
 /// @brief Whether a request is within its account's limit, and when a refused
 /// one is told to come back.
 /// @ingroup gateway
-struct QuotaAnswer {
+struct QuotaResult {
   QuotaDecision decision;
   Duration retry_after{0};
 };
@@ -34,7 +34,7 @@
 
   /// @param caller_left until the caller gives up.
   /// @param target latency of the route.
-  QuotaAnswer Take(const Account& account,
+  QuotaResult Take(const Account& account,
                    Duration caller_left,
                    Duration target,
                    Time now);
--- a/include/pathcleat/gateway/request_trace.hpp
+++ b/include/pathcleat/gateway/request_trace.hpp
@@ -25,14 +25,14 @@
   /// @brief The request was taken.
   /// @param picked what it asks of the picker.
   /// @param left time until it must be answered.
-  void NoteTaken(const Exchange& exchange,
-                 const PickRequest& picked,
-                 Duration left);
+  void NoteAccepted(const Exchange& exchange,
+                    const PickRequest& picked,
+                    Duration left);
 
   /// @brief Its key was not accepted. The key itself is told nowhere.
-  void NoteKeyRefused(const Exchange& exchange,
-                      const Route& route,
-                      KeyFault fault);
+  void NoteApiKeyRefused(const Exchange& exchange,
+                         const Route& route,
+                         ApiKeyFault fault);
 
   /// @brief It is beyond its account's limit.
   void NoteOverLimit(const Account& account,
@@ -53,7 +53,7 @@
                   Duration elapsed);
 
   /// @brief It is not sent, as it has crashed upstreams.
-  void NoteSuspected(RequestDigest request, const CrashVerdict& verdict);
+  void NoteSuspected(RequestDigest request, const CrashDecision& verdict);
 
   /// @brief It is refused as not run.
   /// @param best what could have been picked; may be missing.
@@ -65,7 +65,7 @@
 
   /// @brief Gives what has been noted to the log and to "why" ahead of the
   /// end, as that may be long in coming: the caller has left.
-  void TellSoFar();
+  void Flush();
 
   /// @brief The request is over.
   /// @param failed it did not go as it should.
--- a/include/pathcleat/gateway/upstream_attempt.hpp
+++ b/include/pathcleat/gateway/upstream_attempt.hpp
@@ -13,7 +13,7 @@
 
 /// @brief Time limits of one request at one upstream, from its sending.
 /// @ingroup gateway
-struct AttemptTimes {
+struct AttemptTimeouts {
   Duration told{0};    ///< that the upstream may work
   Duration waited{0};  ///< until the answer must be there
 };
@@ -36,16 +36,16 @@
   void Start(const Pick& pick,
              std::uint64_t key,
              const HttpRequest& request,
-             const RequestOrigin& origin,
-             const AttemptTimes& times,
+             const RequestMetadata& origin,
+             const AttemptTimeouts& times,
              std::function<void()> opened,
              Callback callback);
 
   /// @brief Ends the exchange at the upstream; the callback is not called.
-  void Cancel(BreakCause cause);
+  void Cancel(AbortCause cause);
 
   /// @brief Takes back what has not been sent yet; the callback is not called.
-  void TakeBack();
+  void Withdraw();
 
   /// @brief Whether the upstream may be sent what was picked for it a while
   /// ago: it is listed and open, and if its rate is bounded by now, this
@@ -53,13 +53,13 @@
   bool MayStillSend(Time now);
 
   /// @brief Whether an upstream has been sent to and has not answered yet.
-  bool IsUnderWay() const { return client_ != nullptr; }
+  bool IsInFlight() const { return client_ != nullptr; }
 
   /// @brief Whether it is under way and bytes of it may have left this host.
   bool MayHaveSent() const { return client_ && client_->MayHaveSent(); }
 
   /// @brief Whether it is under way and this host has passed it on whole.
-  bool IsPassedOn() const { return client_ && client_->IsWritten(); }
+  bool IsFullySent() const { return client_ && client_->IsWritten(); }
 
   /// @brief Whether the upstream has answered others since it was sent.
   bool IsBusy() const;
@@ -67,7 +67,7 @@
   /// @brief Whether its connection has fallen silent: not even the machine of
   /// the upstream has acknowledged it. Once found, later requests are not held
   /// back for this one's sake and go over new connections.
-  bool FindSilent();
+  bool DetectSilence();
 
   /// @brief The upstream did not answer wholly. It is not blamed for
   /// connections that are known to have fallen silent.
--- a/include/pathcleat/http/http_client.hpp
+++ b/include/pathcleat/http/http_client.hpp
@@ -22,10 +22,10 @@
 /// @brief How one request on a client connection ended.
 /// @ingroup http
 enum class CallOutcome {
-  kAnswered,  ///< a whole answer arrived
-  kNotSent,   ///< no byte of the request left this host
-  kBroken,    ///< bytes may have left; no whole answer came
-  kTimedOut,  ///< bytes may have left; no whole answer came in time
+  kAnswered,        ///< a whole answer arrived
+  kNotSent,         ///< no byte of the request left this host
+  kConnectionLost,  ///< bytes may have left; no whole answer came
+  kTimedOut,        ///< bytes may have left; no whole answer came in time
 };
 
 /// @brief Result of one request.
@@ -39,18 +39,18 @@
   /// Given up by a limit on silence or by TCP's probes: the peer neither sent
   /// nor closed. Not set where the total time ran out.
   bool silent = false;
-  bool ended_here = false;  ///< this end closed, and not the peer
+  bool closed_locally = false;  ///< this end closed, and not the peer
 };
 
 /// @brief Stands for no limit beside the total time.
 /// @ingroup http
-inline constexpr Duration kNoLimit = Duration::max();
+inline constexpr Duration kNoTimeout = Duration::max();
 
 /// @brief Limit on the time without an acknowledgement by a peer's machine,
 /// unless a connection has its own: TCP's first three retransmissions (after
 /// 0.2, 0.6 and 1.4 s) and a link's queue of a second fit into it.
 /// @ingroup http
-inline constexpr Duration kSilenceLimit{3'000'000};
+inline constexpr Duration kAckTimeout{3'000'000};
 
 /// @brief Time limits of one request. A large answer over a thin link takes
 /// long and is worth waiting for while it arrives (`total`); one that stopped
@@ -60,9 +60,9 @@
   Duration connect{1'000'000};
   Duration total{5'000'000};  ///< from Send, the connecting included
   /// From the request's last byte to the answer's first one.
-  Duration first_byte = kNoLimit;
+  Duration first_byte = kNoTimeout;
   /// Without a byte received, once the answer's first one has come.
-  Duration progress = kNoLimit;
+  Duration progress = kNoTimeout;
 };
 
 /// @brief The client's end of one HTTP/1.1 connection, one request at a time.
@@ -90,13 +90,13 @@
             Matcher matcher = nullptr);
 
   /// @brief Uses this local IP number when it connects.
-  void BindTo(const std::string& local_address);
+  void BindLocalAddress(const std::string& local_address);
 
   /// @brief For how long the peer's machine may leave bytes or probes
   /// without an acknowledgement before the connection is given up. To be set
   /// before the first request; an idle connection is found a second later at
   /// most.
-  void SetSilenceLimit(Duration limit) { silence_limit_ = limit; }
+  void SetAckTimeout(Duration limit) { silence_limit_ = limit; }
 
   /// @brief Called if the next request opens a connection, before its first
   /// byte is written; may cancel.
@@ -120,13 +120,13 @@
 
   /// @brief Whether bytes sent still await the acknowledgement of the peer's
   /// machine: a peer that is busy acknowledges, a silent connection does not.
-  bool HasUnacknowledged();
+  bool HasUnacknowledgedBytes();
 
   /// @brief When the connection was opened.
   Time opened_at() const { return opened_at_; }
 
   /// @brief When the last byte came; the opening, if none has.
-  Time heard_at() const { return heard_at_; }
+  Time last_byte_at() const { return heard_at_; }
 
   /// @brief Since when the connection has been idle.
   Time idle_since() const { return idle_since_; }
@@ -138,7 +138,7 @@
   std::uint64_t received() const { return received_; }
 
   /// @brief When bytes of the answer under way last came, if any have.
-  std::optional<Time> last_heard() const {
+  std::optional<Time> last_response_byte_at() const {
     return heard_ ? std::optional<Time>(quiet_since_) : std::nullopt;
   }
 
@@ -190,7 +190,7 @@
   Matcher matcher_;
   CallTimeouts timeouts_;
   Time deadline_;
-  Duration silence_limit_ = kSilenceLimit;
+  Duration silence_limit_ = kAckTimeout;
   Time opened_at_;
   Time heard_at_;
   Time quiet_since_;  ///< last byte received, or the request's last one sent
--- a/include/pathcleat/http/http_codec.hpp
+++ b/include/pathcleat/http/http_codec.hpp
@@ -34,6 +34,6 @@
 /// @brief How long the peer says that it keeps an idle connection: the
 /// "timeout" of its Keep-Alive field, in whole seconds; zero: unsaid.
 /// @ingroup http
-Duration KeepAliveOf(const HttpResponse& response);
+Duration KeepAliveTimeout(const HttpResponse& response);
 
 }  // namespace pathcleat
--- a/include/pathcleat/http/http_exchange.hpp
+++ b/include/pathcleat/http/http_exchange.hpp
@@ -56,11 +56,11 @@
   const HttpResponse& response() const { return *response_; }
   void OnAnswered(std::function<void()> callback);
   void OnDropped(std::function<void()> callback);
-  void OnCheck(std::function<void()> callback);
+  void OnConnectionCheck(std::function<void()> callback);
   void Abandon();
 
   /// @return whether somebody hears of it and will answer.
-  bool CallerEnded();
+  bool NotifyCallerHalfClosed();
 
  private:
   HttpRequest request_;
@@ -75,10 +75,10 @@
   std::function<void()> on_dropped_;
 };
 
-using ExchangePtr = std::shared_ptr<Exchange>;
+using HttpExchangePtr = std::shared_ptr<Exchange>;
 
 /// @brief Takes each request; the answer may come at any later time.
 /// @ingroup http
-using ExchangeHandler = std::function<void(const ExchangePtr&)>;
+using HttpExchangeHandler = std::function<void(const HttpExchangePtr&)>;
 
 }  // namespace pathcleat
--- a/include/pathcleat/http/http_limits.hpp
+++ b/include/pathcleat/http/http_limits.hpp
@@ -10,12 +10,12 @@
 /// @brief Bounds on what a peer may send over HTTP.
 /// @ingroup http
 struct HttpLimits {
-  std::uint32_t header_bytes = 16 * 1024;
-  std::uint64_t body_bytes = 1'024ULL * 1'024;
-  std::size_t pipelined_requests = 16;
-  std::chrono::milliseconds idle_time{30'000};
+  std::uint32_t max_header_bytes = 16 * 1024;
+  std::uint64_t max_body_bytes = 1'024ULL * 1'024;
+  std::size_t max_pipelined_requests = 16;
+  std::chrono::milliseconds idle_timeout{30'000};
   /// Time from a request's first byte to its last.
-  std::chrono::milliseconds read_time{10'000};
+  std::chrono::milliseconds read_timeout{10'000};
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/http/http_server.hpp
+++ b/include/pathcleat/http/http_server.hpp
@@ -28,7 +28,7 @@
   /// @brief Told of each request that was rejected before the handler saw it.
   using RejectionObserver = std::function<void(int status, const std::string&)>;
 
-  HttpServer(boost::asio::io_context& loop, ExchangeHandler handler);
+  HttpServer(boost::asio::io_context& loop, HttpExchangeHandler handler);
   ~HttpServer();
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
@@ -52,7 +52,7 @@
 
   /// @brief At this many connections those of least worth are ended for new
   /// ones: see MakeRoom. 0: as many as descriptors allow.
-  void SetMostConnections(std::size_t most) { most_ = most; }
+  void SetMaxConnections(std::size_t most) { most_ = most; }
 
   /// @brief Whether new connections can be taken, as far as the last try told.
   bool CanAccept() const { return can_accept_; }
@@ -61,7 +61,7 @@
   void StopAccepting();
 
   /// @brief Ends idle connections now and the others after their answers.
-  void FinishAndClose();
+  void CloseGracefully();
 
   std::size_t connections() const { return sessions_.size(); }
 
@@ -80,7 +80,7 @@
   void Sweep();
 
   boost::asio::io_context& loop_;
-  ExchangeHandler handler_;
+  HttpExchangeHandler handler_;
   HttpLimits limits_;
   RejectionObserver rejected_;
   boost::asio::ip::tcp::acceptor acceptor_;
--- a/include/pathcleat/lab/crash_model.hpp
+++ b/include/pathcleat/lab/crash_model.hpp
@@ -15,21 +15,21 @@
   int hosts_in_domain = 2;
   int upstreams = 24;
   /// Callers that send the same request over and over.
-  int repeaters = 200;
-  Duration repeat_every{1'000'000};
+  int repeating_callers = 200;
+  Duration repeat_interval{1'000'000};
   Duration run_time{500'000};  ///< of a request, on average
   /// The request that crashes upstreams: how often it comes. Zero: never.
-  Duration fatal_every{0};
-  Duration fatal_crashes_after{30'000};
+  Duration fatal_interval{0};
+  Duration fatal_crash_delay{30'000};
   /// Part of the upstreams that crash at one moment by themselves, and how
-  /// often. They are back after back_after.
-  double crashing_part = 0;
-  Duration crash_every{5'000'000};
-  Duration back_after{3'000'000};
+  /// often. They are back after restart_delay.
+  double crashing_share = 0;
+  Duration crash_interval{5'000'000};
+  Duration restart_delay{3'000'000};
   Duration one_way{12'000};  ///< between hosts
   Duration lasts{60'000'000};
-  bool answers_clear = true;     ///< an answer clears a request
-  bool second_upstream = false;  ///< also where others ended under it before
+  bool answer_clears_request = true;  ///< an answer clears a request
+  bool retry_suspected = false;  ///< also where others ended under it before
   std::uint64_t seed = 1;
 };
 
@@ -39,12 +39,13 @@
   int fatal_crashes = 0;    ///< upstreams that the fatal request brought down
   int repeats = 0;          ///< requests of the repeaters
   int wrongly_refused = 0;  ///< of them, as they were taken for the cause
-  int seen_twice = 0;  ///< of them, with two crashes: refused if two sufficed
-  int largest_state = 0;  ///< requests that one host knew at once
+  int with_two_crashes =
+      0;  ///< of them, with two crashes: refused if two sufficed
+  int max_tracked_requests = 0;  ///< requests that one host knew at once
 };
 
 /// @brief Plays the plan.
 /// @ingroup lab
-CrashModelResult PlayCrashes(const CrashModelPlan& plan);
+CrashModelResult RunCrashModel(const CrashModelPlan& plan);
 
 }  // namespace pathcleat
--- a/include/pathcleat/lab/deployment_config.hpp
+++ b/include/pathcleat/lab/deployment_config.hpp
@@ -12,7 +12,7 @@
 
 /// @brief The Host field by which callers of a deployment name it.
 /// @ingroup lab
-std::string HostNameOf(const Deployment& deployment);
+std::string HostHeaderOf(const Deployment& deployment);
 
 /// @brief The routes and services of a deployment file, as operators would
 /// write them to the platform. One route a kind of request.
@@ -21,10 +21,10 @@
 
 /// @brief The entries that the upstreams of a deployment file would write.
 /// @ingroup lab
-std::vector<UpstreamInfo> UpstreamsOf(const Deployment& deployment);
+std::vector<UpstreamInfo> UpstreamInfosOf(const Deployment& deployment);
 
 /// @brief Text of the settings file of one entry host.
 /// @ingroup lab
-std::string SettingsTextOf(const Deployment& deployment, SeatIndex seat);
+std::string SettingsTextOf(const Deployment& deployment, HostIndex seat);
 
 }  // namespace pathcleat
--- a/include/pathcleat/lab/limit_cases.hpp
+++ b/include/pathcleat/lab/limit_cases.hpp
@@ -8,6 +8,6 @@
 /// @brief Plays the ways to keep upstreams' limits at several sizes and under
 /// faults, and tells the mean and the worst of so many seeds as a table.
 /// @ingroup lab
-std::string CompareLimitWays(int seeds);
+std::string CompareLimitStrategies(int seeds);
 
 }  // namespace pathcleat
--- a/include/pathcleat/lab/limit_model.hpp
+++ b/include/pathcleat/lab/limit_model.hpp
@@ -9,9 +9,9 @@
 
 /// @brief A way to keep the limit that an upstream names over all hosts.
 /// @ingroup lab
-enum class LimitWay {
+enum class LimitStrategy {
   kNone,        ///< hosts send on as before
-  kOwnPart,     ///< each host that was told takes the limit over the hosts
+  kEqualShare,  ///< each host that was told takes the limit over the hosts
   kUsage,       ///< hosts tell each other what they send, and stay below
   kFewSenders,  ///< as the product: few hosts send, all are told
 };
@@ -20,7 +20,7 @@
 /// a network.
 /// @ingroup lab
 struct LimitModelPlan {
-  LimitWay way = LimitWay::kFewSenders;
+  LimitStrategy way = LimitStrategy::kFewSenders;
   int domains = 6;
   int hosts_in_domain = 2;
   int upstreams = 24;
@@ -29,8 +29,8 @@
   double requests_per_second = 130;  ///< of all hosts together
   int slots = 3;
   Duration run_time{400'000};
-  Duration needs_from{4'000'000};
-  Duration needs_until{24'000'000};
+  Duration limited_from{4'000'000};
+  Duration limited_until{24'000'000};
   Duration lasts{40'000'000};
   Duration one_way{12'000};  ///< between hosts
   /// From here on hosts of the first half of the domains do not hear those of
@@ -38,7 +38,7 @@
   Duration cut_from{0};
   /// One host in so many starts again in the middle of the need, and knows
   /// nothing. Zero: none.
-  int restarts_one_of = 0;
+  int restart_one_in = 0;
   std::uint64_t seed = 1;
 };
 
@@ -46,17 +46,19 @@
 /// named its limit to the end of its need.
 /// @ingroup lab
 struct LimitModelResult {
-  double worst_of_allowed = 0;  ///< fullest window over what it may hold
-  double worst_of_told = 0;  ///< the same, of hosts that were told 0.5 s before
-  double used = 0;           ///< part of the limits that was used
-  double refused = 0;        ///< part of the requests that no upstream took
+  double max_window_ratio = 0;  ///< fullest window over what it may hold
+  double max_informed_window_ratio =
+      0;               ///< the same, of hosts that were told 0.5 s before
+  double used = 0;     ///< part of the limits that was used
+  double refused = 0;  ///< part of the requests that no upstream took
   /// Until the last host knew that the need was over, seconds.
-  double known_over_after = 0;
-  double bytes_per_host = 0;  ///< told to others while in need, a second
+  double end_delay_seconds = 0;
+  double bytes_per_host_per_second =
+      0;  ///< told to others while in need, a second
 };
 
 /// @brief Plays the plan.
 /// @ingroup lab
-LimitModelResult PlayLimits(const LimitModelPlan& plan);
+LimitModelResult RunLimitModel(const LimitModelPlan& plan);
 
 }  // namespace pathcleat
--- a/include/pathcleat/lab/load_generator.hpp
+++ b/include/pathcleat/lab/load_generator.hpp
@@ -36,12 +36,12 @@
   int callers = 50;
   /// First two numbers of the callers' addresses, one entry a region; the
   /// third number is the caller's.
-  std::vector<std::string> caller_prefixes{"127.101"};
+  std::vector<std::string> caller_address_prefixes{"127.101"};
   /// Entry hosts known from the start, "address:port".
   std::vector<std::string> hosts;
   /// Where callers ask which hosts to use, "address:port"; empty: nowhere.
   std::vector<std::string> locators;
-  std::string host_name = "caller";  ///< sent as the Host field
+  std::string host_header = "caller";  ///< sent as the Host field
   std::uint64_t seed = 1;
 };
 
@@ -52,8 +52,8 @@
   int answered = 0;
   int not_run = 0;
   int unknown = 0;
-  int broken = 0;  ///< the connection ended without an answer
-  int cut = 0;     ///< an answer that is not the whole answer to the request
+  int connection_lost = 0;  ///< the connection ended without an answer
+  int cut = 0;  ///< an answer that is not the whole answer to the request
   std::vector<double> latency_ms;  ///< from the scheduled arrival; answered
   std::vector<double> refusal_ms;  ///< the same, of those told "not run"
 };
--- a/include/pathcleat/lab/quota_model.hpp
+++ b/include/pathcleat/lab/quota_model.hpp
@@ -26,17 +26,17 @@
   AccountLimit limit;
   double usual = 0;  ///< requests a second
   double rush = 1;   ///< times the usual, while it lasts
-  double rush_from = 8;
-  double rush_for = 6.5;
-  int rush_hosts = 0;   ///< the account comes to so many hosts then; 0: all
+  double peak_from = 8;
+  double peak_seconds = 6.5;
+  int peak_hosts = 0;   ///< the account comes to so many hosts then; 0: all
   double cut_from = 0;  ///< half of the domains hear nothing of the others
-  double cut_for = 0;
+  double partition_seconds = 0;
   double kill_at = 0;  ///< so many hosts lose their memory
-  double kill_share = 0;
-  double kill_down = 0.8;  ///< until they are back
-  double lower_at = 0;     ///< the limit changes to a part of it
-  double lower_to = 1;
-  double move_at = 0;  ///< a third of the callers move to one domain
+  double killed_share = 0;
+  double down_seconds = 0.8;   ///< until they are back
+  double limit_change_at = 0;  ///< the limit changes to a part of it
+  double limit_factor = 1;
+  double callers_move_at = 0;  ///< a third of the callers move to one domain
 };
 
 /// @brief Size and luck of a model run.
@@ -52,23 +52,24 @@
 
 /// @brief What an outside counter sees.
 /// @ingroup lab
-struct QuotaOutcome {
-  double worst_window = 0;   ///< taken in a window, of what it may hold
-  double refused_below = 0;  ///< share refused while demand was below the limit
-  double served_of_limit = 0;  ///< during the rush's second half, of the rate
-  double told_bytes = 0;       ///< between domains, a second
+struct QuotaModelResult {
+  double max_window_ratio = 0;  ///< taken in a window, of what it may hold
+  double refused_share_below_limit =
+      0;  ///< share refused while demand was below the limit
+  double peak_served_share = 0;  ///< during the rush's second half, of the rate
+  double report_bytes_per_second = 0;  ///< between domains, a second
 };
 
 /// @brief Plays one account's requests through the hosts of a fleet that tell
 /// each other late, lossily, or not at all.
 /// @ingroup lab
-QuotaOutcome PlayQuota(QuotaPolicy policy,
-                       const QuotaTrace& trace,
-                       const QuotaModelPlan& plan);
+QuotaModelResult RunQuotaModel(QuotaPolicy policy,
+                               const QuotaTrace& trace,
+                               const QuotaModelPlan& plan);
 
 /// @brief The traces that the policies are compared on.
 /// @ingroup lab
-std::vector<QuotaTrace> QuotaTraces();
+std::vector<QuotaTrace> QuotaScenarios();
 
 /// @brief A table of all policies on all traces.
 /// @ingroup lab
--- a/include/pathcleat/lab/return_model.hpp
+++ b/include/pathcleat/lab/return_model.hpp
@@ -12,7 +12,7 @@
 
 /// @brief One kind of request in the model.
 /// @ingroup lab
-struct ReturnKind {
+struct CallerRetryKind {
   std::string name = "work";
   int priority = 0;   ///< 0 is the most urgent
   double weight = 1;  ///< share of the arrivals
@@ -25,11 +25,11 @@
 
 /// @brief What befalls the model's world for a while.
 /// @ingroup lab
-struct ReturnTrouble {
+struct CallerRetryFault {
   Duration at{10'000'000};
   Duration length{3'000'000};
   double load = 1;             ///< arrivals are this many times as many
-  bool domain_lost = false;    ///< the first domain's upstreams are gone
+  bool domain_fails = false;   ///< the first domain's upstreams are gone
   double cold_per_second = 0;  ///< what each bears when back; 0: warm at once
   Duration cold_for{4'000'000};
 };
@@ -37,8 +37,8 @@
 /// @brief A run of the model: callers who come back once when they are told
 /// to, at any host, and give up at their deadline.
 /// @ingroup lab
-struct ReturnPlan {
-  std::vector<ReturnKind> kinds{{}};
+struct CallerRetryPlan {
+  std::vector<CallerRetryKind> kinds{{}};
   int domains = 3;
   int hosts_in_domain = 3;
   int upstreams_in_domain = 8;
@@ -48,10 +48,10 @@
   Duration round_trip{2'000};
   /// Of what a caller has left, it heeds at most this much of Retry-After, as
   /// the users' callers do.
-  double heeded_share = 1.0 / 3;
+  double max_wait_share = 1.0 / 3;
   int returns = 1;  ///< times that a caller comes back
   double per_second = 200;
-  ReturnTrouble trouble;
+  CallerRetryFault trouble;
   Duration warm_up{8'000'000};  ///< not counted
   Duration length{20'000'000};
   std::uint64_t seed = 1;
@@ -59,24 +59,24 @@
 
 /// @brief What befell the requests of one kind.
 /// @ingroup lab
-struct ReturnCounts {
+struct CallerRetryCounts {
   int offered = 0;
   int in_time = 0;  ///< counted from the first try
   int late = 0;
-  int told_to_return = 0;  ///< at the first try
-  int served_at_first_return = 0;
-  int refused_again = 0;  ///< by a host, at a return
-  int failed = 0;         ///< not served by the deadline, though sent on
+  int told_to_retry = 0;  ///< at the first try
+  int served_at_first_retry = 0;
+  int retries_refused = 0;  ///< by a host, at a return
+  int failed = 0;           ///< not served by the deadline, though sent on
 
   double ServedShare() const { return Share(in_time + late, offered); }
 
   /// @brief Credit earned of the credit owed: 1 in time, 0.2 late.
-  double EarnedShare() const {
+  double CreditShare() const {
     constexpr double kLateWorth = 0.2;
     return offered == 0 ? 0 : (in_time + kLateWorth * late) / offered;
   }
-  double FirstReturnShare() const {
-    return Share(served_at_first_return, told_to_return);
+  double FirstRetryShare() const {
+    return Share(served_at_first_retry, told_to_retry);
   }
 
  private:
@@ -88,17 +88,18 @@
 /// @brief Urgent work that is cold and long beside short, warm work of the
 /// same service, at about what the service bears.
 /// @ingroup lab
-ReturnPlan UrgentAndShort();
+CallerRetryPlan UrgentAndShortPlan();
 
 /// @brief Runs the model in virtual time.
 /// @return counts by the kind's name.
 /// @ingroup lab
-std::map<std::string, ReturnCounts> RunReturnModel(const ReturnPlan& plan);
+std::map<std::string, CallerRetryCounts> RunCallerRetryModel(
+    const CallerRetryPlan& plan);
 
 /// @brief What becomes of those told to return after a burst and after a
 /// domain's loss, and of urgent and less urgent work under overload, as a
 /// Markdown table: medians over the seeds from 1 up.
 /// @ingroup lab
-std::string MeasureReturns(int seeds);
+std::string MeasureCallerRetries(int seeds);
 
 }  // namespace pathcleat
--- a/include/pathcleat/lab/routing_model.hpp
+++ b/include/pathcleat/lab/routing_model.hpp
@@ -11,22 +11,22 @@
 
 /// @brief How the model's hosts choose an upstream.
 /// @ingroup lab
-enum class ModelPolicy {
-  kPicker,       ///< UpstreamPicker, as shipped
-  kPickerNoKey,  ///< the same without affinity keys
-  kRandomNear,   ///< any upstream of the own region
+enum class RoutingModelPolicy {
+  kPicker,          ///< UpstreamPicker, as shipped
+  kPickerNoKey,     ///< the same without affinity keys
+  kRandomInRegion,  ///< any upstream of the own region
   kSharedQueue,  ///< one perfect queue over all slots, with no network at all
 };
 
 /// @brief Stable lower-case name of a policy.
 /// @ingroup lab
-const char* ToString(ModelPolicy policy);
+const char* ToString(RoutingModelPolicy policy);
 
 /// @brief One run of the model: hosts that send directly to upstreams which
 /// queue a few requests and are quicker at keys that they lately served.
 /// @ingroup lab
-struct ModelPlan {
-  ModelPolicy policy = ModelPolicy::kPicker;
+struct RoutingModelPlan {
+  RoutingModelPolicy policy = RoutingModelPolicy::kPicker;
   int regions = 3;
   int hosts_in_region = 3;
   int upstreams_in_region = 8;
@@ -35,20 +35,21 @@
   int keys = 120;
   int keys_remembered = 50;  ///< by an upstream
   Duration round_trip_between_regions{24'000};
-  Duration cold_run{640'000};  ///< mean run time of a key not lately served
-  double warm_share = 0.3;     ///< of it, where the key was lately served
+  Duration mean_cold_run_time{
+      640'000};             ///< mean run time of a key not lately served
+  double warm_share = 0.3;  ///< of it, where the key was lately served
   Duration target_latency{400'000};
   Duration timeout{3'000'000};
   double per_second = 200;
-  std::vector<double> region_share{0.5, 0.3, 0.2};  ///< of arrivals
-  Duration warm_up{10'000'000};                     ///< not counted
+  std::vector<double> region_shares{0.5, 0.3, 0.2};  ///< of arrivals
+  Duration warm_up{10'000'000};                      ///< not counted
   Duration length{40'000'000};
   std::uint64_t seed = 1;
 };
 
 /// @brief What a run of the model gave.
 /// @ingroup lab
-struct ModelResult {
+struct RoutingModelResult {
   int offered = 0;
   int in_target = 0;
   int late = 0;
@@ -56,7 +57,7 @@
   int turned_away = 0;  ///< by a full upstream
   double p50_ms = 0;    ///< of the answered
   double p99_ms = 0;
-  double away_share = 0;  ///< run in another region than the caller's
+  double other_region_share = 0;  ///< run in another region than the caller's
 
   double InTargetShare() const {
     return offered == 0 ? 0 : static_cast<double>(in_target) / offered;
@@ -65,7 +66,7 @@
 
 /// @brief Runs the model in virtual time.
 /// @ingroup lab
-ModelResult RunModel(const ModelPlan& plan);
+RoutingModelResult RunRoutingModel(const RoutingModelPlan& plan);
 
 /// @brief The policies side by side at several loads, as a Markdown table:
 /// medians over the seeds from 1 up.
--- a/include/pathcleat/lab/upstream_farm.hpp
+++ b/include/pathcleat/lab/upstream_farm.hpp
@@ -29,7 +29,7 @@
                                       std::uint16_t port);
 
  private:
-  void Handle(const ExchangePtr& exchange);
+  void Handle(const HttpExchangePtr& exchange);
   std::string LedgerJson() const;
 
   const Deployment& deployment_;
--- a/include/pathcleat/lab/upstream_stand_in.hpp
+++ b/include/pathcleat/lab/upstream_stand_in.hpp
@@ -41,26 +41,26 @@
   std::uint64_t seed = 1;
   /// Work ends at the time that the request tells: in the queue as not run,
   /// under way by an answer that says so.
-  bool keeps_deadlines = false;
+  bool enforces_deadlines = false;
 };
 
 /// @brief How an answer is spoilt.
 /// @ingroup lab
-enum class SpoiltAnswer {
+enum class AnswerCorruption {
   kNone,
-  kNoSignature,  ///< a success that lacks its signature
-  kStrangerId,   ///< another request's id
-  kLost,         ///< runs, then closes without an answer
+  kNoSignature,     ///< a success that lacks its signature
+  kWrongRequestId,  ///< another request's id
+  kLost,            ///< runs, then closes without an answer
 };
 
 /// @brief What a stand-in does with one request, and when.
 /// @ingroup lab
-struct UpstreamAct {
+struct UpstreamAction {
   enum class Kind {
-    kAnswer,    ///< runs it and answers
-    kBreak,     ///< runs it and closes without an answer
-    kTurnAway,  ///< lets it wait and says that it has not run it
-    kSilent,    ///< runs it and says nothing
+    kAnswer,       ///< runs it and answers
+    kDisconnect,   ///< runs it and closes without an answer
+    kReject,       ///< lets it wait and says that it has not run it
+    kNeverAnswer,  ///< runs it and says nothing
   };
   Kind kind = Kind::kAnswer;
   std::chrono::milliseconds delay{0};  ///< from the request's arrival
@@ -83,12 +83,12 @@
 
   /// @brief Requests are kept until Answer; for tests that order answers.
   void HoldAnswers(bool hold = true) { hold_ = hold; }
-  std::size_t HeldAnswers() const { return held_.size(); }
-  void AnswerHeld(std::size_t index);
-  void AnswerRun(const std::string& run_id);
+  std::size_t HeldAnswerCount() const { return held_.size(); }
+  void ReleaseAnswer(std::size_t index);
+  void ReleaseAnswerOfRun(const std::string& run_id);
 
   /// @brief Spoils all answers from now on.
-  void Spoil(SpoiltAnswer how) { spoilt_ = how; }
+  void Spoil(AnswerCorruption how) { spoilt_ = how; }
 
   /// @brief Says that it has not run any request from now on.
   void TurnAway(bool turn_away) { turn_away_ = turn_away; }
@@ -98,8 +98,10 @@
   void NameLimit(std::string limit) { limit_ = std::move(limit); }
 
   /// @brief Asked what to do with each request from now on.
-  using Director = std::function<UpstreamAct()>;
-  void Direct(Director director) { director_ = std::move(director); }
+  using ActionChooser = std::function<UpstreamAction()>;
+  void SetActionChooser(ActionChooser director) {
+    director_ = std::move(director);
+  }
 
   const UpstreamLedger& ledger() const { return ledger_; }
   int in_flight() const { return in_flight_; }
@@ -109,22 +111,22 @@
 
   /// @brief Crashes from now on when it begins to run a request for this
   /// target.
-  void CrashOn(std::string target) { fatal_target_ = std::move(target); }
+  void CrashOnTarget(std::string target) { fatal_target_ = std::move(target); }
   bool HasCrashed() const { return server_ == nullptr; }
 
  private:
-  void Handle(const ExchangePtr& exchange);
-  bool IsForAnother(const ExchangePtr& exchange) const;
-  void RefuseNotRun(const ExchangePtr& exchange, int status);
-  void Run(const ExchangePtr& exchange);
-  void Act(const ExchangePtr& exchange, const UpstreamAct& act);
-  void EndAct(const ExchangePtr& exchange, UpstreamAct::Kind kind);
-  void Begin(const ExchangePtr& exchange);
+  void Handle(const HttpExchangePtr& exchange);
+  bool IsForAnother(const HttpExchangePtr& exchange) const;
+  void RefuseNotRun(const HttpExchangePtr& exchange, int status);
+  void Run(const HttpExchangePtr& exchange);
+  void Act(const HttpExchangePtr& exchange, const UpstreamAction& act);
+  void EndAct(const HttpExchangePtr& exchange, UpstreamAction::Kind kind);
+  void Begin(const HttpExchangePtr& exchange);
   void End();
-  void WatchDeadline(const ExchangePtr& exchange);
-  void OnDeadline(const ExchangePtr& exchange);
+  void WatchDeadline(const HttpExchangePtr& exchange);
+  void OnDeadline(const HttpExchangePtr& exchange);
   void CountSlots();
-  void Answer(const ExchangePtr& exchange);
+  void Answer(const HttpExchangePtr& exchange);
   std::string LoadText() const;
   void AddState(HttpResponse& response) const;
 
@@ -133,10 +135,10 @@
   std::unique_ptr<HttpServer> server_;
   std::mt19937_64 random_;
   UpstreamLedger ledger_;
-  std::vector<ExchangePtr> held_;
-  std::vector<ExchangePtr> queue_;
-  Director director_;
-  SpoiltAnswer spoilt_ = SpoiltAnswer::kNone;
+  std::vector<HttpExchangePtr> held_;
+  std::vector<HttpExchangePtr> queue_;
+  ActionChooser director_;
+  AnswerCorruption spoilt_ = AnswerCorruption::kNone;
   std::string limit_;         ///< that answers name; empty: none
   std::string fatal_target_;  ///< empty: none
   int in_flight_ = 0;
--- a/include/pathcleat/query/command.hpp
+++ b/include/pathcleat/query/command.hpp
@@ -13,7 +13,7 @@
 
 /// @brief The names that commands may use.
 /// @ingroup query
-struct KnownNames {
+struct ValidNames {
   std::set<std::string> services;
   std::set<std::string> regions;
   std::set<std::string> upstreams;
@@ -82,7 +82,7 @@
 /// @brief Reads one command; names must be known.
 /// @return kInvalid, naming the word at fault and what was expected there.
 /// @ingroup query
-Result<OperatorCommand> ParseCommand(const KnownNames& names,
+Result<OperatorCommand> ParseCommand(const ValidNames& names,
                                      std::string_view text);
 
 }  // namespace pathcleat
--- a/include/pathcleat/query/log_line.hpp
+++ b/include/pathcleat/query/log_line.hpp
@@ -30,7 +30,7 @@
 
 /// @brief The logs of several hosts as one.
 /// @ingroup query
-struct LogLines {
+struct MergedLog {
   std::vector<LogLine> lines;  ///< by hybrid time
   int unreadable = 0;          ///< lines that are no events
 };
@@ -38,10 +38,10 @@
 /// @brief Reads log lines, in any order, of any hosts. What a collector puts
 /// before an event on its line is passed over.
 /// @ingroup query
-void ReadLog(std::istream& stream, LogLines& into);
+void ReadLog(std::istream& stream, MergedLog& into);
 
 /// @brief Puts the lines of all hosts into one order.
 /// @ingroup query
-void SortByTime(LogLines& lines);
+void SortByTime(MergedLog& lines);
 
 }  // namespace pathcleat
--- a/include/pathcleat/query/request_story.hpp
+++ b/include/pathcleat/query/request_story.hpp
@@ -11,9 +11,9 @@
 /// @brief Why a request went as it did.
 /// @ingroup query
 enum class RequestCause {
-  kNoLines,          ///< the logs say nothing of it
+  kNotLogged,        ///< the logs say nothing of it
   kNone,             ///< it was answered, and nothing looks wrong
-  kOldConfig,        ///< another host had a newer configuration in force
+  kStaleConfig,      ///< another host had a newer configuration in force
   kLeavingUpstream,  ///< another host knew that the upstream leaves
   kOverload,         ///< refused: it would have waited too long
   kNoUpstream,       ///< refused: no upstream would have it
@@ -25,26 +25,28 @@
 
 /// @brief One cause, said in a sentence with the inputs that decided it.
 /// @ingroup query
-struct CauseFound {
+struct DiagnosedCause {
   RequestCause cause = RequestCause::kNone;
-  std::string sentence;
+  std::string explanation;
 };
 
 /// @brief A request's way through the fleet, from logs alone.
 /// @ingroup query
-struct RequestStory {
-  std::vector<LogLine> lines;        ///< its own, in order
-  std::vector<CauseFound> causes;    ///< the first explains the others
-  std::vector<std::string> missing;  ///< what the logs do not hold
+struct RequestDiagnosis {
+  std::vector<LogLine> lines;          ///< its own, in order
+  std::vector<DiagnosedCause> causes;  ///< the first explains the others
+  std::vector<std::string> missing;    ///< what the logs do not hold
 };
 
 /// @brief Tells what befell a request and why.
 /// @param log of as many hosts as there are, sorted by time.
 /// @ingroup query
-RequestStory TellStory(const LogLines& log, const std::string& request_id);
+RequestDiagnosis DiagnoseRequest(const MergedLog& log,
+                                 const std::string& request_id);
 
 /// @brief A story as an operator reads it.
 /// @ingroup query
-std::string ToText(const RequestStory& story, const std::string& request_id);
+std::string ToText(const RequestDiagnosis& story,
+                   const std::string& request_id);
 
 }  // namespace pathcleat
--- a/include/pathcleat/records/command_log.hpp
+++ b/include/pathcleat/records/command_log.hpp
@@ -53,17 +53,17 @@
   std::uint64_t version() const { return log_.version(); }
 
   /// @brief Whether the store has been read since the start.
-  bool IsKnown() const { return known_; }
+  bool IsLoaded() const { return known_; }
 
  private:
-  struct Command;
-  using CommandPtr = std::shared_ptr<Command>;
+  struct RunCommand;
+  using CommandPtr = std::shared_ptr<RunCommand>;
   using Done = std::function<void(StoreOutcome)>;
 
   std::optional<ConfigChange> ChangeIn(const TableRow& row);
   void Scan(Done done);
   void ScanNext();
-  void OnScan(const TableScan& scan);
+  void OnScan(const TableScanResult& scan);
   void FinishScan(StoreOutcome outcome);
   void Write(const CommandPtr& command);
   void ReadBack(const CommandPtr& command, int tries_left);
--- a/include/pathcleat/records/fleet_rows.hpp
+++ b/include/pathcleat/records/fleet_rows.hpp
@@ -31,7 +31,7 @@
  private:
   void WriteOwn();
   void Read(const std::string& from);
-  void OnScan(const TableScan& scan);
+  void OnScan(const TableScanResult& scan);
   void Take(const TableRow& row);
   void Retry(std::function<void()> step);
 
--- a/include/pathcleat/records/rollout_writer.hpp
+++ b/include/pathcleat/records/rollout_writer.hpp
@@ -28,7 +28,7 @@
   /// second.
   /// @param ahead how many living hosts would do this before this one: each of
   /// them is given some time.
-  void Tick(const std::vector<DueStep>& due, int ahead, Time now);
+  void Tick(const std::vector<ProposedStep>& due, int ahead, Time now);
 
  private:
   // What operators should read of one service, and whether they do.
@@ -40,10 +40,10 @@
     RolloutPhase phase = RolloutPhase::kRunning;
   };
 
-  void Decide(const DueStep& due);
+  void Decide(const ProposedStep& due);
   void Tell(const std::string& service, const RolloutState& state);
   bool IsCurrent(const RolloutStatus& wanted) const;
-  void OnRead(const RolloutStatus& wanted, const RolloutStatusRead& read);
+  void OnRead(const RolloutStatus& wanted, const RolloutStatusReadResult& read);
 
   std::string host_;
   CommandLog& commands_;
--- a/include/pathcleat/rollouts/answer_judge.hpp
+++ b/include/pathcleat/rollouts/answer_judge.hpp
@@ -24,7 +24,7 @@
   bool IsGood() const;
 
   /// @brief Less sure than good, and not in doubt.
-  bool LeansGood() const;
+  bool IsLikelyGood() const;
 
  private:
   double ratio_ = 0;  ///< logarithm of the odds, negative: good
@@ -33,6 +33,6 @@
 
 /// @brief The share of bad answers to expect, from few counts as well.
 /// @ingroup rollouts
-double UsualBad(const AnswerCounts& answers);
+double ExpectedBadRatio(const AnswerCounts& answers);
 
 }  // namespace pathcleat
--- a/include/pathcleat/rollouts/canary_gate.hpp
+++ b/include/pathcleat/rollouts/canary_gate.hpp
@@ -11,10 +11,10 @@
 /// over all hosts, whatever they know of each other, and a host that starts
 /// again has nothing to spend twice. Not thread-safe.
 /// @ingroup rollouts
-class CanaryGate {
+class CanaryLimiter {
  public:
   /// @param share of all requests sent that may go to the new version.
-  explicit CanaryGate(double share) : share_(share) {}
+  explicit CanaryLimiter(double share) : share_(share) {}
 
   /// @brief A request went to an upstream.
   void OnSent(bool fresh) {
--- a/include/pathcleat/rollouts/rollout.hpp
+++ b/include/pathcleat/rollouts/rollout.hpp
@@ -19,10 +19,10 @@
 
 /// @brief What a decision on a rollout rests on, beside the answers.
 /// @ingroup rollouts
-struct RolloutFacts {
-  bool ordered = true;  ///< the order stands, or is withdrawn
-  Duration elapsed{0};  ///< since the rollout began
-  int hosts = 1;        ///< that may be sending, this one included
+struct RolloutInput {
+  bool is_order_active = true;  ///< the order stands, or is withdrawn
+  Duration elapsed{0};          ///< since the rollout began
+  int hosts = 1;                ///< that may be sending, this one included
 };
 
 /// @brief One order to move a service to a version, as this host follows and
@@ -44,7 +44,7 @@
 
   /// @brief Whether what was to go to a version may still go there, by what
   /// has been decided since.
-  bool StillAllows(const std::string& version) const;
+  bool IsVersionAllowed(const std::string& version) const;
 
   /// @brief A request goes to an upstream.
   void OnSent(const std::string& version);
@@ -53,29 +53,29 @@
   /// a few times a second.
   /// @param versions of the service's open upstreams.
   /// @param on_others requests under way at versions but the new one.
-  void SetSituation(const std::set<std::string>& versions,
-                    std::uint32_t on_others);
+  void SetLocalState(const std::set<std::string>& versions,
+                     std::uint32_t on_others);
 
   void OnAnswer(const std::string& version, std::uint64_t route, bool bad);
 
   /// @brief What this host alone has counted.
-  const RolloutTally& Own() const { return own_; }
+  const RolloutTally& OwnTally() const { return own_; }
 
-  TallyBoard& board() { return board_; }
-  const TallyBoard& board() const { return board_; }
-  const CanaryGate& gate() const { return gate_; }
+  TallyBoard& tally_table() { return board_; }
+  const TallyBoard& tally_table() const { return board_; }
+  const CanaryLimiter& gate() const { return gate_; }
 
   /// @brief Answers of the whole fleet, as they were last judged.
-  const RolloutTally& judged() const { return judged_; }
+  const RolloutTally& evaluated_tally() const { return judged_; }
 
   /// @brief Takes the answers that came since the last call into the tests.
   void Judge(Time now);
 
   /// @brief The decision that is due, if any.
   /// @param reason set to what led to it, for the log.
-  std::optional<RolloutStep> Due(const RolloutFacts& facts,
-                                 Time now,
-                                 std::string& reason) const;
+  std::optional<RolloutStep> ProposeStep(const RolloutInput& facts,
+                                         Time now,
+                                         std::string& reason) const;
 
  private:
   bool IsFresh(const std::string& version) const {
@@ -85,16 +85,16 @@
   bool IsBad() const;
   bool IsGood() const;
   RolloutStep StepTo(RolloutPhase phase) const;
-  std::optional<RolloutStep> WhileRunning(const RolloutFacts& facts,
+  std::optional<RolloutStep> WhileRunning(const RolloutInput& facts,
                                           std::string& reason) const;
-  std::optional<RolloutStep> WhilePromoted(const RolloutFacts& facts,
+  std::optional<RolloutStep> WhilePromoted(const RolloutInput& facts,
                                            Time now,
                                            std::string& reason) const;
 
   RolloutOrder order_;
   std::uint64_t incarnation_;
   std::optional<RolloutState> state_;
-  CanaryGate gate_;
+  CanaryLimiter gate_;
   RolloutTally own_;
   std::set<std::string> versions_;
   // Until the list is known, a rule holds as if both ran.
--- a/include/pathcleat/rollouts/rollout_control.hpp
+++ b/include/pathcleat/rollouts/rollout_control.hpp
@@ -15,14 +15,14 @@
 
 /// @brief A decision that is due, and why.
 /// @ingroup rollouts
-struct DueStep {
+struct ProposedStep {
   RolloutStep step;
   std::string reason;
 };
 
 /// @brief The fleet as it matters to rollouts.
 /// @ingroup rollouts
-struct RolloutSurroundings {
+struct RolloutContext {
   int hosts = 1;  ///< that may be sending, this one included
   HybridTime time;
 };
@@ -31,7 +31,7 @@
 /// what hosts have seen. Any host may decide; the operators' command log keeps
 /// the first of two decisions that contradict each other. Not thread-safe.
 /// @ingroup rollouts
-class RolloutControl final : public TallyTeller {
+class RolloutControl final : public TallyPublisher {
  public:
   /// @param domain own failure domain.
   /// @param incarnation another one at each start of a host.
@@ -61,7 +61,7 @@
 
   /// @brief Judges what has come and says what is to be decided now. Call a
   /// few times a second.
-  std::vector<DueStep> Judge(const RolloutSurroundings& fleet, Time now);
+  std::vector<ProposedStep> Judge(const RolloutContext& fleet, Time now);
 
  private:
   bool IsOrdered(const Rollout& rollout) const;
--- a/include/pathcleat/rollouts/rollout_tally.hpp
+++ b/include/pathcleat/rollouts/rollout_tally.hpp
@@ -18,7 +18,7 @@
   std::uint64_t total() const { return good + bad; }
   void Add(const AnswerCounts& other);
   /// @brief The larger of each: counts only rise.
-  void Raise(const AnswerCounts& other);
+  void MergeMax(const AnswerCounts& other);
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -32,13 +32,16 @@
   std::uint64_t order = 0;
   AnswerCounts others;  ///< of all versions but the new one
   AnswerCounts fresh;   ///< of the new one
-  std::map<std::uint64_t, AnswerCounts> fresh_by_route;  ///< by name's hash
+  std::map<std::uint64_t, AnswerCounts>
+      new_version_by_route;     ///< by name's hash
   std::uint32_t on_others = 0;  ///< requests under way at other versions
-  std::uint32_t promoted = 0;   ///< hosts that send to the new version alone
+  std::uint32_t promoted_host_count =
+      0;  ///< hosts that send to the new version alone
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(order, others, fresh, fresh_by_route, on_others, promoted);
+    archive(order, others, fresh, new_version_by_route, on_others,
+            promoted_host_count);
   }
 };
 
@@ -48,9 +51,9 @@
 
 /// @brief Who takes part in what hosts tell each other of rollouts.
 /// @ingroup rollouts
-class TallyTeller {
+class TallyPublisher {
  public:
-  virtual ~TallyTeller() = default;
+  virtual ~TallyPublisher() = default;
 
   /// @brief What this host tells the others of its failure domain.
   virtual RolloutTallies OwnTallies() const = 0;
--- a/include/pathcleat/rollouts/tally_board.hpp
+++ b/include/pathcleat/rollouts/tally_board.hpp
@@ -21,19 +21,23 @@
 
   /// @brief A host of the own failure domain tells.
   /// @param incarnation another one at each of its starts: counts begin anew.
-  void OnHost(std::uint64_t incarnation, const RolloutTally& tally, Time now);
+  void OnHostTally(std::uint64_t incarnation,
+                   const RolloutTally& tally,
+                   Time now);
 
   /// @brief Another failure domain tells of all its hosts.
-  void OnDomain(const std::string& domain, const RolloutTally& tally, Time now);
+  void OnDomainTally(const std::string& domain,
+                     const RolloutTally& tally,
+                     Time now);
 
   /// @brief A host that hears all of the own failure domain tells of it.
-  void OnOwnDomain(const RolloutTally& tally, Time now);
+  void OnOwnDomainTally(const RolloutTally& tally, Time now);
 
   /// @brief The own failure domain, as told to others.
-  RolloutTally OfDomain(Time now) const;
+  RolloutTally DomainTally(Time now) const;
 
   /// @brief The whole fleet.
-  RolloutTally OfFleet(Time now) const;
+  RolloutTally FleetTally(Time now) const;
 
  private:
   struct Told {
--- a/include/pathcleat/routing/admission.hpp
+++ b/include/pathcleat/routing/admission.hpp
@@ -15,20 +15,20 @@
   Duration target{0};     ///< latency of the route
   /// From now to the end of its target latency, counted from the caller's
   /// first try; below zero if that is past.
-  Duration target_left{0};
-  bool came_back = false;  ///< it was refused before
+  Duration target_time_left{0};
+  bool is_retry = false;  ///< it was refused before
 };
 
 /// @brief The wait of one place in the queue; a host knows it no better.
 /// @ingroup routing
-Duration PlaceOf(const AdmissionInput& input);
+Duration WaitPerQueuedRequest(const AdmissionInput& input);
 
 /// @brief What is to become of a request at its upstream.
 /// @ingroup routing
-enum class Admission {
-  kInTime,  ///< send: it would be in time
-  kLate,    ///< send: it may be late, but not for its waiting
-  kRefuse,  ///< it would be late for its waiting
+enum class AdmissionDecision {
+  kAdmitInTime,  ///< send: it would be in time
+  kLate,         ///< send: it may be late, but not for its waiting
+  kRefuse,       ///< it would be late for its waiting
 };
 
 /// @brief Decides who may lengthen an upstream's queue. A first try may wait
@@ -37,6 +37,6 @@
 /// longer, so that first tries do not take all places. Longer still, and those
 /// behind it would be late as well, refused, and late when they come back.
 /// @ingroup routing
-Admission Admit(const AdmissionInput& input);
+AdmissionDecision DecideAdmission(const AdmissionInput& input);
 
 }  // namespace pathcleat
--- a/include/pathcleat/routing/admission_control.hpp
+++ b/include/pathcleat/routing/admission_control.hpp
@@ -23,24 +23,24 @@
   /// @brief Whether a request may go to the upstream chosen for it. What this
   /// host has itself tried elsewhere may. Where there is a queue, a kind that
   /// is sent on more often than a more urgent one of its service may not.
-  bool Admits(const Pick& pick,
-              const PickRequest& request,
-              RequestProfile& profile,
-              Time now);
+  bool TryAdmit(const Pick& pick,
+                const PickRequest& request,
+                RequestProfile& profile,
+                Time now);
 
   /// @brief How long to stay away from the queue of the upstream chosen.
-  Duration ReturnToQueue(const Pick& pick,
-                         const PickRequest& request,
-                         const RequestProfile& profile,
-                         Time now);
+  Duration RetryDelayForQueue(const Pick& pick,
+                              const PickRequest& request,
+                              const RequestProfile& profile,
+                              Time now);
 
   /// @brief How long to stay away where no upstream may be sent to: until the
   /// first one may.
   /// @param open those that the request may go to by list, drains and homes.
-  Duration ReturnToAny(const std::vector<UpstreamPtr>& open,
-                       const PickRequest& request,
-                       const RequestProfile& profile,
-                       Time now);
+  Duration RetryDelayForAny(const std::vector<UpstreamPtr>& open,
+                            const PickRequest& request,
+                            const RequestProfile& profile,
+                            Time now);
 
  private:
   PolicySwitches policy_;
--- a/include/pathcleat/routing/bound_room.hpp
+++ b/include/pathcleat/routing/bound_room.hpp
@@ -30,9 +30,9 @@
 
   /// @brief The part of a region's slots of a service that is taken so, from 0
   /// to nearly 1.
-  double PartOf(const std::string& service,
-                const std::string& region,
-                double slots);
+  double ShareOf(const std::string& service,
+                 const std::string& region,
+                 double slots);
 
  private:
   struct Use {
--- a/include/pathcleat/routing/comeback.hpp
+++ b/include/pathcleat/routing/comeback.hpp
@@ -12,12 +12,12 @@
 /// @param caller_left until it gives up.
 /// @param service from a free slot to its answer.
 /// @ingroup routing
-Duration LatestReturn(Duration caller_left, Duration service);
+Duration LatestRetry(Duration caller_left, Duration service);
 
 /// @brief When a refused request could be served, as far as its host knows.
 /// Times count from now.
 /// @ingroup routing
-struct ComebackWindow {
+struct RetryWindow {
   Duration room{0};     ///< until there is room for it
   Duration in_time{0};  ///< latest return that is answered within the target
   Duration latest{0};   ///< latest return that is of use to its caller
@@ -33,9 +33,9 @@
  public:
   /// @brief Promises a place.
   /// @return how long to stay away; never longer than window.latest.
-  Duration Book(const ComebackWindow& window, Time now);
+  Duration Reserve(const RetryWindow& window, Time now);
 
-  std::size_t booked() const { return booked_.size(); }
+  std::size_t reserved_count() const { return booked_.size(); }
 
  private:
   // Bounds the memory and the search: a host of today's size refuses fewer in
@@ -46,7 +46,7 @@
   // other values.
   static constexpr int kMostHalvings = 4;
 
-  Duration Place(const ComebackWindow& window, Time now) const;
+  Duration Place(const RetryWindow& window, Time now) const;
   std::optional<Duration> FirstFree(Duration from,
                                     Duration to,
                                     Duration spacing,
--- a/include/pathcleat/routing/key_placement.hpp
+++ b/include/pathcleat/routing/key_placement.hpp
@@ -15,7 +15,7 @@
 struct Candidate {
   UpstreamPtr upstream;
   double distance = 0;  ///< from the key; the nearest is the first choice
-  WarmthSign sign;      ///< why it may be quick at the key
+  WarmthEvidence sign;  ///< why it may be quick at the key
   double warmth = 0;    ///< probability that it is
 };
 
@@ -36,8 +36,8 @@
 /// nearest first: spread over all it would be cold everywhere, and overload
 /// would feed on itself. Two are the nearest by the regions' shares; the last
 /// is in another region, for when the key's region is short of room.
-void KeepKeyNear(std::vector<Candidate>& candidates,
-                 std::uint64_t key,
-                 const RegionShares& shares);
+void KeepNearestToKey(std::vector<Candidate>& candidates,
+                      std::uint64_t key,
+                      const RegionShares& shares);
 
 }  // namespace pathcleat
--- a/include/pathcleat/routing/limit_exchange.hpp
+++ b/include/pathcleat/routing/limit_exchange.hpp
@@ -17,7 +17,7 @@
 /// tell what they heard of late in each round of heartbeats, and the reporters
 /// of each failure domain tell the other domains. Not thread-safe.
 /// @ingroup routing
-class LimitExchange final : public LimitTeller {
+class LimitExchange final : public LimitPublisher {
  public:
   /// @brief Told of each change of what holds for an upstream.
   using OnChange = std::function<void(UpstreamState&, LimitChange)>;
@@ -28,7 +28,9 @@
   void SetOnChange(OnChange on_change) { on_change_ = std::move(on_change); }
 
   /// @brief Called when an answer here has told what others should know now.
-  void OnNews(std::function<void()> on_news) { on_news_ = std::move(on_news); }
+  void SetOnUpdate(std::function<void()> on_news) {
+    on_news_ = std::move(on_news);
+  }
 
   /// @brief Lets limits lapse of which nobody has heard for long. To be called
   /// a few times a second.
@@ -40,28 +42,32 @@
   }
 
   /// @brief An answer here named a limit, requests a second.
-  void OnNamed(const UpstreamPtr& upstream, double per_second, Time now);
+  void OnLimitReported(const UpstreamPtr& upstream,
+                       double per_second,
+                       Time now);
 
   /// @brief An answer here named none.
   /// @param sent when its request was sent.
-  void OnNotNamed(const UpstreamPtr& upstream, Time sent, Time now);
+  void OnNoLimitReported(const UpstreamPtr& upstream, Time sent, Time now);
 
   LimitReport OwnLimits(Time now) override;
   LimitReport DomainLimits(Time now) override;
-  LimitReport KnownLimits(Time now) override;
-  void OnLimits(const LimitReport& report, Time now) override;
+  LimitReport LimitSnapshot(Time now) override;
+  void OnLimitReport(const LimitReport& report, Time now) override;
 
  private:
   using Upstreams = std::map<std::string, UpstreamPtr>;
 
   LimitChange Take(const UpstreamPtr& upstream,
-                   const LimitSign& sign,
+                   const LimitObservation& sign,
                    Time now);
-  void TakeOwn(const UpstreamPtr& upstream, const LimitSign& sign, Time now);
+  void TakeOwn(const UpstreamPtr& upstream,
+               const LimitObservation& sign,
+               Time now);
   void Note(const UpstreamPtr& upstream, LimitChange change);
   LimitReport Report(bool pass_on,
                      const Upstreams& told,
-                     const std::function<bool(const LimitSign&)>& tells,
+                     const std::function<bool(const LimitObservation&)>& tells,
                      Time now);
 
   UpstreamTable& table_;
--- a/include/pathcleat/routing/limit_report.hpp
+++ b/include/pathcleat/routing/limit_report.hpp
@@ -14,14 +14,14 @@
 
 /// @brief Stands for an upstream that names no limit.
 /// @ingroup routing
-inline constexpr float kNamesNoLimit = -1;
+inline constexpr float kNoRateLimit = -1;
 
 /// @brief What is known of one upstream's limit.
 /// @ingroup routing
 struct LimitEntry {
-  std::string upstream;              ///< id
-  float per_second = kNamesNoLimit;  ///< requests that it takes from all hosts
-  std::uint32_t age_ms = 0;          ///< since that was known to hold
+  std::string upstream;             ///< id
+  float per_second = kNoRateLimit;  ///< requests that it takes from all hosts
+  std::uint32_t age_ms = 0;         ///< since that was known to hold
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -31,7 +31,7 @@
 
 /// @brief So many entries fit a datagram of 1,472 bytes, with ids of 16 bytes.
 /// @ingroup routing
-inline constexpr std::size_t kMostLimitEntries = 40;
+inline constexpr std::size_t kMaxLimitEntries = 40;
 
 /// @brief What hosts tell each other of the limits that upstreams name.
 /// @ingroup routing
@@ -57,9 +57,9 @@
 
 /// @brief Who takes part in what hosts tell each other of limits.
 /// @ingroup routing
-class LimitTeller {
+class LimitPublisher {
  public:
-  virtual ~LimitTeller() = default;
+  virtual ~LimitPublisher() = default;
 
   /// @brief What answers have told this host of late.
   virtual LimitReport OwnLimits(Time now) = 0;
@@ -68,9 +68,9 @@
   virtual LimitReport DomainLimits(Time now) = 0;
 
   /// @brief The limits in force, for a host that has just started.
-  virtual LimitReport KnownLimits(Time now) = 0;
+  virtual LimitReport LimitSnapshot(Time now) = 0;
 
-  virtual void OnLimits(const LimitReport& report, Time now) = 0;
+  virtual void OnLimitReport(const LimitReport& report, Time now) = 0;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/routing/link_limits.hpp
+++ b/include/pathcleat/routing/link_limits.hpp
@@ -16,9 +16,9 @@
   explicit LinkLimits(std::map<std::string, int> most_in_flight);
 
   /// @brief Hosts of this region that may be sending.
-  void SetSharers(int hosts) { sharers_ = hosts; }
+  void SetHostCount(int hosts) { sharers_ = hosts; }
 
-  bool HasRoom(const std::string& region) const;
+  bool HasCapacity(const std::string& region) const;
   void OnSent(const std::string& region) { ++in_flight_[region]; }
   void OnEnded(const std::string& region) { --in_flight_[region]; }
 
--- a/include/pathcleat/routing/list_delta.hpp
+++ b/include/pathcleat/routing/list_delta.hpp
@@ -14,13 +14,13 @@
 /// Equal entries have equal marks on every host; an entry's own is told by its
 /// MarkOf.
 /// @ingroup routing
-using ListMarks = std::vector<std::uint64_t>;
+using ListHashes = std::vector<std::uint64_t>;
 
 /// @brief A part of a new list: some entries of the old list in their order,
 /// then some that the old list lacks.
 /// @ingroup routing
 template <class Entry>
-struct ListStep {
+struct ListDeltaStep {
   std::uint32_t first = 0;  ///< place in the old list
   std::uint32_t count = 0;  ///< entries taken from there
   std::vector<Entry> added;
@@ -29,8 +29,8 @@
 /// @brief The marks of a list.
 /// @ingroup routing
 template <class Entry>
-ListMarks MarksOf(const std::vector<Entry>& entries) {
-  ListMarks marks;
+ListHashes ContentHashes(const std::vector<Entry>& entries) {
+  ListHashes marks;
   marks.reserve(entries.size());
   for (const Entry& entry : entries) {
     marks.push_back(MarkOf(entry));
@@ -40,7 +40,7 @@
 
 /// @brief One hash of all marks, to check a list that was put together.
 /// @ingroup routing
-inline std::uint64_t DigestOf(const ListMarks& marks) {
+inline std::uint64_t DigestOf(const ListHashes& marks) {
   std::uint64_t digest = marks.size();
   for (const std::uint64_t mark : marks) {
     digest = MixHashes(digest, mark);
@@ -52,21 +52,22 @@
 /// known.
 /// @ingroup routing
 template <class Entry>
-std::vector<ListStep<Entry>> StepsBetween(const ListMarks& old_marks,
-                                          const std::vector<Entry>& entries,
-                                          const ListMarks& marks) {
+std::vector<ListDeltaStep<Entry>> ComputeListDelta(
+    const ListHashes& old_marks,
+    const std::vector<Entry>& entries,
+    const ListHashes& marks) {
   std::unordered_map<std::uint64_t, std::uint32_t> places;
   for (std::uint32_t i = 0; i < old_marks.size(); ++i) {
     places.emplace(old_marks[i], i);
   }
-  std::vector<ListStep<Entry>> steps(1);
+  std::vector<ListDeltaStep<Entry>> steps(1);
   for (std::size_t i = 0; i < entries.size(); ++i) {
     const auto place = places.find(marks[i]);
     if (place == places.end()) {
       steps.back().added.push_back(entries[i]);
       continue;
     }
-    ListStep<Entry>& step = steps.back();
+    ListDeltaStep<Entry>& step = steps.back();
     if (step.added.empty() && step.first + step.count == place->second) {
       ++step.count;
     } else {
@@ -81,12 +82,12 @@
 /// @return nothing if the steps do not lead to it from this old list.
 /// @ingroup routing
 template <class Entry>
-std::optional<std::vector<Entry>> ApplySteps(
+std::optional<std::vector<Entry>> ApplyListDelta(
     const std::vector<Entry>& old_entries,
-    const std::vector<ListStep<Entry>>& steps,
+    const std::vector<ListDeltaStep<Entry>>& steps,
     std::uint64_t digest) {
   std::vector<Entry> entries;
-  for (const ListStep<Entry>& step : steps) {
+  for (const ListDeltaStep<Entry>& step : steps) {
     const bool has_places = step.first <= old_entries.size() &&
                             step.count <= old_entries.size() - step.first;
     if (!has_places) {
@@ -96,7 +97,7 @@
     entries.insert(entries.end(), from, from + step.count);
     entries.insert(entries.end(), step.added.begin(), step.added.end());
   }
-  if (DigestOf(MarksOf(entries)) != digest) {
+  if (DigestOf(ContentHashes(entries)) != digest) {
     return std::nullopt;
   }
   return entries;
--- a/include/pathcleat/routing/pick.hpp
+++ b/include/pathcleat/routing/pick.hpp
@@ -25,10 +25,10 @@
   std::uint64_t key = 0;  ///< hash of its affinity key, or of its id
   bool sticky = false;    ///< whether key tells where it is served quickly
   Duration time_left{0};
-  Duration caller_deadline{0};     ///< that the caller sent with it
+  Duration caller_timeout{0};      ///< that the caller sent with it
   std::set<std::string> excluded;  ///< ids already tried
   VersionRulePtr versions;         ///< where it may go; null: to any
-  double caller_position = 0;      ///< of the caller in shifts, in [0, 1)
+  double shift_position = 0;       ///< of the caller in shifts, in [0, 1)
 
   Urgency urgency() const {
     const auto of_account = account ? account->priority : std::nullopt;
@@ -43,9 +43,9 @@
   }
 
   /// @brief Until its caller gives up; a route may hold it for less.
-  Duration CallerLeft() const {
-    const Duration allowed = std::min(route->timeout, caller_deadline);
-    return caller_deadline - (allowed - time_left);
+  Duration CallerTimeLeft() const {
+    const Duration allowed = std::min(route->timeout, caller_timeout);
+    return caller_timeout - (allowed - time_left);
   }
 
  private:
@@ -78,13 +78,14 @@
 struct Pick {
   UpstreamPtr upstream;  ///< null: see failure
   PickFailure failure = PickFailure::kNone;
-  Duration expected{0};     ///< until the answer
-  Duration wait{0};         ///< of it, before a slot is free
-  Duration if_cold{0};      ///< until the answer, where its key is new
+  Duration expected{0};  ///< until the answer
+  Duration wait{0};      ///< of it, before a slot is free
+  Duration expected_latency_if_cold{
+      0};                   ///< until the answer, where its key is new
   Duration retry_after{0};  ///< of a failure: when there may be room
   bool warm = false;
-  WarmthSign sign;  ///< of the upstream for the key
-  bool left_region = false;
+  WarmthEvidence sign;  ///< of the upstream for the key
+  bool leaves_region = false;
   int candidates = 0;
   int passed_over = 0;  ///< upstreams whose bounded rate had no room
 };
--- a/include/pathcleat/routing/rate_share.hpp
+++ b/include/pathcleat/routing/rate_share.hpp
@@ -17,7 +17,7 @@
   double slack = 0;       ///< requests more in any one window
 
   /// @brief The bound that keeps both.
-  RateBound Lower(const RateBound& other) const {
+  RateBound MinWith(const RateBound& other) const {
     return {std::min(per_second, other.per_second),
             std::min(slack, other.slack)};
   }
@@ -49,7 +49,7 @@
   /// @brief How many hosts the fleet may have, this one and those that may be
   /// cut off from here included. Without most of them this part of the fleet
   /// takes no more than its part of a bound: another one may send as well.
-  void SetKnown(int hosts) { known_ = hosts; }
+  void SetFleetSize(int hosts) { known_ = hosts; }
 
   /// @brief Requests a second that this host may send to an upstream.
   /// @return 0 if the sending is left to others.
--- a/include/pathcleat/routing/region_shares.hpp
+++ b/include/pathcleat/routing/region_shares.hpp
@@ -11,7 +11,7 @@
 
 /// @brief What a region has of a service, as all hosts see it alike.
 /// @ingroup routing
-struct RegionRoom {
+struct RegionCapacity {
   double slots = 0;  ///< of its open upstreams
   int hosts = 0;     ///< entry hosts alive in it; callers spread over them
   double bound = 0;  ///< part of the slots taken by what may run nowhere else
@@ -31,7 +31,7 @@
       : own_region_(std::move(own_region)), keeps_home_(keeps_home) {}
 
   /// @brief Reckons the shares anew; called a few times a second.
-  void Update(const std::map<std::string, RegionRoom>& regions);
+  void Update(const std::map<std::string, RegionCapacity>& regions);
 
   /// @brief Part of the own region's keys for which it has slots, in [0, 1].
   double HomeShare() const { return home_share_; }
--- a/include/pathcleat/routing/route.hpp
+++ b/include/pathcleat/routing/route.hpp
@@ -27,7 +27,7 @@
   bool large_answers = false;
   bool sticky = false;  ///< requests of one affinity key go together
   /// Callers must hold a key of a client account, where there are accounts.
-  bool needs_key = true;
+  bool needs_account_key = true;
   int priority = 0;      ///< 0 is the most urgent
   int max_attempts = 1;  ///< most upstreams that one request may go to
   Duration timeout{5'000'000};
--- a/include/pathcleat/routing/route_table.hpp
+++ b/include/pathcleat/routing/route_table.hpp
@@ -21,7 +21,7 @@
   /// @return false, and nothing changed, if it is not newer.
   bool Adopt(RoutingConfig config);
 
-  bool IsKnown() const { return config_ != nullptr; }
+  bool IsLoaded() const { return config_ != nullptr; }
   std::uint64_t version() const { return config_ ? config_->version : 0; }
   const RoutingConfig& config() const { return *config_; }
 
--- a/include/pathcleat/routing/shift_table.hpp
+++ b/include/pathcleat/routing/shift_table.hpp
@@ -18,7 +18,7 @@
   double fraction = 0;
   std::uint64_t offered = 0;  ///< requests of the place, at this host
   std::uint64_t moved = 0;    ///< of these, sent elsewhere
-  PaceStep step = PaceStep::kHeldOldData;
+  RampDecision step = RampDecision::kHeldStaleData;
 };
 
 /// @brief The shifts in force, as they concern this host: those that lead
@@ -27,8 +27,9 @@
 class ShiftTable {
  public:
   /// @brief Tells the state of a shift's target region.
-  using TargetReader = std::function<TargetState(const std::string& service,
-                                                 const std::string& region)>;
+  using TargetReader =
+      std::function<ShiftTargetState(const std::string& service,
+                                     const std::string& region)>;
   /// @brief Told of each change of a shift's pace.
   using StepObserver = std::function<void(const ShiftStatus&)>;
 
--- a/include/pathcleat/routing/upstream.hpp
+++ b/include/pathcleat/routing/upstream.hpp
@@ -36,15 +36,17 @@
   std::uint64_t passed_over = 0;  ///< requests that its share had no room for
   std::uint64_t turned_away = 0;  ///< requests that it said it did not run
   Slowness slowness;
-  std::optional<Time> lapse_ends;  ///< its entry is gone; it may come back
-  Time open_from;                  ///< no requests before
-  bool removed = false;            ///< off the list; requests under way go on
+  std::optional<Time> lapse_deadline;  ///< its entry is gone; it may come back
+  Time open_from;                      ///< no requests before
+  bool removed = false;  ///< off the list; requests under way go on
 
   bool IsCold(Time now) const { return now < cold_until; }
 
   /// @brief Whether all hosts together may send it requests at a bounded rate
   /// alone, this host at that of its share.
-  bool IsBounded(Time now) const { return IsCold(now) || limit.IsInForce(now); }
+  bool IsRateBounded(Time now) const {
+    return IsCold(now) || limit.IsInForce(now);
+  }
 
   /// @brief Slots that requests can use: fewer than it has while it names a
   /// limit.
--- a/include/pathcleat/routing/upstream_health.hpp
+++ b/include/pathcleat/routing/upstream_health.hpp
@@ -22,7 +22,7 @@
   void OnEnded() { --under_way_; }
 
   /// @brief A request that was taken as ended is counted again.
-  void OnTakenBack() { ++under_way_; }
+  void OnEndReverted() { ++under_way_; }
 
   /// @brief It gave an answer of any kind.
   void OnHeard(Time now) {
@@ -48,7 +48,7 @@
   }
 
   /// @brief When it is tried again, if it is left alone for its failures.
-  std::optional<Time> RetriedAt() const {
+  std::optional<Time> RetryTime() const {
     return IsSuspect() ? std::optional(retry_at_) : std::nullopt;
   }
 
--- a/include/pathcleat/routing/upstream_info.hpp
+++ b/include/pathcleat/routing/upstream_info.hpp
@@ -18,7 +18,7 @@
   std::string version;  ///< of its software
   /// When it started, by its own clock, in milliseconds since the epoch. One
   /// that starts again may keep its id, and knows nothing of before. 0: untold.
-  std::uint64_t born = 0;
+  std::uint64_t started_ms = 0;
   int slots = 1;
   bool leaving = false;
   Duration cold_for{0};  ///< how much longer it bears little, when it was told
--- a/include/pathcleat/routing/upstream_limit.hpp
+++ b/include/pathcleat/routing/upstream_limit.hpp
@@ -12,7 +12,7 @@
 /// @brief What an answer showed of the requests a second that an upstream takes
 /// from all hosts together.
 /// @ingroup routing
-struct LimitSign {
+struct LimitObservation {
   std::optional<double> per_second;  ///< nothing: it names no limit
   Time at;                           ///< when that was known to hold
   std::string host;                  ///< that got the answer
@@ -23,7 +23,7 @@
 /// @ingroup routing
 enum class LimitChange {
   kNone,     ///< nothing, or an older sign than is known
-  kNamed,    ///< a limit holds that did not before
+  kStarted,  ///< a limit holds that did not before
   kChanged,  ///< another limit holds
   kEnded,    ///< none holds any more
 };
@@ -44,24 +44,24 @@
 
   /// @brief Takes what is newer than what is known.
   /// @return whether it was newer.
-  bool Take(const LimitSign& sign);
+  bool Take(const LimitObservation& sign);
 
   /// @brief Whether a limit binds.
   bool IsInForce(Time now) const;
 
   /// @brief Whether a request should go there to learn whether it still binds.
-  bool IsToBeAsked(Time now) const;
+  bool ShouldProbe(Time now) const;
 
   /// @brief Requests a second that all hosts may send now.
   double PerSecond(Time now) const;
 
   /// @brief The newest sign; null if nothing was ever told.
-  const LimitSign* sign() const { return sign_.get(); }
+  const LimitObservation* sign() const { return sign_.get(); }
 
  private:
   double capacity_ = 0;
   /// Few of the thousands of upstreams that a host knows ever name a limit.
-  std::shared_ptr<const LimitSign> sign_;
+  std::shared_ptr<const LimitObservation> sign_;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/routing/upstream_load.hpp
+++ b/include/pathcleat/routing/upstream_load.hpp
@@ -26,11 +26,11 @@
  public:
   /// @brief Whether the usual load by others is remembered once a report has
   /// grown old; without it, no load is assumed.
-  void RememberUsual(bool remember) { remember_usual_ = remember; }
+  void SetRememberUsual(bool remember) { remember_usual_ = remember; }
 
   /// @brief Takes a part in an average over upstreams, which is assumed where
   /// this one's reports have grown old.
-  void ShareAverage(std::shared_ptr<AverageLoad> average) {
+  void SetSharedAverage(std::shared_ptr<AverageLoad> average) {
     average_ = std::move(average);
   }
 
--- a/include/pathcleat/routing/upstream_picker.hpp
+++ b/include/pathcleat/routing/upstream_picker.hpp
@@ -27,8 +27,8 @@
   std::string domain;
   std::string region;
   /// Cost of a gigabyte, in worths of one answer.
-  double domain_gigabyte_cost = 0;
-  double region_gigabyte_cost = 0;
+  double cross_domain_cost_per_gigabyte = 0;
+  double cross_region_cost_per_gigabyte = 0;
   /// Most requests in flight from this region to others, by region.
   std::map<std::string, int> link_limits;
   PolicySwitches policy;
@@ -36,7 +36,7 @@
 
 /// @brief What an answer tells of its run.
 /// @ingroup routing
-struct AnswerFacts {
+struct AnswerMeasurements {
   Duration took{0};       ///< from sending to the answer's last byte
   std::size_t bytes = 0;  ///< of its body
   bool queued = false;    ///< requests waited at the upstream
@@ -58,16 +58,16 @@
   Duration ReturnAfter(const PickRequest& request, const Pick& next, Time now);
 
   /// @brief What is known of a region's upstreams of a service.
-  TargetState StateOf(const std::string& service,
-                      const std::string& region,
-                      Time now) const;
+  ShiftTargetState StateOf(const std::string& service,
+                           const std::string& region,
+                           Time now) const;
 
   /// @brief Entry hosts alive, by region.
   void SetHosts(std::map<std::string, int> hosts) { hosts_ = std::move(hosts); }
 
   /// @brief Requests a second of client accounts that may run nowhere else, by
   /// region. Call a few times a second.
-  void SetBoundDemand(const std::map<std::string, double>& per_second) {
+  void SetPinnedDemand(const std::map<std::string, double>& per_second) {
     bound_.SetDemand(per_second);
   }
 
@@ -92,7 +92,7 @@
   void OnAnswer(UpstreamState& upstream,
                 const PickRequest& request,
                 const Pick& pick,
-                const AnswerFacts& facts,
+                const AnswerMeasurements& facts,
                 Time now);
 
  private:
--- a/include/pathcleat/routing/upstream_table.hpp
+++ b/include/pathcleat/routing/upstream_table.hpp
@@ -39,17 +39,17 @@
   bool Lapse(const std::string& id, Time until);
 
   /// @brief Stops or resumes new requests to a failure domain.
-  void SetDrained(const std::string& domain, bool drained);
+  void SetDomainDrained(const std::string& domain, bool drained);
   const std::set<std::string>& drained_domains() const { return drained_; }
 
   /// @brief The upstreams and regions that operators have drained.
-  void SetDrains(std::set<std::string> upstreams,
-                 std::set<std::string> regions);
+  void SetOperatorDrains(std::set<std::string> upstreams,
+                         std::set<std::string> regions);
 
   /// @brief Takes what was heard of the limit that an upstream names.
-  LimitChange TakeLimit(const UpstreamPtr& upstream,
-                        const LimitSign& sign,
-                        Time now);
+  LimitChange UpdateLimit(const UpstreamPtr& upstream,
+                          const LimitObservation& sign,
+                          Time now);
 
   /// @brief The listed upstream of an id; null if there is none.
   UpstreamPtr Find(const std::string& id) const;
@@ -59,7 +59,7 @@
 
   /// @brief Upstreams whose rate may be bounded. Few are, so that looking after
   /// them several times a second does not grow with the list.
-  const std::vector<UpstreamPtr>& MaybeBounded(Time now);
+  const std::vector<UpstreamPtr>& MaybeRateBounded(Time now);
 
   /// @brief Upstreams whose entries have lapsed.
   std::vector<UpstreamPtr> Lapsed() const;
--- a/include/pathcleat/routing/urgency_ledger.hpp
+++ b/include/pathcleat/routing/urgency_ledger.hpp
@@ -12,8 +12,8 @@
 /// @brief Which of two requests goes first; the lower one.
 /// @ingroup routing
 struct Urgency {
-  int of_caller = 0;  ///< its account's priority, where it has one
-  int of_route = 0;   ///< decides among callers that are alike
+  int account_priority = 0;  ///< its account's priority, where it has one
+  int route_priority = 0;    ///< decides among callers that are alike
 
   auto operator<=>(const Urgency&) const = default;
 };
@@ -31,7 +31,7 @@
   void OnSent(const std::string& kind, Time now);
 
   /// @brief Whether the kind is sent on more often than a more urgent one.
-  bool IsAhead(const std::string& kind, Time now) const;
+  bool IsOverServed(const std::string& kind, Time now) const;
 
  private:
   struct Counts {
--- a/include/pathcleat/routing/version_filter.hpp
+++ b/include/pathcleat/routing/version_filter.hpp
@@ -11,6 +11,7 @@
 /// @brief Leaves the candidates to which a rule on versions lets a request go;
 /// that may be none, also where others could serve it.
 /// @ingroup routing
-void KeepVersions(std::vector<Candidate>& candidates, const VersionRule& rule);
+void FilterByVersion(std::vector<Candidate>& candidates,
+                     const VersionRule& rule);
 
 }  // namespace pathcleat
--- a/include/pathcleat/routing/warmth.hpp
+++ b/include/pathcleat/routing/warmth.hpp
@@ -12,7 +12,7 @@
 /// @brief Why an upstream may be quick at a key: this host has sent the key
 /// there itself, or others are likely to have, as they rank it alike.
 /// @ingroup routing
-struct WarmthSign {
+struct WarmthEvidence {
   bool sent = false;     ///< by this host, lately
   std::size_t rank = 0;  ///< of the upstream for the key; 0 is the nearest
 };
@@ -27,15 +27,15 @@
   explicit Warmth(Duration target_latency, bool learns = true);
 
   /// @brief Probability that it is quick.
-  double Probability(const WarmthSign& sign) const;
+  double Probability(const WarmthEvidence& sign) const;
 
   /// @brief A run that nothing waited for took this long on an upstream of
   /// usual speed.
   /// @return whether it was quick.
-  bool OnRun(const WarmthSign& sign, Duration run);
+  bool OnRun(const WarmthEvidence& sign, Duration run);
 
   /// @brief Whether a run on an upstream of usual speed is a quick one.
-  bool IsQuick(Duration run) const;
+  bool IsWarmRun(Duration run) const;
 
   /// @brief Run time of a quick or of a slow run.
   Duration RunTime(bool quick) const {
@@ -49,7 +49,7 @@
     double all;
   };
 
-  Chance& ChanceOf(const WarmthSign& sign);
+  Chance& ChanceOf(const WarmthEvidence& sign);
   void Count(Chance& chance, bool quick);
 
   bool learns_;
--- a/include/pathcleat/settings/deployment.hpp
+++ b/include/pathcleat/settings/deployment.hpp
@@ -29,7 +29,7 @@
 
 /// @brief A seat: the place of one entry host, whichever process fills it.
 /// @ingroup settings
-struct Seat {
+struct EntryHost {
   std::string name;
   DomainIndex domain;
   std::string address;
@@ -89,7 +89,7 @@
   std::string name;
   std::vector<Region> regions;
   std::vector<FailureDomain> domains;
-  std::vector<Seat> seats;
+  std::vector<EntryHost> hosts;
   std::vector<Service> services;
   std::vector<Upstream> upstreams;
   std::vector<Link> links;
@@ -100,24 +100,24 @@
   Duration latency_between_regions{35'000};
 
   RegionIndex RegionOf(DomainIndex domain) const;
-  RegionIndex RegionOf(SeatIndex seat) const;
+  RegionIndex RegionOf(HostIndex seat) const;
 
   /// @brief One-way latency between two failure domains.
   Duration Latency(DomainIndex from, DomainIndex to) const;
 
   /// @brief All seats of a failure domain, in order.
-  std::vector<SeatIndex> SeatsIn(DomainIndex domain) const;
+  std::vector<HostIndex> HostsIn(DomainIndex domain) const;
 
   /// @brief The longest deadline any kind of request may have.
-  Duration LongestDeadline() const;
+  Duration MaxDeadline() const;
 
-  std::optional<SeatIndex> FindSeat(std::string_view name) const;
+  std::optional<HostIndex> FindHost(std::string_view name) const;
   std::optional<RegionIndex> FindRegion(std::string_view name) const;
   std::optional<DomainIndex> FindDomain(std::string_view name) const;
   std::optional<ServiceIndex> FindService(std::string_view name) const;
   std::optional<UpstreamIndex> FindUpstream(std::string_view name) const;
 
-  const Seat& At(SeatIndex index) const { return seats[index.value]; }
+  const EntryHost& At(HostIndex index) const { return hosts[index.value]; }
   const Region& At(RegionIndex index) const { return regions[index.value]; }
   const FailureDomain& At(DomainIndex i) const { return domains[i.value]; }
   const Service& At(ServiceIndex index) const { return services[index.value]; }
--- a/include/pathcleat/settings/entry_settings.hpp
+++ b/include/pathcleat/settings/entry_settings.hpp
@@ -43,7 +43,7 @@
 
 /// @brief Cost of carrying a gigabyte, in worths of one answer.
 /// @ingroup settings
-struct CarryingCosts {
+struct TransferCosts {
   double between_domains = 0;
   double between_regions = 0;
 };
@@ -77,7 +77,7 @@
   /// for others only if none is wider.
   double link_mbps = 10;
   FleetBounds bounds;
-  CarryingCosts costs;
+  TransferCosts costs;
   RequestLogSettings request_log;
   PolicySwitches policy;  ///< mechanisms switched off, for measurements
   std::map<std::string, int> link_limits;  ///< in flight, by other region
--- a/include/pathcleat/steer/block_table.hpp
+++ b/include/pathcleat/steer/block_table.hpp
@@ -11,7 +11,7 @@
 /// @brief One row of the table: addresses from first_address up to the next
 /// row's belong to a site.
 /// @ingroup steer
-struct BlockRow {
+struct ClientBlockRow {
   std::uint32_t first_address = 0;
   std::uint16_t site = 0;
 };
@@ -26,7 +26,7 @@
  public:
   /// @param rows sorted by first_address, without repeats; an address before
   /// the first row belongs to site 0.
-  explicit BlockTable(const std::vector<BlockRow>& rows);
+  explicit BlockTable(const std::vector<ClientBlockRow>& rows);
 
   /// @brief Site of an address.
   std::uint16_t Find(std::uint32_t address) const;
--- a/include/pathcleat/steer/config_change.hpp
+++ b/include/pathcleat/steer/config_change.hpp
@@ -60,7 +60,7 @@
 
 /// @brief Maps a block of client addresses to the region nearest to it.
 /// @ingroup steer
-struct AssignBlock {
+struct AssignClientBlock {
   std::uint32_t first_address = 0;
   std::uint8_t prefix_length = 32;
   std::string region;
@@ -75,7 +75,7 @@
                                      SetRegionDrain,
                                      StartShift,
                                      StopShift,
-                                     AssignBlock,
+                                     AssignClientBlock,
                                      RolloutStep>;
 
 /// @brief One accepted change of the configuration.
--- a/include/pathcleat/steer/config_log.hpp
+++ b/include/pathcleat/steer/config_log.hpp
@@ -37,7 +37,7 @@
                                          std::size_t most) const;
 
   /// @brief Whether a peer at this version can be served by changes.
-  bool Covers(std::uint64_t version) const;
+  bool CanReplayFrom(std::uint64_t version) const;
 
  private:
   std::size_t kept_changes_;
--- a/include/pathcleat/steer/config_state.hpp
+++ b/include/pathcleat/steer/config_state.hpp
@@ -19,8 +19,8 @@
   std::set<std::string> drained_upstreams;
   std::set<std::string> drained_regions;
   std::map<std::pair<std::string, std::string>, ShiftPlan>
-      shifts;                       ///< by service and region left
-  std::vector<AssignBlock> blocks;  ///< in order; later ones win
+      shifts;                             ///< by service and region left
+  std::vector<AssignClientBlock> blocks;  ///< in order; later ones win
   RolloutStates rollouts;
 
   template <class Archive>
--- a/include/pathcleat/steer/key_claim.hpp
+++ b/include/pathcleat/steer/key_claim.hpp
@@ -33,7 +33,7 @@
   kPut,             ///< write the claim if there is no row
   kRead,            ///< read the row
   kRun,             ///< the key is this request's: run it, once
-  kAnswerKept,      ///< give the kept answer
+  kReplayAnswer,    ///< give the kept answer
   kAnswerRunning,   ///< say that it is still running
   kAnswerUnknown,   ///< say that it may have run
   kAnswerMismatch,  ///< the key was used for another request
--- a/include/pathcleat/steer/retry_budget.hpp
+++ b/include/pathcleat/steer/retry_budget.hpp
@@ -20,7 +20,7 @@
   void SetBurst(double burst);
 
   /// @brief Takes one retry, if there is one.
-  bool TryRetry();
+  bool TryAcquire();
 
   /// @brief Retries taken since the start.
   std::uint64_t taken() const { return taken_; }
--- a/include/pathcleat/steer/shift.hpp
+++ b/include/pathcleat/steer/shift.hpp
@@ -33,7 +33,7 @@
 
 /// @brief What is known of a shift's target when its pace is decided.
 /// @ingroup steer
-struct TargetState {
+struct ShiftTargetState {
   double headroom = 0;  ///< free share of the target's slots, 0 to 1
   Duration latency{0};  ///< typical latency there
   Duration age{0};      ///< how old this knowledge is
@@ -41,17 +41,17 @@
 
 /// @brief Result of a pace decision.
 /// @ingroup steer
-enum class PaceStep {
+enum class RampDecision {
   kAdvanced,
-  kHeldOldData,
-  kHeldHeadroom,
-  kHeldLatency,
+  kHeldStaleData,
+  kHeldLowHeadroom,
+  kHeldHighLatency,
   kAtCap,
 };
 
 /// @brief Stable text of a pace step.
 /// @ingroup steer
-const char* ToString(PaceStep step);
+const char* ToString(RampDecision step);
 
 /// @brief Applies one shift at one host. The promise "moved <= cap x offered"
 /// holds at every prefix of this host's own count, so it holds for the sum
@@ -69,22 +69,22 @@
   /// @brief Whether this caller is among those moved at the present pace.
   /// Callers are ordered by hash, so those moved first stay moved.
   /// @param caller_hash position of the caller in [0, 1).
-  bool WantsMove(double caller_hash) const { return caller_hash < fraction_; }
+  bool ShouldMove(double caller_hash) const { return caller_hash < fraction_; }
 
   /// @brief Counts one send away from the place, if the cap allows it. Every
   /// such send counts: shifted, spilled or retried.
   bool TryMove();
 
   /// @brief Decides the pace; call about once a second.
-  PaceStep Advance(const TargetState& target, Time now);
+  RampDecision Advance(const ShiftTargetState& target, Time now);
 
   double fraction() const { return fraction_; }
   std::uint64_t offered() const { return offered_; }
   std::uint64_t moved() const { return moved_; }
-  PaceStep last_step() const { return last_step_; }
+  RampDecision last_decision() const { return last_step_; }
 
  private:
-  PaceStep Decide(const TargetState& target, Time now);
+  RampDecision Decide(const ShiftTargetState& target, Time now);
 
   ShiftPlan plan_;
   Time last_advance_;
@@ -92,7 +92,7 @@
   double fraction_ = 0;
   std::uint64_t offered_ = 0;
   std::uint64_t moved_ = 0;
-  PaceStep last_step_ = PaceStep::kHeldOldData;
+  RampDecision last_step_ = RampDecision::kHeldStaleData;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/steer/token_bucket.hpp
+++ b/include/pathcleat/steer/token_bucket.hpp
@@ -17,16 +17,17 @@
   TokenBucket(double per_second, double burst);
 
   /// @brief Takes one call, if the rate allows it now.
-  bool TryTake(Time now);
+  bool TryAcquire(Time now);
 
   /// @brief Gives back one call that was taken and not made.
-  void GiveBack(Time now);
+  void Release(Time now);
 
-  /// @brief Whether TryTake would take one now.
-  bool CanTake(Time now) const;
+  /// @brief Whether TryAcquire would take one now.
+  bool CanAcquire(Time now) const;
 
-  /// @brief How long until TryTake would take one; nothing: not by this rate.
-  std::optional<Duration> TakesIn(Time now) const;
+  /// @brief How long until TryAcquire would take one; nothing: not by this
+  /// rate.
+  std::optional<Duration> TimeUntilAvailable(Time now) const;
 
   double per_second() const { return per_second_; }
 
--- a/include/pathcleat/store/read_row.hpp
+++ b/include/pathcleat/store/read_row.hpp
@@ -10,7 +10,7 @@
 
 /// @brief Answer to reading one row; its version is 0 if there is none.
 /// @ingroup store
-struct RowRead {
+struct RowReadResult {
   StoreOutcome outcome = StoreOutcome::kNotDone;
   TableRow row;
 };
@@ -19,6 +19,6 @@
 /// @ingroup store
 void ReadRow(TableStore& store,
              const std::string& key,
-             std::function<void(RowRead)> callback);
+             std::function<void(RowReadResult)> callback);
 
 }  // namespace pathcleat
--- a/include/pathcleat/store/rollout_status.hpp
+++ b/include/pathcleat/store/rollout_status.hpp
@@ -26,7 +26,7 @@
 
 /// @brief What stands there; its version is 0 if there is nothing.
 /// @ingroup store
-struct RolloutStatusRead {
+struct RolloutStatusReadResult {
   StoreOutcome outcome = StoreOutcome::kNotDone;
   std::uint64_t version = 0;  ///< of the row
   RolloutStatus status;       ///< without a service: not readable
@@ -40,12 +40,12 @@
   virtual ~RolloutStatusStore() = default;
 
   virtual void Read(const std::string& service,
-                    std::function<void(RolloutStatusRead)> callback) = 0;
+                    std::function<void(RolloutStatusReadResult)> callback) = 0;
 
   /// @brief Writes if the row is at the expected version (0: is not there).
   virtual void Write(const RolloutStatus& status,
                      std::uint64_t expected_version,
-                     std::function<void(TableWrite)> callback) = 0;
+                     std::function<void(TableWriteResult)> callback) = 0;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/store/table_store.hpp
+++ b/include/pathcleat/store/table_store.hpp
@@ -20,7 +20,7 @@
 
 /// @brief Answer to a scan; rows in order of their keys.
 /// @ingroup store
-struct TableScan {
+struct TableScanResult {
   StoreOutcome outcome = StoreOutcome::kNotDone;
   std::vector<TableRow> rows;
   bool more = false;  ///< the rest follows the last row
@@ -28,7 +28,7 @@
 
 /// @brief Answer to a write.
 /// @ingroup store
-struct TableWrite {
+struct TableWriteResult {
   StoreOutcome outcome = StoreOutcome::kNotDone;
   std::uint64_t version = 0;  ///< of the row, for kDone
 };
@@ -45,23 +45,23 @@
   virtual void Scan(const std::string& from,
                     const std::string& until,
                     int most,
-                    std::function<void(TableScan)> callback) = 0;
+                    std::function<void(TableScanResult)> callback) = 0;
 
   /// @brief Writes if the row is at the expected version (0: is not there).
   virtual void Write(const std::string& key,
                      std::uint64_t expected_version,
                      const std::string& value,
-                     std::function<void(TableWrite)> callback) = 0;
+                     std::function<void(TableWriteResult)> callback) = 0;
 
   /// @brief Writes whatever is there.
   virtual void Overwrite(const std::string& key,
                          const std::string& value,
-                         std::function<void(TableWrite)> callback) = 0;
+                         std::function<void(TableWriteResult)> callback) = 0;
 
   /// @brief Deletes if the row is at the expected version.
   virtual void Delete(const std::string& key,
                       std::uint64_t expected_version,
-                      std::function<void(TableWrite)> callback) = 0;
+                      std::function<void(TableWriteResult)> callback) = 0;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/store/transfer.hpp
+++ b/include/pathcleat/store/transfer.hpp
@@ -14,7 +14,7 @@
   std::string from;         ///< "store", or the host that answered
   std::uint64_t bytes = 0;  ///< of the answer's body
   Duration took{0};         ///< from its first byte to its last
-  Duration decoding{0};     ///< until it could be used
+  Duration decode_time{0};  ///< until it could be used
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/telemetry/account_stats.hpp
+++ b/include/pathcleat/telemetry/account_stats.hpp
@@ -23,7 +23,7 @@
  public:
   using Row = std::pair<std::string, AccountCounts>;
 
-  void OnTaken(const std::string& account);
+  void OnAccepted(const std::string& account);
   void OnOverLimit(const std::string& account);
 
   /// @brief The counts of one account; zero if nothing came.
@@ -31,7 +31,7 @@
 
   /// @brief The accounts with the most requests and with the most refusals, a
   /// few of each: as many as a page of metrics should name.
-  std::vector<Row> Foremost() const;
+  std::vector<Row> TopAccounts() const;
 
   /// @brief Requests of accounts beyond the number that is counted.
   std::uint64_t uncounted() const { return uncounted_; }
--- a/include/pathcleat/telemetry/metrics.hpp
+++ b/include/pathcleat/telemetry/metrics.hpp
@@ -26,14 +26,14 @@
 
 /// @brief What becomes of the work of a caller that leaves before its answer.
 /// @ingroup telemetry
-enum class WorkLeft {
+enum class AbandonedWork {
   kNotStarted,  ///< no byte of it had been sent to an upstream
   kCancelled,   ///< its upstream was told, by the end of the connection
   kRunsOn,      ///< it may not be repeated and its upstream has it whole
 };
 
 /// @brief Name of what becomes of it, as in the metrics.
-const char* ToString(WorkLeft work);
+const char* ToString(AbandonedWork work);
 
 /// @brief Counts and latencies of answered requests by service and kind
 /// (Boost.Accumulators; quantiles by the extended P-square estimate).
@@ -46,14 +46,14 @@
   void OnRefused(const std::string& reason) { ++refusals_[reason]; }
 
   /// @brief An upstream has ended under a request of this host.
-  void OnEndedUnder() { ++ended_under_; }
-  std::uint64_t ended_under() const { return ended_under_; }
+  void OnUpstreamCrashed() { ++ended_under_; }
+  std::uint64_t upstream_crashes() const { return ended_under_; }
 
   /// @brief A caller left before its answer.
-  void OnCallerLeft(WorkLeft work) { ++callers_left_[work]; }
+  void OnCallerLeft(AbandonedWork work) { ++callers_left_[work]; }
 
   /// @brief This host ended an exchange that its upstream may be at work on.
-  void OnBrokenOff(BreakCause cause) { ++broken_off_[cause]; }
+  void OnAborted(AbortCause cause) { ++broken_off_[cause]; }
 
   /// @brief A request was sent where it was expected to wait so long.
   void OnSent(Duration wait) { waits_.Add(wait); }
@@ -70,8 +70,8 @@
           boost::accumulators::tag::extended_p_square_quantile>>;
 
   /// @brief Requests of one route.
-  struct KindMetrics {
-    KindMetrics();
+  struct RouteMetrics {
+    RouteMetrics();
     Latency latency;
     Histogram buckets;  ///< of the same latencies
     std::uint64_t answered = 0;
@@ -79,18 +79,18 @@
     std::uint64_t unknown = 0;
   };
 
-  const std::map<std::string, KindMetrics>& kinds() const { return kinds_; }
+  const std::map<std::string, RouteMetrics>& kinds() const { return kinds_; }
   const std::map<std::string, std::uint64_t>& refusals() const {
     return refusals_;
   }
-  const std::map<WorkLeft, std::uint64_t>& callers_left() const {
+  const std::map<AbandonedWork, std::uint64_t>& callers_left() const {
     return callers_left_;
   }
   /// @brief A request was answered with what is known as the host ends.
-  void OnGivenUpAtEnd() { ++given_up_at_end_; }
-  std::uint64_t given_up_at_end() const { return given_up_at_end_; }
+  void OnGivenUpAtShutdown() { ++given_up_at_end_; }
+  std::uint64_t given_up_at_shutdown() const { return given_up_at_end_; }
 
-  const std::map<BreakCause, std::uint64_t>& broken_off() const {
+  const std::map<AbortCause, std::uint64_t>& aborted() const {
     return broken_off_;
   }
   const Histogram& waits() const { return waits_; }
@@ -98,11 +98,11 @@
  private:
   std::map<std::string, std::uint64_t> refusals_;  ///< by reason
   std::uint64_t ended_under_ = 0;
-  std::map<WorkLeft, std::uint64_t> callers_left_;
-  std::map<BreakCause, std::uint64_t> broken_off_;
+  std::map<AbandonedWork, std::uint64_t> callers_left_;
+  std::map<AbortCause, std::uint64_t> broken_off_;
   std::uint64_t given_up_at_end_ = 0;
   Histogram waits_;
-  std::map<std::string, KindMetrics> kinds_;
+  std::map<std::string, RouteMetrics> kinds_;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/telemetry/request_log.hpp
+++ b/include/pathcleat/telemetry/request_log.hpp
@@ -28,7 +28,7 @@
               Time now);
 
   /// @brief Requests that failed and were not logged, for their number.
-  std::uint64_t left_out() const { return left_out_; }
+  std::uint64_t suppressed_failures() const { return left_out_; }
 
   /// @brief Whether a request's events are logged when it goes well.
   bool IsSampled(const std::string& request_id) const;
--- a/src/pathcleat/accounts/account.cpp
+++ b/src/pathcleat/accounts/account.cpp
@@ -17,7 +17,7 @@
   return number >= 0 && number <= kMostPerSecond;
 }
 
-std::string_view TextOf(const KeyDigest& digest) {
+std::string_view TextOf(const KeyedDigest& digest) {
   return {reinterpret_cast<const char*>(digest.data()), digest.size()};
 }
 
@@ -31,7 +31,7 @@
   FieldHash mark;
   mark.Add(account.name);
   mark.Add(account.keys.size());
-  for (const KeyDigest& key : account.keys) {
+  for (const KeyedDigest& key : account.keys) {
     mark.Add(TextOf(key));
   }
   mark.Add(account.priority.has_value());
@@ -45,9 +45,10 @@
   return mark.hash();
 }
 
-std::optional<std::string> FaultIn(const std::vector<Account>& accounts) {
+std::optional<std::string> ValidateAccounts(
+    const std::vector<Account>& accounts) {
   std::set<std::string_view> names;
-  std::set<KeyDigest> keys;
+  std::set<KeyedDigest> keys;
   for (const Account& account : accounts) {
     if (account.name.empty()) {
       return "an account has no name";
@@ -60,7 +61,7 @@
       return "the limit of account '" + account.name +
              "' is below zero or beyond any sense";
     }
-    for (const KeyDigest& key : account.keys) {
+    for (const KeyedDigest& key : account.keys) {
       if (!keys.insert(key).second) {
         return "a key of account '" + account.name + "' stands twice";
       }
--- a/src/pathcleat/accounts/account_meter.cpp
+++ b/src/pathcleat/accounts/account_meter.cpp
@@ -93,7 +93,7 @@
   level_ = std::min(level_, Depth());
 }
 
-double AccountMeter::ShareOf(const FleetState& fleet) const {
+double AccountMeter::HostShare(const QuotaInput& fleet) const {
   const double hosts = std::max(1, fleet.hosts);
   const double weights = fleet.others.weight + told_;
   if (weights <= 0) {
@@ -111,14 +111,14 @@
   return std::max(kLooseShares * share * Depth(), kLooseRequests);
 }
 
-double AccountMeter::DemandOfAll(const FleetState& fleet, Time now) const {
+double AccountMeter::DemandOfAll(const QuotaInput& fleet, Time now) const {
   return fleet.others.demand + demand_.PerSecond(now);
 }
 
 // What all hosts together may take a second now: near the limit the rate, and
 // what is left of the level beside, or less where it was passed.
 // What silent hosts take now is not known, so nothing is left beside then.
-double AccountMeter::RateOfAll(const FleetState& fleet) const {
+double AccountMeter::RateOfAll(const QuotaInput& fleet) const {
   if (!shared_) {
     return limit_.per_second * kLooseRate;
   }
@@ -129,7 +129,7 @@
   return std::max(limit_.per_second * kLeastRate, limit_.per_second + beside);
 }
 
-bool AccountMeter::IsRush(const FleetState& fleet, Time now) const {
+bool AccountMeter::IsRush(const QuotaInput& fleet, Time now) const {
   const double rush = limit_.per_second * kRushFactor +
                       kRushNoise * std::sqrt(limit_.per_second);
   return DemandOfAll(fleet, now) > rush || level_ < kLowLevel * Depth();
@@ -144,7 +144,7 @@
 }
 
 // Requests a second beyond the limit, if the others see what this host sees.
-double AccountMeter::BeyondLimit(const FleetState& fleet, Time now) const {
+double AccountMeter::BeyondLimit(const QuotaInput& fleet, Time now) const {
   const double own = demand_.PerSecond(now);
   const double growth = told_ < 1 ? 1 : std::max(1.0, own / told_);
   return std::max(0.0, fleet.others.demand * growth + own - limit_.per_second);
@@ -153,18 +153,18 @@
 // Spreads hosts evenly over the part of a request that each may take.
 double AccountMeter::NextFraction() {
   random_ = MixHashes(random_, random_ + 1);
-  return UnitOfHash(random_);
+  return ToUnitInterval(random_);
 }
 
-void AccountMeter::Share(const FleetState& fleet, Time now) {
+void AccountMeter::Share(const QuotaInput& fleet, Time now) {
   unseen_ = std::min(Depth(), kToldAfterSeconds * BeyondLimit(fleet, now));
   shared_ = true;
   quiet_since_ = now;
   tokens_ = std::min(tokens_, NextFraction());
 }
 
-void AccountMeter::Advance(const FleetState& fleet, Time now) {
-  const double share = ShareOf(fleet);
+void AccountMeter::Advance(const QuotaInput& fleet, Time now) {
+  const double share = HostShare(fleet);
   if (!started_) {
     started_ = true;
     last_ = now;
@@ -190,7 +190,7 @@
   }
 }
 
-bool AccountMeter::TryTake(const FleetState& fleet, Time now) {
+bool AccountMeter::TryAcquire(const QuotaInput& fleet, Time now) {
   demand_.Add(1, now);
   Advance(fleet, now);
   if (!shared_ && tokens_ < 1) {
@@ -209,26 +209,27 @@
   return true;
 }
 
-void AccountMeter::GiveBack(Time now) {
+void AccountMeter::Release(Time now) {
   tokens_ += 1;
   level_ += 1;
   admitted_.Add(-1, now);
 }
 
-Duration AccountMeter::NextIn(const FleetState& fleet, Time now) const {
+Duration AccountMeter::TimeUntilAvailable(const QuotaInput& fleet,
+                                          Time now) const {
   const double missing = 1 - tokens_;
-  const double rate = ShareOf(fleet) * RateOfAll(fleet);
+  const double rate = HostShare(fleet) * RateOfAll(fleet);
   return missing <= 0 ? Duration::zero()
                       : FromSeconds(missing / rate) - (now - last_);
 }
 
-Duration AccountMeter::Spacing(const FleetState& fleet) const {
-  return FromSeconds(1 / (ShareOf(fleet) * limit_.per_second));
+Duration AccountMeter::MeanInterval(const QuotaInput& fleet) const {
+  return FromSeconds(1 / (HostShare(fleet) * limit_.per_second));
 }
 
 // What was told just before a host fell silent may not have reached it, and
 // rose there as well: the lowest of the time in which it was thought alive.
-AccountUse AccountMeter::Tell(bool has_silent, Time now) {
+AccountUsage AccountMeter::Tell(bool has_silent, Time now) {
   const double demand = demand_.PerSecond(now);
   if (has_silent) {
     told_ = std::min(demand, *std::min_element(recent_.begin(), recent_.end()));
--- a/src/pathcleat/accounts/account_table.cpp
+++ b/src/pathcleat/accounts/account_table.cpp
@@ -10,17 +10,18 @@
   by_key_.clear();
   by_key_.shrink_to_fit();
   for (std::uint32_t i = 0; i < accounts_->size(); ++i) {
-    for (const KeyDigest& key : (*accounts_)[i].keys) {
+    for (const KeyedDigest& key : (*accounts_)[i].keys) {
       by_key_.emplace_back(key, i);
     }
   }
   std::sort(by_key_.begin(), by_key_.end());
 }
 
-std::shared_ptr<const Account> AccountTable::Find(const KeyDigest& key) const {
+std::shared_ptr<const Account> AccountTable::Find(
+    const KeyedDigest& key) const {
   const auto found = std::lower_bound(
       by_key_.begin(), by_key_.end(), key,
-      [](const auto& entry, const KeyDigest& k) { return entry.first < k; });
+      [](const auto& entry, const KeyedDigest& k) { return entry.first < k; });
   if (found == by_key_.end() || found->first != key) {
     return nullptr;
   }
--- a/src/pathcleat/accounts/account_test.cpp
+++ b/src/pathcleat/accounts/account_test.cpp
@@ -13,21 +13,23 @@
 Account Named(const std::string& name, std::uint8_t key) {
   Account account;
   account.name = name;
-  account.keys = {KeyDigest{key}};
+  account.keys = {KeyedDigest{key}};
   return account;
 }
 
 Test(account, what_is_ambiguous_is_refused) {
-  cr_assert_not(FaultIn({Named("a", 1), Named("b", 2)}).has_value());
-  cr_assert(FaultIn({Named("", 1)}).has_value(), "no name");
-  cr_assert(FaultIn({Named("a", 1), Named("a", 2)}).has_value(), "one name");
-  cr_assert(FaultIn({Named("a", 1), Named("b", 1)}).has_value(), "one key");
+  cr_assert_not(ValidateAccounts({Named("a", 1), Named("b", 2)}).has_value());
+  cr_assert(ValidateAccounts({Named("", 1)}).has_value(), "no name");
+  cr_assert(ValidateAccounts({Named("a", 1), Named("a", 2)}).has_value(),
+            "one name");
+  cr_assert(ValidateAccounts({Named("a", 1), Named("b", 1)}).has_value(),
+            "one key");
   for (const double number : {-1.0, 1e12, std::nan("")}) {
     Account account = Named("a", 1);
     account.limit.per_second = number;
-    cr_assert(FaultIn({account}).has_value(), "a rate of %f", number);
+    cr_assert(ValidateAccounts({account}).has_value(), "a rate of %f", number);
     account.limit = {1, number};
-    cr_assert(FaultIn({account}).has_value(), "a burst of %f", number);
+    cr_assert(ValidateAccounts({account}).has_value(), "a burst of %f", number);
   }
 }
 
@@ -35,7 +37,7 @@
   Account account;
   account.name = "a";
   account.limit.burst = 5;
-  cr_assert_not(FaultIn({account}).has_value());
+  cr_assert_not(ValidateAccounts({account}).has_value());
   cr_assert_not(account.limit.IsSet());
 }
 
@@ -44,7 +46,7 @@
   const Account plain = Named("a", 1);
   std::vector<Account> accounts(8, plain);
   accounts[1].name = "b";
-  accounts[2].keys = {KeyDigest{2}};
+  accounts[2].keys = {KeyedDigest{2}};
   accounts[3].keys.clear();
   accounts[4].priority = 0;
   accounts[5].limit.per_second = 1;
@@ -64,10 +66,10 @@
   cr_assert_not(table.IsInForce());
   table.Adopt(std::make_shared<std::vector<Account>>(
       std::vector<Account>{Named("a", 1)}));
-  const auto found = table.Find(KeyDigest{1});
+  const auto found = table.Find(KeyedDigest{1});
   table.Adopt(std::make_shared<std::vector<Account>>());
   cr_assert_eq(found->name, "a");
-  cr_assert_null(table.Find(KeyDigest{1}).get());
+  cr_assert_null(table.Find(KeyedDigest{1}).get());
   cr_assert_not(table.IsInForce());
 }
 
--- a/src/pathcleat/accounts/caller_identity.cpp
+++ b/src/pathcleat/accounts/caller_identity.cpp
@@ -32,17 +32,17 @@
 
 }  // namespace
 
-const char* ReasonOf(KeyFault fault) {
+const char* ReasonOf(ApiKeyFault fault) {
   switch (fault) {
-    case KeyFault::kNone:
+    case ApiKeyFault::kNone:
       return "none";
-    case KeyFault::kMissing:
+    case ApiKeyFault::kMissing:
       return "key_missing";
-    case KeyFault::kRepeated:
+    case ApiKeyFault::kRepeated:
       return "key_repeated";
-    case KeyFault::kMalformed:
+    case ApiKeyFault::kMalformed:
       return "key_malformed";
-    case KeyFault::kUnknown:
+    case ApiKeyFault::kUnknown:
       return "key_unknown";
   }
   return "none";
@@ -57,22 +57,22 @@
       continue;
     }
     if (field != nullptr) {
-      return {nullptr, KeyFault::kRepeated};
+      return {nullptr, ApiKeyFault::kRepeated};
     }
     field = &header;
   }
   if (field == nullptr) {
-    return {nullptr, KeyFault::kMissing};
+    return {nullptr, ApiKeyFault::kMissing};
   }
   const auto key = KeyIn(field->value);
   if (!key) {
-    return {nullptr, KeyFault::kMalformed};
+    return {nullptr, ApiKeyFault::kMalformed};
   }
   auto account = accounts.Find(digester.Digest(*key));
   if (!account) {
-    return {nullptr, KeyFault::kUnknown};
+    return {nullptr, ApiKeyFault::kUnknown};
   }
-  return {std::move(account), KeyFault::kNone};
+  return {std::move(account), ApiKeyFault::kNone};
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/accounts/caller_identity_test.cpp
+++ b/src/pathcleat/accounts/caller_identity_test.cpp
@@ -42,8 +42,8 @@
 
 Test(caller_identity, what_is_no_key_is_told_apart) {
   const Fixture fixture;
-  cr_assert_eq(fixture.Identify({}).fault, KeyFault::kMissing);
-  cr_assert_eq(fixture.With("Bearer key-four").fault, KeyFault::kUnknown);
+  cr_assert_eq(fixture.Identify({}).fault, ApiKeyFault::kMissing);
+  cr_assert_eq(fixture.With("Bearer key-four").fault, ApiKeyFault::kUnknown);
   for (const std::string& value :
        {std::string(), std::string("Bearer"), std::string("Bearer "),
         std::string("Basic key-one"), std::string("key-one"),
@@ -51,13 +51,13 @@
         std::string("Bearer k\xc3\xa9y"),
         "Bearer " + std::string(16'384, 'k')}) {
     const CallerIdentity caller = fixture.With(value);
-    cr_assert_eq(caller.fault, KeyFault::kMalformed, "taken: %s",
+    cr_assert_eq(caller.fault, ApiKeyFault::kMalformed, "taken: %s",
                  value.substr(0, 20).c_str());
     cr_assert_null(caller.account.get());
   }
   const HttpHeaders twice = {{"Authorization", "Bearer key-one"},
                              {"authorization", "Bearer key-one"}};
-  cr_assert_eq(fixture.Identify(twice).fault, KeyFault::kRepeated);
+  cr_assert_eq(fixture.Identify(twice).fault, ApiKeyFault::kRepeated);
 }
 
 Test(caller_identity, no_other_text_is_taken_for_a_key) {
--- a/src/pathcleat/accounts/fleet_usage.cpp
+++ b/src/pathcleat/accounts/fleet_usage.cpp
@@ -33,7 +33,7 @@
 
 void FleetUsage::Count(const UsageReport& report, double sign) {
   for (const UsageEntry& entry : report.entries) {
-    AccountUse& sum = sums_[entry.account];
+    AccountUsage& sum = sums_[entry.account];
     sum.demand += sign * entry.demand;
     sum.weight += sign * entry.weight;
     sum.admitted += sign * entry.admitted;
@@ -43,9 +43,9 @@
   }
 }
 
-AccountUse FleetUsage::Of(std::uint64_t account) const {
+AccountUsage FleetUsage::Of(std::uint64_t account) const {
   const auto found = sums_.find(account);
-  return found == sums_.end() ? AccountUse() : found->second;
+  return found == sums_.end() ? AccountUsage() : found->second;
 }
 
 bool FleetUsage::HasSilent(Time now) const {
@@ -54,7 +54,7 @@
   });
 }
 
-void FleetUsage::ForgetSilent(bool hears_most, Time now) {
+void FleetUsage::ExpireSilentSources(bool hears_most, Time now) {
   if (!hears_most) {
     return;
   }
@@ -76,14 +76,15 @@
   }
 }
 
-std::unordered_map<std::uint64_t, AccountUse> FleetUsage::OfOwnDomain() const {
-  std::unordered_map<std::uint64_t, AccountUse> sums;
+std::unordered_map<std::uint64_t, AccountUsage> FleetUsage::OwnDomainUsage()
+    const {
+  std::unordered_map<std::uint64_t, AccountUsage> sums;
   for (const auto& [name, source] : sources_) {
     if (name.first != own_domain_) {
       continue;
     }
     for (const UsageEntry& entry : source.report.entries) {
-      AccountUse& sum = sums[entry.account];
+      AccountUsage& sum = sums[entry.account];
       sum.demand += entry.demand;
       sum.weight += entry.weight;
       sum.admitted += entry.admitted;
@@ -92,7 +93,7 @@
   return sums;
 }
 
-std::vector<UsageReport> FleetUsage::OfOtherDomains() const {
+std::vector<UsageReport> FleetUsage::OtherDomainReports() const {
   std::vector<UsageReport> reports;
   for (const auto& [name, source] : sources_) {
     if (name.first != own_domain_) {
--- a/src/pathcleat/accounts/key_digest.cpp
+++ b/src/pathcleat/accounts/key_digest.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-std::string ShortText(const KeyDigest& digest) {
+std::string ShortHex(const KeyedDigest& digest) {
   constexpr std::string_view kDigits = "0123456789abcdef";
   constexpr unsigned kHalfByte = 4;
   constexpr unsigned kLowHalf = 0xF;
@@ -57,9 +57,9 @@
 
 // SipHash is a keyed function whose results cannot be foretold without its
 // secret, and takes a tenth of the time of a general hash on so short a text.
-KeyDigest KeyDigester::Digest(std::string_view key) const {
-  static_assert(crypto_shorthash_siphashx24_BYTES == sizeof(KeyDigest));
-  KeyDigest digest{};
+KeyedDigest KeyDigester::Digest(std::string_view key) const {
+  static_assert(crypto_shorthash_siphashx24_BYTES == sizeof(KeyedDigest));
+  KeyedDigest digest{};
   crypto_shorthash_siphashx24(digest.data(), Bytes(key), key.size(),
                               secret_->data());
   return digest;
--- a/src/pathcleat/accounts/quota_control.cpp
+++ b/src/pathcleat/accounts/quota_control.cpp
@@ -15,7 +15,7 @@
 
 // The busiest accounts, as many as fit one report.
 std::vector<UsageEntry> Busiest(
-    const std::unordered_map<std::uint64_t, AccountUse>& uses) {
+    const std::unordered_map<std::uint64_t, AccountUsage>& uses) {
   std::vector<UsageEntry> entries;
   entries.reserve(uses.size());
   for (const auto& [account, use] : uses) {
@@ -23,9 +23,9 @@
                        static_cast<float>(use.weight),
                        static_cast<float>(use.admitted)});
   }
-  if (entries.size() > kMostUsageEntries) {
+  if (entries.size() > kMaxUsageEntries) {
     const auto most =
-        entries.begin() + static_cast<std::ptrdiff_t>(kMostUsageEntries);
+        entries.begin() + static_cast<std::ptrdiff_t>(kMaxUsageEntries);
     std::nth_element(entries.begin(), most, entries.end(),
                      [](const UsageEntry& a, const UsageEntry& b) {
                        return a.demand > b.demand;
@@ -59,9 +59,9 @@
   }
 }
 
-void QuotaControl::SetHosts(const LimitSharers& sharers, Time now) {
+void QuotaControl::SetHosts(const QuotaHosts& sharers, Time now) {
   sharers_ = sharers;
-  fleet_.ForgetSilent(sharers.hears_most, now);
+  fleet_.ExpireSilentSources(sharers.hears_most, now);
   std::erase_if(meters_,
                 [now](const auto& meter) { return meter.second.IsIdle(now); });
 }
@@ -70,19 +70,19 @@
   return sharers_.unheard > 0 || fleet_.HasSilent(now);
 }
 
-FleetState QuotaControl::StateOf(std::uint64_t account, Time now) const {
+QuotaInput QuotaControl::StateOf(std::uint64_t account, Time now) const {
   return {fleet_.Of(account), sharers_.known, sharers_.unheard, HasSilent(now)};
 }
 
 QuotaDecision QuotaControl::DecisionOf(const AccountMeter& meter,
-                                       const FleetState& state,
+                                       const QuotaInput& state,
                                        Time now) const {
   QuotaDecision decision;
   decision.limit_per_second = meter.limit().per_second;
   decision.fleet_demand = state.others.demand + meter.Demand(now);
-  decision.share = meter.ShareOf(state);
-  decision.next_in = meter.NextIn(state, now);
-  decision.spacing = meter.Spacing(state);
+  decision.share = meter.HostShare(state);
+  decision.time_until_available = meter.TimeUntilAvailable(state, now);
+  decision.spacing = meter.MeanInterval(state);
   return decision;
 }
 
@@ -94,10 +94,10 @@
   AccountMeter& meter =
       meters_.try_emplace(id, account.limit, bounds_, MixHashes(seed_, id))
           .first->second;
-  const FleetState state = StateOf(id, now);
-  const bool was_shared = meter.IsShared();
-  const bool allowed = meter.TryTake(state, now);
-  has_news_ = has_news_ || (meter.IsShared() && !was_shared);
+  const QuotaInput state = StateOf(id, now);
+  const bool was_shared = meter.IsShareEnforced();
+  const bool allowed = meter.TryAcquire(state, now);
+  has_news_ = has_news_ || (meter.IsShareEnforced() && !was_shared);
   QuotaDecision decision;
   if (!allowed) {
     decision = DecisionOf(meter, state, now);
@@ -106,14 +106,14 @@
   return decision;
 }
 
-void QuotaControl::GiveBack(const Account& account, Time now) {
+void QuotaControl::Release(const Account& account, Time now) {
   const auto meter = meters_.find(AccountId(account));
   if (meter != meters_.end()) {
-    meter->second.GiveBack(now);
+    meter->second.Release(now);
   }
 }
 
-std::map<std::string, double> QuotaControl::DemandAtHome(
+std::map<std::string, double> QuotaControl::DemandByHomeRegion(
     const std::vector<Account>& accounts,
     Time now) const {
   std::map<std::string, double> demand;
@@ -136,7 +136,7 @@
     return {};
   }
   const std::uint64_t id = AccountId(account);
-  const FleetState state = StateOf(id, now);
+  const QuotaInput state = StateOf(id, now);
   const auto known = meters_.find(id);
   return known == meters_.end()
              ? DecisionOf(AccountMeter(account.limit, bounds_, seed_), state,
@@ -149,7 +149,7 @@
   has_news_ = false;
   told_.clear();
   for (auto& [account, meter] : meters_) {
-    const AccountUse use = meter.Tell(has_silent, now);
+    const AccountUsage use = meter.Tell(has_silent, now);
     if (use.demand * sharers_.known > kToldFrom * meter.limit().per_second) {
       told_.emplace(account, use);
     }
@@ -162,9 +162,10 @@
 }
 
 UsageReport QuotaControl::DomainUsage(Time /*now*/) {
-  std::unordered_map<std::uint64_t, AccountUse> sums = fleet_.OfOwnDomain();
+  std::unordered_map<std::uint64_t, AccountUsage> sums =
+      fleet_.OwnDomainUsage();
   for (const auto& [account, use] : told_) {
-    AccountUse& sum = sums[account];
+    AccountUsage& sum = sums[account];
     sum.demand += use.demand;
     sum.weight += use.weight;
     sum.admitted += use.admitted;
@@ -176,11 +177,11 @@
   return report;
 }
 
-std::vector<UsageReport> QuotaControl::KnownUsage() const {
-  return fleet_.OfOtherDomains();
+std::vector<UsageReport> QuotaControl::UsageSnapshot() const {
+  return fleet_.OtherDomainReports();
 }
 
-void QuotaControl::OnUsage(const UsageReport& report, Time now) {
+void QuotaControl::OnUsageReport(const UsageReport& report, Time now) {
   fleet_.Take(report, now);
 }
 
--- a/src/pathcleat/app/log_files.cpp
+++ b/src/pathcleat/app/log_files.cpp
@@ -17,7 +17,7 @@
 using GzipFile = std::unique_ptr<gzFile_s, GzipCloser>;
 
 // zlib passes bytes that are not compressed through as they are.
-Result<void> ReadOne(GzipFile file, const std::string& name, LogLines& into) {
+Result<void> ReadOne(GzipFile file, const std::string& name, MergedLog& into) {
   if (!file) {
     return Fail({ErrorCode::kInvalid, "read log", name, "cannot be opened"});
   }
@@ -39,8 +39,8 @@
 
 }  // namespace
 
-Result<LogLines> ReadLogFiles(const std::vector<std::string>& paths) {
-  LogLines log;
+Result<MergedLog> ReadLogFiles(const std::vector<std::string>& paths) {
+  MergedLog log;
   if (paths.empty()) {
     BOOST_LEAF_CHECK(ReadOne(GzipFile(gzdopen(dup(STDIN_FILENO), "rb")),
                              "standard input", log));
--- a/src/pathcleat/app/log_files.hpp
+++ b/src/pathcleat/app/log_files.hpp
@@ -11,6 +11,6 @@
 
 /// @brief Reads collected logs, plain or compressed by gzip, sorted by time.
 /// @param paths files; none: standard input.
-Result<LogLines> ReadLogFiles(const std::vector<std::string>& paths);
+Result<MergedLog> ReadLogFiles(const std::vector<std::string>& paths);
 
 }  // namespace pathcleat
--- a/src/pathcleat/app/operator_client.cpp
+++ b/src/pathcleat/app/operator_client.cpp
@@ -22,7 +22,7 @@
   request.headers.push_back({"Host", peer});
   request.headers.push_back({"Authorization", "Bearer " + token});
   HttpLimits limits;
-  limits.body_bytes = kLongestAnswer;
+  limits.max_body_bytes = kLongestAnswer;
   boost::asio::io_context loop;
   const auto client = std::make_shared<HttpClient>(loop, host.endpoint, limits);
   CallResult result;
