--- a/src/pathcleat/app/pathcleat.cpp
+++ b/src/pathcleat/app/pathcleat.cpp
@@ -107,9 +107,9 @@
   const auto count = [&dropped](LogClass log_class) {
     return dropped.at(static_cast<std::size_t>(log_class));
   };
-  return {NumberField(field::kDroppedRequests, count(LogClass::kRequest)),
-          NumberField(field::kDroppedFailures, count(LogClass::kFailure)),
-          NumberField(field::kDroppedStates, count(LogClass::kState))};
+  return {IntegerField(field::kDroppedRequests, count(LogClass::kRequest)),
+          IntegerField(field::kDroppedFailures, count(LogClass::kFailure)),
+          IntegerField(field::kDroppedStates, count(LogClass::kState))};
 }
 
 int RunEntry(const std::string& path) {
@@ -132,7 +132,7 @@
   platform::RolloutRows rollouts(loop, options);
   Gateway gateway(loop, loaded.settings, platform::PlatformHeaderNames(), table,
                   feed, rollouts, digester);
-  gateway.SetProbes({[&log] { return log.dropped(); }, &store_calls});
+  gateway.SetProcessStats({[&log] { return log.dropped(); }, &store_calls});
   log.OnDropped([&gateway](const LogCounts& dropped) {
     gateway.state().events.Record(EventCode::kLogDropped, "log", "",
                                   DroppedFields(dropped));
@@ -263,7 +263,7 @@
 Result<int> RunWhy(const Arguments& arguments) {
   const std::string id = arguments.at("ID").asString();
   BOOST_LEAF_AUTO(log, ReadLogFiles(arguments.at("FILE").asStringList()));
-  const RequestStory story = TellStory(log, id);
+  const RequestDiagnosis story = DiagnoseRequest(log, id);
   std::cout << ToText(story, id);
   return story.lines.empty() ? kFailed : kDone;
 }
--- a/src/pathcleat/app/pathcleat_lab.cpp
+++ b/src/pathcleat/app/pathcleat_lab.cpp
@@ -110,7 +110,7 @@
   boost::asio::io_context loop;
   platform::PlatformStandIn stand_in(loop, 1);
   stand_in.PutConfig(ConfigOf(deployment));
-  for (const UpstreamInfo& upstream : UpstreamsOf(deployment)) {
+  for (const UpstreamInfo& upstream : UpstreamInfosOf(deployment)) {
     stand_in.PutUpstream(upstream);
   }
   BOOST_LEAF_CHECK(
@@ -122,7 +122,7 @@
 Result<int> WriteSettings(const Deployment& deployment,
                           const std::string& folder) {
   std::filesystem::create_directories(folder);
-  for (const SeatIndex seat : IndicesOf<SeatIndex>(deployment.seats)) {
+  for (const HostIndex seat : IndicesOf<HostIndex>(deployment.hosts)) {
     const std::string path = folder + "/" + deployment.At(seat).name + ".jsonc";
     std::ofstream file(path);
     file << SettingsTextOf(deployment, seat);
@@ -162,19 +162,19 @@
                             !kind.repeatable});
     }
   }
-  for (const Seat& seat : deployment.seats) {
+  for (const EntryHost& seat : deployment.hosts) {
     plan.hosts.push_back(seat.address + ":" + std::to_string(seat.caller_port));
     plan.locators.push_back(seat.address + ":" +
                             std::to_string(seat.caller_port + 2));
   }
-  plan.caller_prefixes.clear();
+  plan.caller_address_prefixes.clear();
   for (std::size_t i = 0; i < deployment.regions.size(); ++i) {
-    plan.caller_prefixes.push_back("127." + std::to_string(101 + i));
+    plan.caller_address_prefixes.push_back("127." + std::to_string(101 + i));
   }
   plan.per_second = static_cast<double>(arguments.at("--rate").asLong());
   plan.length = std::chrono::seconds(arguments.at("--seconds").asLong());
   plan.seed = static_cast<std::uint64_t>(arguments.at("--seed").asLong());
-  plan.host_name = HostNameOf(deployment);
+  plan.host_header = HostHeaderOf(deployment);
   return plan;
 }
 
@@ -182,7 +182,7 @@
                           const std::string& target) {
   const auto endpoint = ParseTcpEndpoint(address);
   HttpLimits limits;
-  limits.body_bytes = 256ULL * 1024 * 1024;
+  limits.max_body_bytes = 256ULL * 1024 * 1024;
   boost::asio::io_context loop;
   const auto client = std::make_shared<HttpClient>(
       loop, endpoint.value_or(boost::asio::ip::tcp::endpoint()), limits);
@@ -211,7 +211,7 @@
                                 "/ledger"));
   BOOST_LEAF_AUTO(audit, AuditLoad(load, ledger));
   std::cout << ReportLoad(load, audit);
-  const bool kept = audit.doubled == 0 && audit.not_run_but_ran == 0 &&
+  const bool kept = audit.duplicate_runs == 0 && audit.false_not_run == 0 &&
                     audit.over_slots == 0 && audit.cut == 0;
   return kept ? kDone : kFailed;
 }
@@ -248,7 +248,7 @@
 }
 
 int RunReturns(const Arguments& arguments) {
-  std::cout << MeasureReturns(
+  std::cout << MeasureCallerRetries(
       static_cast<int>(arguments.at("--seeds").asLong()));
   return kDone;
 }
@@ -261,14 +261,14 @@
 }
 
 int RunLimits(const Arguments& arguments) {
-  std::cout << CompareLimitWays(
+  std::cout << CompareLimitStrategies(
       static_cast<int>(arguments.at("--seeds").asLong()));
   return kDone;
 }
 
 int RunSlopes() {
-  for (const auto& measure :
-       {BlockTableSlopes, RoutingSlopes, HeartbeatSlopes, AccountSlopes}) {
+  for (const auto& measure : {MeasureBlockTableCosts, MeasureRoutingCosts,
+                              MeasureHeartbeatCosts, MeasureAccountCosts}) {
     std::cout << ToText(measure()) << "\n" << std::flush;
   }
   return kDone;
--- a/src/pathcleat/calls/break_cause.cpp
+++ b/src/pathcleat/calls/break_cause.cpp
@@ -3,19 +3,19 @@
 
 namespace pathcleat {
 
-const char* ToString(BreakCause cause) {
+const char* ToString(AbortCause cause) {
   switch (cause) {
-    case BreakCause::kPatience:
+    case AbortCause::kPatience:
       return "patience";
-    case BreakCause::kCallerLeft:
+    case AbortCause::kCallerLeft:
       return "caller-left";
-    case BreakCause::kDeadline:
+    case AbortCause::kDeadline:
       return "deadline";
-    case BreakCause::kSilentLink:
+    case AbortCause::kSilentConnection:
       return "silent-link";
-    case BreakCause::kBadAnswer:
+    case AbortCause::kBadAnswer:
       return "bad-answer";
-    case BreakCause::kHostStops:
+    case AbortCause::kHostStops:
       return "host-stops";
   }
   return "";
--- a/src/pathcleat/calls/key_ledger.cpp
+++ b/src/pathcleat/calls/key_ledger.cpp
@@ -23,12 +23,12 @@
 
 struct KeyLedger::Claiming {
   KeyClaim claim;
-  KeyRequest request;
+  KeyClaimRequest request;
   HttpResponse kept;
   std::function<void(ClaimResult)> callback;
 
-  KeyRow Row() const {
-    KeyRow row;
+  IdempotencyKeyRow Row() const {
+    IdempotencyKeyRow row;
     row.token = claim.token();
     row.fingerprint = request.fingerprint;
     row.ends_wall_micros = request.ends_wall_micros;
@@ -52,7 +52,7 @@
       });
 }
 
-void KeyLedger::Claim(const KeyRequest& request,
+void KeyLedger::Claim(const KeyClaimRequest& request,
                       std::function<void(ClaimResult)> callback) {
   auto claiming = std::make_shared<Claiming>(
       Claiming{KeyClaim(RandomToken(), request.fingerprint),
@@ -81,7 +81,7 @@
 
 void KeyLedger::Put(const ClaimingPtr& claiming) {
   store_.Write(claiming->request.row_name, 0, ToJson(claiming->Row()),
-               [this, claiming](const TableWrite& write) {
+               [this, claiming](const TableWriteResult& write) {
                  Step(claiming,
                       claiming->claim.OnPut(write.outcome, write.version));
                });
@@ -89,14 +89,14 @@
 
 void KeyLedger::Read(const ClaimingPtr& claiming) {
   ReadRow(store_, claiming->request.row_name,
-          [this, claiming](const RowRead& read) {
+          [this, claiming](const RowReadResult& read) {
             if (read.outcome != StoreOutcome::kDone) {
               Step(claiming, KeyClaim::OnReadFailed());
               return;
             }
             ObservedKey observed;
             observed.version = read.row.version;
-            if (const auto row = KeyRowFromJson(read.row.value)) {
+            if (const auto row = IdempotencyKeyRowFromJson(read.row.value)) {
               observed.state = row->state;
               observed.token = row->token;
               observed.fingerprint = row->fingerprint;
@@ -129,7 +129,7 @@
 void KeyLedger::Settle(const ClaimedKey& key, int tries_left) {
   store_.Write(
       key.row_name, key.version, ToJson(key.row),
-      [this, key, tries_left](const TableWrite& write) {
+      [this, key, tries_left](const TableWriteResult& write) {
         // A conflict means that an earlier try, whose answer was lost, had
         // taken effect: nobody else writes a claimed row.
         const bool done = write.outcome == StoreOutcome::kDone ||
@@ -153,7 +153,7 @@
 void KeyLedger::Delete(const ClaimedKey& key, int tries_left) {
   store_.Delete(
       key.row_name, key.version,
-      [this, key, tries_left](const TableWrite& write) {
+      [this, key, tries_left](const TableWriteResult& write) {
         const bool done = write.outcome == StoreOutcome::kDone ||
                           write.outcome == StoreOutcome::kConflict;
         if (done || tries_left == 0) {
--- a/src/pathcleat/calls/key_row.cpp
+++ b/src/pathcleat/calls/key_row.cpp
@@ -32,11 +32,12 @@
 
 }  // namespace
 
-std::string KeyRowName(const std::string& service, const std::string& key) {
+std::string IdempotencyKeyRowName(const std::string& service,
+                                  const std::string& key) {
   return "key/" + service + "/" + key;
 }
 
-std::string ToJson(const KeyRow& row) {
+std::string ToJson(const IdempotencyKeyRow& row) {
   json headers = json::array();
   for (const HttpHeader& header : row.answer.headers) {
     headers.push_back({header.name, header.value});
@@ -49,13 +50,14 @@
   return value.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-std::optional<KeyRow> KeyRowFromJson(const std::string& text) {
+std::optional<IdempotencyKeyRow> IdempotencyKeyRowFromJson(
+    const std::string& text) {
   const json value = json::parse(text, nullptr, false);
   if (!value.is_object()) {
     return std::nullopt;
   }
   try {
-    KeyRow row;
+    IdempotencyKeyRow row;
     row.state = StateOf(value.at("state").get<std::string>());
     row.token = value.at("token").get<std::string>();
     row.fingerprint = value.at("fingerprint").get<std::uint64_t>();
--- a/src/pathcleat/calls/pick_request.cpp
+++ b/src/pathcleat/calls/pick_request.cpp
@@ -14,19 +14,19 @@
 
 }  // namespace
 
-PickRequest PickRequestOf(const HeaderNames& names,
-                          const Exchange& exchange,
-                          const Route& route,
-                          const std::string& request_id) {
+PickRequest MakePickRequest(const HeaderNames& names,
+                            const Exchange& exchange,
+                            const Route& route,
+                            const std::string& request_id) {
   const auto key = FindHeader(exchange.request().headers, names.affinity_key);
   PickRequest request;
   request.route = &route;
-  request.caller_position = CallerPosition(exchange.caller());
+  request.shift_position = CallerPosition(exchange.caller());
   request.sticky = route.sticky && key.has_value();
   request.key =
       StableHash(request.sticky ? *key : request_id, StableHash(route.name));
-  request.caller_deadline =
-      CallerDeadline(names, exchange.request()).value_or(route.timeout);
+  request.caller_timeout =
+      CallerTimeout(names, exchange.request()).value_or(route.timeout);
   return request;
 }
 
--- a/src/pathcleat/calls/stop_plan.cpp
+++ b/src/pathcleat/calls/stop_plan.cpp
@@ -48,16 +48,16 @@
   ends_ = before_end(kEndMargin);
 }
 
-bool StopPlan::Shortens(Time deadline) const {
+bool StopPlan::ShortensDeadline(Time deadline) const {
   return begun_ && work_ends_ < deadline;
 }
 
-Time StopPlan::WorkEnd(Time deadline) const {
-  return Shortens(deadline) ? work_ends_ : deadline;
+Time StopPlan::WorkDeadline(Time deadline) const {
+  return ShortensDeadline(deadline) ? work_ends_ : deadline;
 }
 
-bool StopPlan::MayBegin(const WorkTimes& times, Time deadline, Time now) const {
-  return !Shortens(deadline) || now + Needed(times) <= work_ends_;
+bool StopPlan::MayStart(const WorkTimes& times, Time deadline, Time now) const {
+  return !ShortensDeadline(deadline) || now + Needed(times) <= work_ends_;
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/calls/stop_plan_test.cpp
+++ b/src/pathcleat/calls/stop_plan_test.cpp
@@ -19,16 +19,16 @@
 Test(stop_plan, bounds_nothing_before_the_stop) {
   const StopPlan plan;
   const Time deadline = kBegan + Duration(60'000'000);
-  cr_assert_not(plan.Shortens(deadline));
-  cr_assert(plan.WorkEnd(deadline) == deadline);
-  cr_assert(plan.MayBegin({Duration(30'000'000), kTarget}, deadline, kBegan));
+  cr_assert_not(plan.ShortensDeadline(deadline));
+  cr_assert(plan.WorkDeadline(deadline) == deadline);
+  cr_assert(plan.MayStart({Duration(30'000'000), kTarget}, deadline, kBegan));
 }
 
 Test(stop_plan, request_whose_own_time_ends_before_is_left_alone) {
   const StopPlan plan = Begun();
   const Time deadline = kBegan + Duration(2'000'000);
-  cr_assert(plan.WorkEnd(deadline) == deadline);
-  cr_assert(plan.MayBegin({Duration(1'900'000), kTarget}, deadline, kBegan));
+  cr_assert(plan.WorkDeadline(deadline) == deadline);
+  cr_assert(plan.MayStart({Duration(1'900'000), kTarget}, deadline, kBegan));
 }
 
 // As in the incident: a request comes 4.38 s after the stop's begin, and its
@@ -37,9 +37,9 @@
   const StopPlan plan = Begun();
   const Time now = kBegan + Duration(4'380'000);
   const Time deadline = now + Duration(5'000'000);
-  cr_assert_not(plan.MayBegin({Duration(1'000'000), kTarget}, deadline, now));
-  cr_assert_not(plan.MayBegin({Duration(200'000), kTarget}, deadline, now));
-  cr_assert(plan.MayBegin({Duration(20'000), kTarget}, deadline, now));
+  cr_assert_not(plan.MayStart({Duration(1'000'000), kTarget}, deadline, now));
+  cr_assert_not(plan.MayStart({Duration(200'000), kTarget}, deadline, now));
+  cr_assert(plan.MayStart({Duration(20'000), kTarget}, deadline, now));
 }
 
 // A submission that its upstream ends early is lost for its caller; refused,
@@ -49,8 +49,8 @@
   const Time now = kBegan + Duration(3'500'000);
   const Time deadline = now + Duration(8'000'000);
   const Duration expected{600'000};
-  cr_assert(plan.MayBegin({expected, kTarget, true}, deadline, now));
-  cr_assert_not(plan.MayBegin({expected, kTarget, false}, deadline, now));
+  cr_assert(plan.MayStart({expected, kTarget, true}, deadline, now));
+  cr_assert_not(plan.MayStart({expected, kTarget, false}, deadline, now));
 }
 
 // Checked to fail with begun_ not tested in Begin.
@@ -61,8 +61,8 @@
   cr_assert(plan.ends() == ends);
 }
 
-// Checked to fail with WorkEnd giving the deadline alone, with MayBegin always
-// true, and with kLastAnswersMargin over kWorkMargin.
+// Checked to fail with WorkDeadline giving the deadline alone, with MayStart
+// always true, and with kLastAnswersMargin over kWorkMargin.
 Test(stop_plan, what_is_begun_ends_before_the_last_answers) {
   cr_assert(Holds(
       "any grace, deadline, moment and expected time",
@@ -75,19 +75,20 @@
         const Time now = kBegan + some(20'000'000);
         const Time deadline = now + some(20'000'000);
         const WorkTimes times{some(5'000'000), some(2'000'000)};
-        const Time work_end = plan.WorkEnd(deadline);
+        const Time work_end = plan.WorkDeadline(deadline);
         RC_ASSERT(work_end <= deadline);
-        RC_ASSERT(plan.accepts_until() <= plan.last_answers());
-        RC_ASSERT(plan.last_answers() <= plan.ends());
+        RC_ASSERT(plan.accepts_until() <= plan.final_answer_time());
+        RC_ASSERT(plan.final_answer_time() <= plan.ends());
         RC_ASSERT(plan.ends() <= kBegan + grace);
-        RC_ASSERT(work_end <= std::max(deadline, plan.last_answers()));
-        if (plan.Shortens(deadline)) {
-          RC_ASSERT(work_end <= plan.last_answers());
+        RC_ASSERT(work_end <= std::max(deadline, plan.final_answer_time()));
+        if (plan.ShortensDeadline(deadline)) {
+          RC_ASSERT(work_end <= plan.final_answer_time());
         }
-        if (plan.MayBegin(times, deadline, now) && work_end < deadline) {
+        if (plan.MayStart(times, deadline, now) && work_end < deadline) {
           RC_ASSERT(now + times.expected <= work_end);
         }
-        RC_ASSERT(deadline <= plan.last_answers() || plan.Shortens(deadline));
+        RC_ASSERT(deadline <= plan.final_answer_time() ||
+                  plan.ShortensDeadline(deadline));
       },
       2'000));
 }
--- a/src/pathcleat/calls/unknown_fields.cpp
+++ b/src/pathcleat/calls/unknown_fields.cpp
@@ -47,7 +47,7 @@
   }
 }
 
-HttpHeaders UnknownFields::TakeNew(const HttpHeaders& headers) {
+HttpHeaders UnknownFields::FindNew(const HttpHeaders& headers) {
   HttpHeaders found;
   for (const HttpHeader& header : headers) {
     if (seen_.size() < kMostNames &&
--- a/src/pathcleat/calls/unknown_fields_test.cpp
+++ b/src/pathcleat/calls/unknown_fields_test.cpp
@@ -13,11 +13,11 @@
                               {names.load, "1,2,3"},
                               {"X-Novel", "7"},
                               {"x-novel", "8"}};
-  const HttpHeaders first = fields.TakeNew(answer);
+  const HttpHeaders first = fields.FindNew(answer);
   cr_assert_eq(first.size(), 1U);
   cr_assert_eq(first.front().name, std::string("X-Novel"));
   cr_assert_eq(first.front().value, std::string("7"));
-  cr_assert(fields.TakeNew(answer).empty());
+  cr_assert(fields.FindNew(answer).empty());
 }
 
 // A peer that makes up names must not fill the memory.
@@ -25,7 +25,7 @@
   UnknownFields fields{HeaderNames()};
   std::size_t told = 0;
   for (int i = 0; i < 1'000; ++i) {
-    told += fields.TakeNew({{"X-" + std::to_string(i), ""}}).size();
+    told += fields.FindNew({{"X-" + std::to_string(i), ""}}).size();
   }
   cr_assert_lt(told, 128U);
 }
--- a/src/pathcleat/calls/upstream_pool.cpp
+++ b/src/pathcleat/calls/upstream_pool.cpp
@@ -14,14 +14,14 @@
 // An upstream's stated time, less this, is relied on.
 constexpr Duration kKeepAliveMargin{1'500'000};
 // Connections from before a silence are all gone after this time: TCP finds
-// the idle ones and those under way (kSilenceLimit, and a second for the first
+// the idle ones and those under way (kAckTimeout, and a second for the first
 // probe).
-constexpr Duration kLongestSilence = kSilenceLimit * 2;
+constexpr Duration kLongestSilence = kAckTimeout * 2;
 constexpr std::uint64_t kLargestAnswer = 64ULL * 1024 * 1024;
 
 HttpLimits AnswerLimits() {
   HttpLimits limits;
-  limits.body_bytes = kLargestAnswer;
+  limits.max_body_bytes = kLargestAnswer;
   return limits;
 }
 
@@ -44,18 +44,18 @@
     return Open(upstream);
   }
   const Duration rested = now - kept->idle_since();
-  if (!repeatable && rested > rests_[upstream.service].Longest(now)) {
+  if (!repeatable && rested > rests_[upstream.service].MaxIdle(now)) {
     // The last one used is the first one taken: others rested for longer.
-    Return(upstream.id, kept);
+    Release(upstream.id, kept);
     return Open(upstream);
   }
   return kept;
 }
 
-void UpstreamPool::OnForgotten(const UpstreamInfo& upstream,
-                               Duration rested,
-                               Time now) {
-  rests_[upstream.service].OnForgotten(rested, now);
+void UpstreamPool::OnStaleConnection(const UpstreamInfo& upstream,
+                                     Duration rested,
+                                     Time now) {
+  rests_[upstream.service].OnStaleConnection(rested, now);
 }
 
 // Null: none is kept that may be used.
@@ -79,8 +79,8 @@
       AnswerLimits());
 }
 
-void UpstreamPool::Return(const std::string& upstream_id,
-                          const HttpClientPtr& client) {
+void UpstreamPool::Release(const std::string& upstream_id,
+                           const HttpClientPtr& client) {
   if (client->IsReusable()) {
     idle_[upstream_id].push_back(client);
   }
@@ -102,9 +102,9 @@
   client->Cancel();
 }
 
-bool UpstreamPool::OnSilent(const std::string& upstream_id,
-                            const HttpClient& client,
-                            Time now) {
+bool UpstreamPool::OnSilentConnection(const std::string& upstream_id,
+                                      const HttpClient& client,
+                                      Time now) {
   ++silent_;
   const auto last = silences_.find(upstream_id);
   if (last != silences_.end() && client.opened_at() <= last->second) {
@@ -126,7 +126,7 @@
   return std::any_of(silences_.begin(), silences_.end(),
                      [&upstream_id, now](const auto& silence) {
                        return silence.first != upstream_id &&
-                              now - silence.second < kSilenceLimit;
+                              now - silence.second < kAckTimeout;
                      });
 }
 
@@ -134,7 +134,7 @@
 // since is trusted.
 void UpstreamPool::CloseUnheard(Kept& kept, Time now) {
   std::erase_if(kept, [now](const HttpClientPtr& client) {
-    const bool unheard = now - client->heard_at() >= kLeastSilence;
+    const bool unheard = now - client->last_byte_at() >= kMinSilence;
     if (unheard) {
       client->Cancel();
     }
--- a/src/pathcleat/calls/upstream_pool_test.cpp
+++ b/src/pathcleat/calls/upstream_pool_test.cpp
@@ -14,14 +14,14 @@
 
 struct PoolWorld {
   boost::asio::io_context loop{1};
-  HttpServer server{loop, [](const ExchangePtr& exchange) {
+  HttpServer server{loop, [](const HttpExchangePtr& exchange) {
                       exchange->Respond(TextResponse(200, "done\n"));
                     }};
   std::string address;
   UpstreamPool pool{loop};
 
   PoolWorld() {
-    const std::string ip = OwnAddress();
+    const std::string ip = UniqueLoopbackAddress();
     TryOr(
         [&]() -> Result<void> {
           BOOST_LEAF_AUTO(port, server.Listen(ip, 0));
@@ -49,19 +49,19 @@
     return client;
   }
 
-  void Keep(const std::string& id) { pool.Return(id, Opened(id)); }
+  void Keep(const std::string& id) { pool.Release(id, Opened(id)); }
 
   bool Keeps(const std::string& id) {
     const HttpClientPtr client =
         pool.Take(Upstream(id), true, BootClock::now());
     const bool kept = client->IsReusable();
-    pool.Return(id, client);
+    pool.Release(id, client);
     return kept;
   }
 
   void AwaitUnheard(const HttpClientPtr& client) {
     cr_assert(WaitUntil(loop, [&client] {
-      return BootClock::now() - client->heard_at() > kLeastSilence;
+      return BootClock::now() - client->last_byte_at() > kMinSilence;
     }));
   }
 };
@@ -76,11 +76,11 @@
   world.AwaitUnheard(
       world.pool.Take(world.Upstream("u"), true, BootClock::now()));
   cr_assert(world.Keeps("u"));
-  cr_assert(world.pool.OnSilent("u", *silent, BootClock::now()));
+  cr_assert(world.pool.OnSilentConnection("u", *silent, BootClock::now()));
   cr_assert_not(world.Keeps("u"));
   world.Keep("u");
   // The others that are found tell nothing new.
-  cr_assert_not(world.pool.OnSilent("u", *silent, BootClock::now()));
+  cr_assert_not(world.pool.OnSilentConnection("u", *silent, BootClock::now()));
   cr_assert(world.Keeps("u"));
   cr_assert_eq(world.pool.silent(), 2U);
 }
@@ -91,11 +91,11 @@
   const HttpClientPtr first = world.Opened("a");
   const HttpClientPtr second = world.Opened("b");
   const HttpClientPtr last = world.Opened("c");
-  world.pool.Return("c", last);
+  world.pool.Release("c", last);
   world.AwaitUnheard(last);
-  world.pool.OnSilent("a", *first, BootClock::now());
+  world.pool.OnSilentConnection("a", *first, BootClock::now());
   cr_assert(world.Keeps("c"));
-  world.pool.OnSilent("b", *second, BootClock::now());
+  world.pool.OnSilentConnection("b", *second, BootClock::now());
   cr_assert_not(world.Keeps("c"));
 }
 
@@ -109,7 +109,7 @@
   cr_assert(world.pool.Take(world.Upstream("u"), false, later)->IsReusable(),
             "nothing was forgotten yet");
   world.Keep("u");
-  world.pool.OnForgotten(world.Upstream("u"), kRest, later);
+  world.pool.OnStaleConnection(world.Upstream("u"), kRest, later);
   cr_assert_not(
       world.pool.Take(world.Upstream("u"), false, later)->IsReusable());
   cr_assert(world.pool.Take(world.Upstream("u"), true, later)->IsReusable());
--- a/src/pathcleat/calls/upstream_protocol.cpp
+++ b/src/pathcleat/calls/upstream_protocol.cpp
@@ -73,24 +73,25 @@
 
 }  // namespace
 
-std::optional<Duration> CallerDeadline(const HeaderNames& names,
-                                       const HttpRequest& request) {
+std::optional<Duration> CallerTimeout(const HeaderNames& names,
+                                      const HttpRequest& request) {
   const auto text = FindHeader(request.headers, names.deadline_ms);
   return text ? ParseDeadline(*text) : std::nullopt;
 }
 
-HttpRequest ToUpstream(const HeaderNames& names,
-                       const HttpRequest& request,
-                       const RequestOrigin& origin,
-                       const std::string& upstream_id,
-                       Duration left) {
+HttpRequest MakeUpstreamRequest(const HeaderNames& names,
+                                const HttpRequest& request,
+                                const RequestMetadata& origin,
+                                const std::string& upstream_id,
+                                Duration left) {
   HttpRequest out = request;
   out.headers = EndToEndHeaders(out.headers);
   std::erase_if(out.headers, [&names, &origin](const HttpHeader& header) {
     return iequals(header.name, names.deadline_ms) ||
            iequals(header.name, names.expect_upstream) ||
            iequals(header.name, names.account) ||
-           (origin.hides_key && iequals(header.name, "Authorization")) ||
+           (origin.strips_authorization &&
+            iequals(header.name, "Authorization")) ||
            iequals(header.name, "Expect");
   });
   if (!FindHeader(out.headers, names.request_id)) {
@@ -106,8 +107,8 @@
   return out;
 }
 
-HttpClient::Matcher AnswersOf(const HeaderNames& names,
-                              const std::string& request_id) {
+HttpClient::Matcher MakeResponseMatcher(const HeaderNames& names,
+                                        const std::string& request_id) {
   return
       [id = request_id, name = names.request_id](const HttpResponse& response) {
         const auto found = FindHeader(response.headers, name);
@@ -115,8 +116,8 @@
       };
 }
 
-std::optional<LoadReport> LoadReportIn(const HeaderNames& names,
-                                       const HttpResponse& response) {
+std::optional<LoadReport> ParseLoadReport(const HeaderNames& names,
+                                          const HttpResponse& response) {
   const auto text = FindHeader(response.headers, names.load);
   if (!text) {
     return std::nullopt;
@@ -134,9 +135,9 @@
   return LoadReport{numbers[0], numbers[1], numbers[2]};
 }
 
-LimitField LimitFieldIn(const HeaderNames& names,
-                        const HttpResponse& response) {
-  LimitField field;
+RateLimitHeader ParseRateLimit(const HeaderNames& names,
+                               const HttpResponse& response) {
+  RateLimitHeader field;
   for (const HttpHeader& header : response.headers) {
     if (names.limit.empty() || !iequals(header.name, names.limit)) {
       continue;
@@ -155,7 +156,7 @@
          FindHeader(response.headers, names.not_run).has_value();
 }
 
-bool IsWholeAnswer(const HeaderNames& names, const HttpResponse& response) {
+bool IsCompleteAnswer(const HeaderNames& names, const HttpResponse& response) {
   constexpr int kFirstSuccess = 200;
   constexpr int kFirstRedirect = 300;
   const bool success =
@@ -169,7 +170,7 @@
 }
 
 HttpResponse OverLimitResponse(Duration retry_after) {
-  return RefusalResponse(http_status::kTooManyRequests, kOverLimit,
+  return RefusalResponse(http_status::kTooManyRequests, kAccountLimitReason,
                          retry_after);
 }
 
--- a/src/pathcleat/calls/upstream_protocol_test.cpp
+++ b/src/pathcleat/calls/upstream_protocol_test.cpp
@@ -11,7 +11,7 @@
 std::optional<Duration> DeadlineOf(const std::string& text) {
   const HeaderNames names;
   const HttpRequest request{"GET", "/", {{names.deadline_ms, text}}, ""};
-  return CallerDeadline(names, request);
+  return CallerTimeout(names, request);
 }
 
 // Checked to fail, by an overflow, without kLongestDeadline.
@@ -30,7 +30,7 @@
   for (const char* text : {"", " ", "soon", "2500ms", "2500 1", "0x10", "."}) {
     cr_assert(!DeadlineOf(text).has_value(), "taken for a number: %s", text);
   }
-  cr_assert(!CallerDeadline(HeaderNames(), {"GET", "/", {}, ""}).has_value());
+  cr_assert(!CallerTimeout(HeaderNames(), {"GET", "/", {}, ""}).has_value());
 }
 
 Test(upstream_protocol, no_number_gives_a_time_below_zero_or_above_a_day) {
@@ -43,12 +43,12 @@
   }));
 }
 
-LimitField LimitOf(const std::vector<std::string>& values) {
+RateLimitHeader LimitOf(const std::vector<std::string>& values) {
   HttpResponse response;
   for (const std::string& value : values) {
     response.headers.push_back({HeaderNames().limit, value});
   }
-  return LimitFieldIn(HeaderNames(), response);
+  return ParseRateLimit(HeaderNames(), response);
 }
 
 // Guards against a limit that is none and stops all sending, or ends one.
@@ -56,7 +56,7 @@
   cr_assert_not(LimitOf({}).present);
   for (const std::string bad :
        {"", "-1", "nan", "inf", "1e999", "soon", "2,5", "1.5 a second", "+2"}) {
-    const LimitField field = LimitOf({bad});
+    const RateLimitHeader field = LimitOf({bad});
     cr_assert(field.present);
     cr_assert_not(field.per_second.has_value(), "%s", bad.c_str());
   }
--- a/src/pathcleat/core/event.cpp
+++ b/src/pathcleat/core/event.cpp
@@ -91,7 +91,7 @@
   return kCatalogue;
 }
 
-const EventInfo& InfoOf(EventCode code) {
+const EventInfo& EventInfoOf(EventCode code) {
   const auto* found =
       std::find_if(kCatalogue.begin(), kCatalogue.end(),
                    [code](const EventInfo& info) { return info.code == code; });
@@ -104,7 +104,7 @@
 
 std::string ToText(const Event& event) {
   std::ostringstream text;
-  text << InfoOf(event.code).name;
+  text << EventInfoOf(event.code).name;
   if (!event.text.empty()) {
     text << ": " << event.text;
   }
@@ -117,7 +117,7 @@
 }
 
 std::string ToJsonLine(const Event& event) {
-  const EventInfo& info = InfoOf(event.code);
+  const EventInfo& info = EventInfoOf(event.code);
   nlohmann::ordered_json line;
   line["time"] = ToString(event.time);
   line["code"] = ToString(event.code);
--- a/src/pathcleat/core/event_log.cpp
+++ b/src/pathcleat/core/event_log.cpp
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-LogClass ClassOfLogger(const std::string& logger) {
+LogClass LogClassOfLogger(const std::string& logger) {
   for (const LogClass log_class : {LogClass::kRequest, LogClass::kFailure}) {
     if (logger.ends_with(ToString(log_class))) {
       return log_class;
@@ -45,10 +45,10 @@
 EventLog::EventLog(std::string host, std::size_t capacity)
     : host_(std::move(host)), capacity_(capacity) {}
 
-Event EventLog::Stamp(EventCode code,
-                      std::string subject,
-                      std::string text,
-                      EventFields fields) {
+Event EventLog::MakeEvent(EventCode code,
+                          std::string subject,
+                          std::string text,
+                          EventFields fields) {
   return {clock_.Tick(WallMicros()),
           code,
           host_,
@@ -61,12 +61,12 @@
                       std::string subject,
                       std::string text,
                       EventFields fields) {
-  Write(Stamp(code, std::move(subject), std::move(text), std::move(fields)),
-        InfoOf(code).log_class);
+  Write(MakeEvent(code, std::move(subject), std::move(text), std::move(fields)),
+        EventInfoOf(code).log_class);
 }
 
 void EventLog::Write(Event event, LogClass log_class) {
-  LoggerOf(log_class).log(LevelOf(InfoOf(event.code).severity),
+  LoggerOf(log_class).log(LevelOf(EventInfoOf(event.code).severity),
                           ToJsonLine(event));
   const std::lock_guard lock(mutex_);
   events_.push_back(std::move(event));
--- a/src/pathcleat/core/hash.cpp
+++ b/src/pathcleat/core/hash.cpp
@@ -9,14 +9,14 @@
   return XXH3_64bits_withSeed(bytes.data(), bytes.size(), seed);
 }
 
-double UnitOfHash(std::uint64_t hash) {
+double ToUnitInterval(std::uint64_t hash) {
   constexpr int kMantissaBits = 53;
   constexpr double kScale = 1.0 / (1ULL << kMantissaBits);
   return static_cast<double>(hash >> (64 - kMantissaBits)) * kScale;
 }
 
 double UnitHash(std::string_view bytes, std::uint64_t seed) {
-  return UnitOfHash(StableHash(bytes, seed));
+  return ToUnitInterval(StableHash(bytes, seed));
 }
 
 std::uint64_t MixHashes(std::uint64_t a, std::uint64_t b) {
--- a/src/pathcleat/core/histogram.cpp
+++ b/src/pathcleat/core/histogram.cpp
@@ -8,8 +8,9 @@
 
 void Histogram::Add(Duration duration) {
   const double seconds = std::chrono::duration<double>(duration).count();
-  const auto bucket = std::lower_bound(kBounds.begin(), kBounds.end(), seconds);
-  ++counts_.at(static_cast<std::size_t>(bucket - kBounds.begin()));
+  const auto bucket =
+      std::lower_bound(kBucketBounds.begin(), kBucketBounds.end(), seconds);
+  ++counts_.at(static_cast<std::size_t>(bucket - kBucketBounds.begin()));
   sum_seconds_ += seconds;
 }
 
--- a/src/pathcleat/core/log_writer.cpp
+++ b/src/pathcleat/core/log_writer.cpp
@@ -36,7 +36,7 @@
 
  protected:
   void append(const log4cplus::spi::InternalLoggingEvent& event) override {
-    writer_.Write(ClassOfLogger(event.getLoggerName()), event.getMessage());
+    writer_.Write(LogClassOfLogger(event.getLoggerName()), event.getMessage());
   }
 
  private:
--- a/src/pathcleat/core/mechanism.cpp
+++ b/src/pathcleat/core/mechanism.cpp
@@ -36,7 +36,7 @@
   return "unknown";
 }
 
-std::optional<Mechanism> MechanismNamed(std::string_view name) {
+std::optional<Mechanism> ParseMechanism(std::string_view name) {
   for (const Named& named : kNames) {
     if (named.name == name) {
       return named.mechanism;
--- a/src/pathcleat/core/seal.cpp
+++ b/src/pathcleat/core/seal.cpp
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-std::string Seal(std::string_view message, std::string_view key) {
+std::string AppendMac(std::string_view message, std::string_view key) {
   std::array<unsigned char, crypto_auth_BYTES> mac{};
   crypto_auth(mac.data(), Bytes(message), message.size(), Digest(key).data());
   std::string sealed(message);
@@ -33,8 +33,8 @@
   return sealed;
 }
 
-std::optional<std::string_view> Unseal(std::string_view sealed,
-                                       std::string_view key) {
+std::optional<std::string_view> VerifyMac(std::string_view sealed,
+                                          std::string_view key) {
   if (sealed.size() < crypto_auth_BYTES) {
     return std::nullopt;
   }
--- a/src/pathcleat/core/time.cpp
+++ b/src/pathcleat/core/time.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-void LeapBootClock(Duration leap) {
+void AdvanceBootClock(Duration leap) {
   leapt += leap.count();
 }
 
--- a/src/pathcleat/crashes/crash_ledger.cpp
+++ b/src/pathcleat/crashes/crash_ledger.cpp
@@ -40,19 +40,19 @@
 void KeepFirst(std::vector<CrashEntry>& entries) {
   std::sort(entries.begin(), entries.end(),
             [](const CrashEntry& a, const CrashEntry& b) {
-              return a.signs.size() > b.signs.size();
+              return a.observations.size() > b.observations.size();
             });
-  entries.resize(std::min(entries.size(), kMostCrashEntries));
+  entries.resize(std::min(entries.size(), kMaxCrashEntries));
 }
 
 }  // namespace
 
-EventFields FieldsOf(const CrashVerdict& verdict) {
-  return {NumberField(field::kCrashes, verdict.crashes),
+EventFields ToEventFields(const CrashDecision& verdict) {
+  return {IntegerField(field::kCrashes, verdict.crashes),
           MillisecondsField(field::kAgeMs, verdict.age),
-          NumberField(field::kFailedTrials, verdict.failed_trials),
+          IntegerField(field::kFailedTrials, verdict.failed_trials),
           MillisecondsField(field::kRetryAfterMs, verdict.retry_after),
-          {field::kFrom, verdict.told_by}};
+          {field::kFrom, verdict.reported_by}};
 }
 
 CrashLedger::CrashLedger(std::string domain, std::string host)
@@ -60,7 +60,7 @@
       host_(std::move(host)),
       own_hash_(StableHash(host_)) {}
 
-std::size_t CrashLedger::Blocked() const {
+std::size_t CrashLedger::BlockedCount() const {
   return static_cast<std::size_t>(std::count_if(
       suspects_.begin(), suspects_.end(),
       [](const auto& named) { return named.second.known.IsBlocked(); }));
@@ -106,7 +106,7 @@
 void CrashLedger::NoteOwn(RequestDigest request, bool was_blocked, Time now) {
   Suspect& suspect = suspects_.at(request);
   suspect.noted = now;
-  suspect.told_by.clear();
+  suspect.reported_by.clear();
   suspect.to_domain = {TellsOf(suspect.known), now, {}};
   suspect.to_others = suspect.to_domain;
   Notice(request, was_blocked, now);
@@ -144,17 +144,17 @@
                      });
 }
 
-CrashVerdict CrashLedger::Judge(RequestDigest request, Time now) const {
+CrashDecision CrashLedger::Judge(RequestDigest request, Time now) const {
   const auto found = suspects_.find(request);
   if (found == suspects_.end() || found->second.known.crashes() == 0) {
     return {};
   }
   const Suspect& suspect = found->second;
-  CrashVerdict verdict;
+  CrashDecision verdict;
   verdict.crashes = suspect.known.crashes();
   verdict.failed_trials = suspect.known.failed_trials();
-  verdict.age = now - suspect.known.LastCrash();
-  verdict.told_by = suspect.told_by;
+  verdict.age = now - suspect.known.LastCrashTime();
+  verdict.reported_by = suspect.reported_by;
   if (suspect.known.IsBlocked()) {
     verdict.blocked = !MayTry(request, suspect, now);
     const Duration rest = suspect.known.BlockedUntil() - now;
@@ -175,7 +175,7 @@
 void CrashLedger::Tick(Time now) {
   std::vector<RequestDigest> released;
   std::erase_if(suspects_, [&](const auto& named) {
-    const bool outlived = named.second.known.IsOutlived(now);
+    const bool outlived = named.second.known.IsExpired(now);
     if (outlived && named.second.known.IsBlocked()) {
       released.push_back(named.first);
     }
@@ -192,7 +192,7 @@
                                  bool repeats,
                                  Time now) const {
   const bool again = repeats && suspect.IsBlocked() &&
-                     now - suspect.LastCrash() < kRepeatFor &&
+                     now - suspect.LastCrashTime() < kRepeatFor &&
                      now - told >= kRepeatGap;
   return again || (left > 0 && now >= due);
 }
@@ -209,7 +209,7 @@
       tell.left = 0;
     }
     if (tell.IsDue(suspect.known, repeats, now)) {
-      report.entries.push_back(suspect.known.EntryOf(request, now));
+      report.entries.push_back(suspect.known.ToEntry(request, now));
     }
   }
   KeepFirst(report.entries);
@@ -222,11 +222,11 @@
   return report;
 }
 
-CrashReport CrashLedger::ForDomain(bool reports, Time now) {
+CrashReport CrashLedger::OwnCrashes(bool reports, Time now) {
   return Report(false, &Suspect::to_domain, reports, now);
 }
 
-CrashReport CrashLedger::ForOtherDomains(Time now) {
+CrashReport CrashLedger::DomainCrashes(Time now) {
   return Report(true, &Suspect::to_others, true, now);
 }
 
@@ -234,24 +234,24 @@
   CrashReport report{domain_, host_, false, {}};
   for (const auto& [request, suspect] : suspects_) {
     if (suspect.known.crashes() > 0) {
-      report.entries.push_back(suspect.known.EntryOf(request, now));
+      report.entries.push_back(suspect.known.ToEntry(request, now));
     }
   }
   KeepFirst(report.entries);
   return report;
 }
 
-bool CrashLedger::OnCrashes(const CrashReport& report, Time now) {
+bool CrashLedger::OnCrashReport(const CrashReport& report, Time now) {
   bool any_news = false;
   for (const CrashEntry& entry : report.entries) {
     Suspect& suspect = Entry(entry.request);
     const bool was_blocked = suspect.known.IsBlocked();
-    if (!suspect.known.Join(entry, now)) {
+    if (!suspect.known.Merge(entry, now)) {
       continue;
     }
     any_news = true;
     suspect.noted = now;
-    suspect.told_by = report.host;
+    suspect.reported_by = report.host;
     if (report.domain == domain_) {
       suspect.to_others = {TellsOf(suspect.known), now, {}};
     }
--- a/src/pathcleat/crashes/crash_ledger_test.cpp
+++ b/src/pathcleat/crashes/crash_ledger_test.cpp
@@ -31,7 +31,8 @@
 }
 
 void Block(CrashLedger& ledger, Time now) {
-  for (std::uint64_t upstream = 1; upstream <= kCrashesToBlock; ++upstream) {
+  for (std::uint64_t upstream = 1; upstream <= kCrashBlockThreshold;
+       ++upstream) {
     ledger.OnCrash(kRequest, upstream, now);
   }
 }
@@ -70,9 +71,9 @@
 
 // What one host tells is told to the other, as it would be on its way.
 void Tell(CrashLedger& from, CrashLedger& to, Time now) {
-  const auto report = DecodeCrashes(EncodeCrashes(from.ForDomain(false, now)));
+  const auto report = DecodeCrashes(EncodeCrashes(from.OwnCrashes(false, now)));
   cr_assert(report.has_value());
-  to.OnCrashes(*report, now);
+  to.OnCrashReport(*report, now);
 }
 
 Test(crash_ledger, three_hosts_that_saw_one_crash_each_block_together) {
@@ -85,7 +86,8 @@
   Tell(*hosts[0], *hosts[2], At(milliseconds(10)));
   Tell(*hosts[1], *hosts[2], At(milliseconds(10)));
   cr_assert(IsBlocked(*hosts[2], At(milliseconds(20))));
-  cr_assert_eq(hosts[2]->Judge(kRequest, At(milliseconds(20))).told_by, "a-1");
+  cr_assert_eq(hosts[2]->Judge(kRequest, At(milliseconds(20))).reported_by,
+               "a-1");
 }
 
 // Guards against a crash that is told late and counts again after the answer
@@ -108,11 +110,11 @@
   CrashLedger far("b", "b-1");
   seen.OnCrash(kRequest, 1, At(seconds(0)));
   Tell(seen, reporter, At(seconds(0)));
-  const CrashReport report = reporter.ForOtherDomains(At(seconds(0)));
+  const CrashReport report = reporter.DomainCrashes(At(seconds(0)));
   cr_assert(report.pass_on);
-  cr_assert(far.OnCrashes(report, At(seconds(0))));
+  cr_assert(far.OnCrashReport(report, At(seconds(0))));
   cr_assert_eq(far.Judge(kRequest, At(seconds(0))).crashes, 1U);
-  cr_assert(far.ForOtherDomains(At(seconds(0))).entries.empty());
+  cr_assert(far.DomainCrashes(At(seconds(0))).entries.empty());
 }
 
 // Guards against hosts that send the same news to and fro without end.
@@ -121,13 +123,14 @@
   Block(ledger, At(seconds(0)));
   int told = 0;
   for (int round = 0; round < 100; ++round) {
-    const auto report = ledger.ForDomain(false, At(milliseconds(10 * round)));
+    const auto report = ledger.OwnCrashes(false, At(milliseconds(10 * round)));
     told += static_cast<int>(report.entries.size());
   }
   cr_assert_leq(told, 4);
   CrashLedger heard("a", "a-2");
   Block(heard, At(seconds(0)));
-  cr_assert_not(heard.OnCrashes(ledger.Known(At(seconds(1))), At(seconds(1))));
+  cr_assert_not(
+      heard.OnCrashReport(ledger.Known(At(seconds(1))), At(seconds(1))));
 }
 
 // Guards against a host that was cut off while others were told, and sends a
@@ -141,7 +144,7 @@
                                        Time from) {
     std::size_t told = 0;
     for (int i = 0; i < 20; ++i) {
-      told += ledger.ForDomain(reports, from + i * milliseconds(500))
+      told += ledger.OwnCrashes(reports, from + i * milliseconds(500))
                   .entries.size();
     }
     return told;
@@ -149,7 +152,8 @@
   cr_assert_eq(tells_in_ten_seconds(member, false, At(seconds(30))), 0U);
   cr_assert_eq(tells_in_ten_seconds(reporter, true, At(seconds(30))), 5U);
   CrashLedger back("a", "a-3");
-  back.OnCrashes(reporter.ForDomain(true, At(seconds(50))), At(seconds(50)));
+  back.OnCrashReport(reporter.OwnCrashes(true, At(seconds(50))),
+                     At(seconds(50)));
   cr_assert(IsBlocked(back, At(seconds(50))));
   // What has been blocked for long is not told for ever.
   cr_assert_eq(tells_in_ten_seconds(reporter, true, At(minutes(3))), 0U);
@@ -159,7 +163,7 @@
   CrashLedger ledger("a", "a-1");
   Block(ledger, At(seconds(0)));
   CrashLedger fresh("a", "a-2");
-  fresh.OnCrashes(ledger.Known(At(seconds(30))), At(seconds(30)));
+  fresh.OnCrashReport(ledger.Known(At(seconds(30))), At(seconds(30)));
   cr_assert(IsBlocked(fresh, At(seconds(30))));
   cr_assert_eq(fresh.Judge(kRequest, At(seconds(30))).retry_after, seconds(30));
 }
@@ -223,7 +227,7 @@
   ledger.OnCrash(kRequest, 3, At(seconds(2)));
   cr_assert(IsBlocked(ledger, At(seconds(2))));
   const std::string bytes =
-      EncodeCrashes(ledger.ForDomain(false, At(seconds(2))));
+      EncodeCrashes(ledger.OwnCrashes(false, At(seconds(2))));
   cr_assert_leq(bytes.size(), 1'400U);
   ledger.Tick(At(minutes(11)));
   cr_assert_eq(ledger.size(), 1U);
@@ -233,7 +237,7 @@
 Test(crash_suspect, what_is_known_does_not_depend_on_the_order_of_news) {
   const bool holds = Holds("joins in any order", [] {
     const auto ages = *rc::gen::container<std::vector<std::uint32_t>>(
-        kCrashesToBlock, rc::gen::inRange<std::uint32_t>(0, 5'000));
+        kCrashBlockThreshold, rc::gen::inRange<std::uint32_t>(0, 5'000));
     const auto answers = *rc::gen::container<std::vector<std::uint32_t>>(
         2, rc::gen::inRange<std::uint32_t>(0, 9'000));
     std::vector<CrashEntry> news;
@@ -257,7 +261,7 @@
     }
     CrashSuspect suspect;
     for (const CrashEntry& entry : news) {
-      suspect.Join(entry, At(seconds(10)));
+      suspect.Merge(entry, At(seconds(10)));
     }
     RC_ASSERT(suspect.crashes() == after);
   });
--- a/src/pathcleat/crashes/crash_suspect.cpp
+++ b/src/pathcleat/crashes/crash_suspect.cpp
@@ -58,12 +58,12 @@
   return cleared > 0;
 }
 
-bool CrashSuspect::Join(const CrashEntry& entry, Time now) {
+bool CrashSuspect::Merge(const CrashEntry& entry, Time now) {
   bool news = false;
-  if (entry.answered_ms != kNeverAnswered) {
-    news = Clear(now - std::chrono::milliseconds(entry.answered_ms));
+  if (entry.answer_age_ms != kNeverAnswered) {
+    news = Clear(now - std::chrono::milliseconds(entry.answer_age_ms));
   }
-  for (const CrashSign& sign : entry.signs) {
+  for (const CrashObservation& sign : entry.observations) {
     const Time at = now - std::chrono::milliseconds(sign.age_ms);
     news = Add(sign.upstream, at) || news;
   }
@@ -73,20 +73,20 @@
   return news;
 }
 
-CrashEntry CrashSuspect::EntryOf(RequestDigest request, Time now) const {
+CrashEntry CrashSuspect::ToEntry(RequestDigest request, Time now) const {
   CrashEntry entry;
   entry.request = request;
   for (const Sign& sign : signs_) {
-    entry.signs.push_back({sign.upstream, Milliseconds(now - sign.at)});
+    entry.observations.push_back({sign.upstream, Milliseconds(now - sign.at)});
   }
   if (answered_ != Time::min()) {
-    entry.answered_ms = Milliseconds(now - answered_);
+    entry.answer_age_ms = Milliseconds(now - answered_);
   }
   entry.failed_trials = failed_trials_;
   return entry;
 }
 
-Time CrashSuspect::LastCrash() const {
+Time CrashSuspect::LastCrashTime() const {
   Time last = Time::min();
   for (const Sign& sign : signs_) {
     last = std::max(last, sign.at);
@@ -96,14 +96,15 @@
 
 Time CrashSuspect::BlockedUntil() const {
   const int doublings = std::min<int>(failed_trials_, kMostDoublings);
-  return LastCrash() + kFirstBlock * (1 << doublings);
+  return LastCrashTime() + kFirstBlock * (1 << doublings);
 }
 
-bool CrashSuspect::IsOutlived(Time now) const {
+bool CrashSuspect::IsExpired(Time now) const {
   if (signs_.empty()) {
     return answered_ < now - kAnswerMemory;
   }
-  return now - LastCrash() > (IsBlocked() ? kBlockedMemory : kSuspicionTime);
+  return now - LastCrashTime() >
+         (IsBlocked() ? kBlockedMemory : kSuspicionTime);
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/crashes/request_digest.cpp
+++ b/src/pathcleat/crashes/request_digest.cpp
@@ -27,9 +27,9 @@
   Append(text, request.target);
   Append(text, account);
   // Bodies may be large: they are not copied.
-  const KeyDigest body = digester.Digest(request.body);
+  const KeyedDigest body = digester.Digest(request.body);
   text.append(body.begin(), body.end());
-  const KeyDigest digest = digester.Digest(text);
+  const KeyedDigest digest = digester.Digest(text);
   RequestDigest first_half = 0;
   std::memcpy(&first_half, digest.data(), sizeof first_half);
   return first_half;
--- a/src/pathcleat/crashes/request_digest_test.cpp
+++ b/src/pathcleat/crashes/request_digest_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 KeyDigester Digester(std::string_view secret) {
-  KeyDigester digester(kRequestDigests);
+  KeyDigester digester(kRequestDigestPurpose);
   digester.SetSecret(secret);
   return digester;
 }
--- a/src/pathcleat/feeds/change_journal.cpp
+++ b/src/pathcleat/feeds/change_journal.cpp
@@ -15,7 +15,7 @@
   }
 }
 
-void ChangeJournal::StartAt(std::uint64_t version) {
+void ChangeJournal::ResetTo(std::uint64_t version) {
   floor_ = std::max(floor_, version);
   changes_.clear();
 }
--- a/src/pathcleat/feeds/change_journal_test.cpp
+++ b/src/pathcleat/feeds/change_journal_test.cpp
@@ -38,7 +38,7 @@
 Test(change_journal, knows_nothing_from_before_it_was_read_anew) {
   ChangeJournal journal(8);
   journal.Note(3, "a");
-  journal.StartAt(10);
+  journal.ResetTo(10);
   cr_assert_not(journal.Since(9).has_value());
   cr_assert(journal.Since(10)->empty());
   journal.Note(11, "b");
--- a/src/pathcleat/feeds/config_history.cpp
+++ b/src/pathcleat/feeds/config_history.cpp
@@ -11,32 +11,33 @@
 constexpr std::size_t kVersionsKept = 16;
 
 template <class Entry>
-ListChange<Entry> ChangeOf(const ListMarks& old_marks,
-                           const std::vector<Entry>& entries,
-                           const ListMarks& marks) {
-  return {StepsBetween(old_marks, entries, marks), DigestOf(marks)};
+ListDelta<Entry> ChangeOf(const ListHashes& old_marks,
+                          const std::vector<Entry>& entries,
+                          const ListHashes& marks) {
+  return {ComputeListDelta(old_marks, entries, marks), DigestOf(marks)};
 }
 
 }  // namespace
 
 void ConfigHistory::Note(const RoutingConfig& config) {
   encoded_.clear();
-  versions_.push_back(
-      {config.version, MarksOf(config.routes), MarksOf(config.accounts)});
+  versions_.push_back({config.version, ContentHashes(config.routes),
+                       ContentHashes(config.accounts)});
   if (versions_.size() > kVersionsKept) {
     versions_.pop_front();
   }
 }
 
-const std::string& ConfigHistory::PartSince(const RoutingConfig& config,
-                                            std::uint64_t known) {
+const std::string& ConfigHistory::EncodedUpdateSince(
+    const RoutingConfig& config,
+    std::uint64_t known) {
   const Version* base = Find(known);
   const std::uint64_t key = base == nullptr ? 0 : known;
   const auto found = encoded_.find(key);
   if (found != encoded_.end()) {
     return found->second;
   }
-  return encoded_[key] = EncodeConfigPart(MakePart(config, base));
+  return encoded_[key] = EncodeConfigUpdate(MakePart(config, base));
 }
 
 const ConfigHistory::Version* ConfigHistory::Find(std::uint64_t number) const {
@@ -46,9 +47,9 @@
   return found == versions_.end() ? nullptr : &*found;
 }
 
-ConfigPart ConfigHistory::MakePart(const RoutingConfig& config,
-                                   const Version* base) const {
-  ConfigPart part;
+ConfigUpdate ConfigHistory::MakePart(const RoutingConfig& config,
+                                     const Version* base) const {
+  ConfigUpdate part;
   part.config.version = config.version;
   part.config.services = config.services;
   part.config.caller_limits = config.caller_limits;
--- a/src/pathcleat/feeds/config_history_test.cpp
+++ b/src/pathcleat/feeds/config_history_test.cpp
@@ -25,9 +25,9 @@
 
 std::optional<RoutingConfig> Take(const std::string& bytes,
                                   const RoutingConfig* known) {
-  auto part = DecodeConfigPart(bytes);
+  auto part = DecodeConfigUpdate(bytes);
   cr_assert(part.has_value());
-  return CompleteConfig(std::move(*part), known);
+  return ApplyConfigUpdate(std::move(*part), known);
 }
 
 Test(config_history, host_that_knows_an_older_version_is_told_the_changes) {
@@ -39,23 +39,23 @@
   config.routes[3].home_regions = {"north"};
   config.routes.erase(config.routes.begin() + 9);
   history.Note(config);
-  const std::string& change = history.PartSince(config, 1);
+  const std::string& change = history.EncodedUpdateSince(config, 1);
   cr_assert_lt(change.size(), 1'000U);
   const auto taken = Take(change, &old_config);
   cr_assert(taken.has_value());
   cr_assert_eq(taken->version, 5U);
   cr_assert_eq(taken->services.size(), 1U);
-  cr_assert(MarksOf(taken->routes) == MarksOf(config.routes));
+  cr_assert(ContentHashes(taken->routes) == ContentHashes(config.routes));
 }
 
 Test(config_history, host_whose_version_is_not_remembered_is_told_the_whole) {
   ConfigHistory history;
   const RoutingConfig config = LargeConfig();
   history.Note(config);
-  const std::string& whole = history.PartSince(config, 77);
+  const std::string& whole = history.EncodedUpdateSince(config, 77);
   const auto taken = Take(whole, nullptr);
   cr_assert(taken.has_value());
-  cr_assert(MarksOf(taken->routes) == MarksOf(config.routes));
+  cr_assert(ContentHashes(taken->routes) == ContentHashes(config.routes));
 }
 
 // Each of seven followers had the whole encoded anew.
@@ -63,7 +63,8 @@
   ConfigHistory history;
   const RoutingConfig config = LargeConfig();
   history.Note(config);
-  cr_assert_eq(&history.PartSince(config, 0), &history.PartSince(config, 77));
+  cr_assert_eq(&history.EncodedUpdateSince(config, 0),
+               &history.EncodedUpdateSince(config, 77));
 }
 
 // Checked to fail with the accounts left out of ConfigHistory::MakePart.
@@ -73,8 +74,8 @@
   for (int i = 0; i < 500; ++i) {
     Account account;
     account.name = "account-" + std::to_string(i);
-    account.keys = {KeyDigest{static_cast<std::uint8_t>(i),
-                              static_cast<std::uint8_t>(i / 256)}};
+    account.keys = {KeyedDigest{static_cast<std::uint8_t>(i),
+                                static_cast<std::uint8_t>(i / 256)}};
     account.priority = 1;
     account.limit = {10, 20};
     account.home_regions = {"north"};
@@ -86,13 +87,13 @@
   config.accounts[7].keys.clear();
   config.accounts.erase(config.accounts.begin() + 9);
   history.Note(config);
-  const std::string& change = history.PartSince(config, 1);
+  const std::string& change = history.EncodedUpdateSince(config, 1);
   cr_assert_lt(change.size(), 1'000U);
   const auto taken = Take(change, &old_config);
   cr_assert(taken.has_value());
-  cr_assert(MarksOf(taken->accounts) == MarksOf(config.accounts));
-  const auto whole = Take(history.PartSince(config, 0), nullptr);
-  cr_assert(MarksOf(whole->accounts) == MarksOf(config.accounts));
+  cr_assert(ContentHashes(taken->accounts) == ContentHashes(config.accounts));
+  const auto whole = Take(history.EncodedUpdateSince(config, 0), nullptr);
+  cr_assert(ContentHashes(whole->accounts) == ContentHashes(config.accounts));
 }
 
 Test(config_history, change_of_another_version_is_no_configuration) {
@@ -101,7 +102,7 @@
   history.Note(config);
   config.version = 2;
   history.Note(config);
-  const std::string& change = history.PartSince(config, 1);
+  const std::string& change = history.EncodedUpdateSince(config, 1);
   cr_assert_not(Take(change, &config).has_value());
   cr_assert_not(Take(change, nullptr).has_value());
 }
--- a/src/pathcleat/feeds/config_lag.cpp
+++ b/src/pathcleat/feeds/config_lag.cpp
@@ -5,7 +5,7 @@
 
 namespace pathcleat {
 
-void ConfigLag::OnTold(std::uint64_t version, Duration age, Time now) {
+void ConfigLag::OnPeerVersion(std::uint64_t version, Duration age, Time now) {
   if (version <= applied_) {
     return;
   }
@@ -28,7 +28,7 @@
   return !missing_.empty() && now - told_ <= silence_;
 }
 
-Duration ConfigLag::BehindFor(Time now) const {
+Duration ConfigLag::LagDuration(Time now) const {
   if (!IsBehind(now)) {
     return Duration::zero();
   }
--- a/src/pathcleat/feeds/config_lag_test.cpp
+++ b/src/pathcleat/feeds/config_lag_test.cpp
@@ -14,21 +14,21 @@
   ConfigLag lag(kSilence);
   lag.OnApplied(5);
   cr_assert_not(lag.IsBehind(kStart));
-  lag.OnTold(7, Duration(0), kStart);
-  lag.OnTold(7, 2 * kSecond, kStart);
-  lag.OnTold(7, kSecond, kStart);
-  cr_assert(lag.BehindFor(kStart + kSecond) == 3 * kSecond);
+  lag.OnPeerVersion(7, Duration(0), kStart);
+  lag.OnPeerVersion(7, 2 * kSecond, kStart);
+  lag.OnPeerVersion(7, kSecond, kStart);
+  cr_assert(lag.LagDuration(kStart + kSecond) == 3 * kSecond);
 }
 
 // A host that always lacks the newest of a series must not seem up to date.
 Test(config_lag, newer_versions_do_not_hide_the_first_one_missing) {
   ConfigLag lag(kSilence);
   lag.OnApplied(5);
-  lag.OnTold(7, kSecond, kStart);
-  lag.OnTold(9, Duration(0), kStart + kSecond);
-  cr_assert(lag.BehindFor(kStart + kSecond) == 2 * kSecond);
+  lag.OnPeerVersion(7, kSecond, kStart);
+  lag.OnPeerVersion(9, Duration(0), kStart + kSecond);
+  cr_assert(lag.LagDuration(kStart + kSecond) == 2 * kSecond);
   lag.OnApplied(7);
-  cr_assert(lag.BehindFor(kStart + kSecond) == Duration::zero());
+  cr_assert(lag.LagDuration(kStart + kSecond) == Duration::zero());
   cr_assert(lag.IsBehind(kStart + kSecond));
   lag.OnApplied(9);
   cr_assert_not(lag.IsBehind(kStart + kSecond));
@@ -37,12 +37,12 @@
 Test(config_lag, what_nobody_tells_any_more_is_forgotten) {
   ConfigLag lag(kSilence);
   lag.OnApplied(5);
-  lag.OnTold(7, Duration(0), kStart);
+  lag.OnPeerVersion(7, Duration(0), kStart);
   const Time later = kStart + kSilence + Duration(1);
   cr_assert_not(lag.IsBehind(later));
-  cr_assert(lag.BehindFor(later) == Duration::zero());
-  lag.OnTold(7, Duration(0), later);
-  cr_assert(lag.BehindFor(later) == Duration::zero());
+  cr_assert(lag.LagDuration(later) == Duration::zero());
+  lag.OnPeerVersion(7, Duration(0), later);
+  cr_assert(lag.LagDuration(later) == Duration::zero());
 }
 
 }  // namespace
--- a/src/pathcleat/feeds/config_part.cpp
+++ b/src/pathcleat/feeds/config_part.cpp
@@ -29,8 +29,9 @@
 template <class Archive>
 void serialize(Archive& archive, Route& route) {
   archive(route.name, route.host, route.path_prefix, route.splits,
-          route.repeatable, route.large_answers, route.sticky, route.needs_key,
-          route.priority, route.max_attempts, route.home_regions);
+          route.repeatable, route.large_answers, route.sticky,
+          route.needs_account_key, route.priority, route.max_attempts,
+          route.home_regions);
   TransferLength(archive, route.timeout);
   TransferLength(archive, route.target_latency);
 }
@@ -43,9 +44,9 @@
 
 template <class Archive>
 void serialize(Archive& archive, HttpLimits& limits) {
-  archive(limits.header_bytes, limits.body_bytes);
-  TransferLength(archive, limits.idle_time);
-  TransferLength(archive, limits.read_time);
+  archive(limits.max_header_bytes, limits.max_body_bytes);
+  TransferLength(archive, limits.idle_timeout);
+  TransferLength(archive, limits.read_timeout);
 }
 
 template <class Archive>
@@ -66,23 +67,23 @@
 }
 
 template <class Archive, class Entry>
-void serialize(Archive& archive, ListStep<Entry>& step) {
+void serialize(Archive& archive, ListDeltaStep<Entry>& step) {
   archive(step.first, step.count, step.added);
 }
 
 template <class Archive, class Entry>
-void serialize(Archive& archive, ListChange<Entry>& change) {
+void serialize(Archive& archive, ListDelta<Entry>& change) {
   archive(change.steps, change.digest);
 }
 
 template <class Archive>
-void serialize(Archive& archive, ConfigPart& part) {
+void serialize(Archive& archive, ConfigUpdate& part) {
   archive(part.config, part.base, part.routes, part.accounts);
 }
 // NOLINTEND(readability-identifier-naming)
 
-std::optional<RoutingConfig> CompleteConfig(ConfigPart part,
-                                            const RoutingConfig* known) {
+std::optional<RoutingConfig> ApplyConfigUpdate(ConfigUpdate part,
+                                               const RoutingConfig* known) {
   if (part.base == 0) {
     return std::move(part.config);
   }
@@ -90,9 +91,9 @@
     return std::nullopt;
   }
   auto routes =
-      ApplySteps(known->routes, part.routes.steps, part.routes.digest);
-  auto accounts =
-      ApplySteps(known->accounts, part.accounts.steps, part.accounts.digest);
+      ApplyListDelta(known->routes, part.routes.steps, part.routes.digest);
+  auto accounts = ApplyListDelta(known->accounts, part.accounts.steps,
+                                 part.accounts.digest);
   if (!routes || !accounts) {
     return std::nullopt;
   }
@@ -101,12 +102,12 @@
   return std::move(part.config);
 }
 
-std::string EncodeConfigPart(const ConfigPart& part) {
+std::string EncodeConfigUpdate(const ConfigUpdate& part) {
   return EncodeBinary(part);
 }
 
-std::optional<ConfigPart> DecodeConfigPart(std::string_view bytes) {
-  return DecodeBinary<ConfigPart>(bytes);
+std::optional<ConfigUpdate> DecodeConfigUpdate(std::string_view bytes) {
+  return DecodeBinary<ConfigUpdate>(bytes);
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/feeds/fleet_snapshot.cpp
+++ b/src/pathcleat/feeds/fleet_snapshot.cpp
@@ -17,7 +17,7 @@
 template <class Archive>
 void save(Archive& archive, const FleetSnapshot& snapshot) {
   archive(snapshot.topic, snapshot.version, snapshot.changed, snapshot.whole,
-          snapshot.unsettled, snapshot.config_part, snapshot.drained,
+          snapshot.unsettled, snapshot.config_update, snapshot.drained,
           snapshot.rollouts, snapshot.gone,
           EncodeUpstreams(snapshot.upstreams));
 }
@@ -26,7 +26,7 @@
 void load(Archive& archive, FleetSnapshot& snapshot) {
   std::string rows;
   archive(snapshot.topic, snapshot.version, snapshot.changed, snapshot.whole,
-          snapshot.unsettled, snapshot.config_part, snapshot.drained,
+          snapshot.unsettled, snapshot.config_update, snapshot.drained,
           snapshot.rollouts, snapshot.gone, rows);
   auto upstreams = DecodeUpstreams(rows);
   if (!upstreams) {
--- a/src/pathcleat/feeds/peer_feed.cpp
+++ b/src/pathcleat/feeds/peer_feed.cpp
@@ -78,9 +78,9 @@
          std::to_string(request.config);
 }
 
-PeerMessage KindOf(SourceTopic topic) {
-  return topic == SourceTopic::kOrders ? PeerMessage::kOrders
-                                       : PeerMessage::kUpstreams;
+PeerMessageKind KindOf(SourceTopic topic) {
+  return topic == SourceTopic::kOrders ? PeerMessageKind::kOrders
+                                       : PeerMessageKind::kUpstreams;
 }
 
 CallTimeouts TimeoutsOf(const FeedRequest& request) {
@@ -106,7 +106,7 @@
   return snapshot;
 }
 
-void TurnAway(const ExchangePtr& exchange) {
+void TurnAway(const HttpExchangePtr& exchange) {
   exchange->Respond(
       TextResponse(http_status::kUnavailable, "no news at first hand\n"));
 }
@@ -116,12 +116,12 @@
 PeerFeed::PeerFeed(boost::asio::io_context& loop,
                    EventLog& events,
                    PeerTraffic& traffic,
-                   FeedTables& tables)
+                   SnapshotProvider& tables)
     : loop_(loop),
       events_(events),
       traffic_(traffic),
       tables_(tables),
-      server_(loop, [this](const ExchangePtr& e) { Handle(e); }),
+      server_(loop, [this](const HttpExchangePtr& e) { Handle(e); }),
       sweep_timer_(loop) {}
 
 Result<void> PeerFeed::Open(const std::string& address, std::uint16_t port) {
@@ -130,7 +130,7 @@
   return {};
 }
 
-void PeerFeed::Handle(const ExchangePtr& exchange) {
+void PeerFeed::Handle(const HttpExchangePtr& exchange) {
   const auto request = RequestIn(exchange->request().target);
   if (!request || key_.empty()) {
     exchange->Respond(TextResponse(http_status::kNotFound, "nothing here\n"));
@@ -170,11 +170,13 @@
     kept_.erase(kept_.begin());
   }
   kept_.push_back({request, newest,
-                   Seal(EncodeSnapshot(tables_.Snapshot(request)), key_), now});
+                   AppendMac(EncodeSnapshot(tables_.Snapshot(request)), key_),
+                   now});
   return kept_.back().body;
 }
 
-void PeerFeed::Answer(const ExchangePtr& exchange, const FeedRequest& request) {
+void PeerFeed::Answer(const HttpExchangePtr& exchange,
+                      const FeedRequest& request) {
   const std::string& body = BodyOf(request);
   traffic_.OnSent(KindOf(request.topic), body.size());
   exchange->Respond({http_status::kOk, {}, body});
@@ -191,7 +193,7 @@
   });
 }
 
-void PeerFeed::SetFirstHand(bool first_hand) {
+void PeerFeed::SetWatchingStore(bool first_hand) {
   first_hand_ = first_hand;
   if (first_hand) {
     return;
@@ -217,9 +219,9 @@
   });
 }
 
-PeerQuestionPtr PeerFeed::Ask(const FeedPeer& peer,
-                              FeedRequest request,
-                              Handler handler) {
+PeerFetchPtr PeerFeed::Ask(const FeedPeer& peer,
+                           FeedRequest request,
+                           Handler handler) {
   const auto endpoint = ParseTcpEndpoint(peer.address);
   if (!endpoint || key_.empty()) {
     handler(std::nullopt);
@@ -229,12 +231,12 @@
   const bool known = config != nullptr && !wants_whole_;
   request.config = known ? config->version : 0;
   HttpLimits limits;
-  limits.body_bytes = kLargestSnapshot;
+  limits.max_body_bytes = kLargestSnapshot;
   const auto client = std::make_shared<HttpClient>(loop_, *endpoint, limits);
-  PeerQuestionPtr question =
-      std::make_shared<const PeerQuestion>(PeerQuestion{peer, request, client});
-  client->SetSilenceLimit(kPeerSilenceLimit);
-  traffic_.OnAsked();
+  PeerFetchPtr question =
+      std::make_shared<const PeerFetch>(PeerFetch{peer, request, client});
+  client->SetAckTimeout(kPeerSilenceLimit);
+  traffic_.OnFetchStarted();
   client->Send(
       {"GET", TargetOf(request), {{"Host", peer.address}}, ""},
       TimeoutsOf(request),
@@ -245,7 +247,7 @@
   return question;
 }
 
-void PeerFeed::GiveUp(const PeerQuestion& question, const std::string& reason) {
+void PeerFeed::Cancel(const PeerFetch& question, const std::string& reason) {
   const std::uint64_t bytes = question.client->received();
   question.client->Cancel();
   traffic_.OnReceived(KindOf(question.request.topic), bytes);
@@ -253,7 +255,7 @@
   RecordFailure(question, bytes, reason);
 }
 
-std::optional<FeedAnswer> PeerFeed::TakeAnswer(const PeerQuestion& question,
+std::optional<FeedAnswer> PeerFeed::TakeAnswer(const PeerFetch& question,
                                                const CallResult& result) {
   const Time arrived = BootClock::now();
   traffic_.OnReceived(KindOf(question.request.topic), result.bytes);
@@ -262,7 +264,7 @@
                       : std::nullopt;
   traffic_.OnEnded(!snapshot);
   if (result.silent) {
-    traffic_.OnSilent();
+    traffic_.OnSilentConnection();
   }
   if (!snapshot) {
     RecordFailure(question, result.bytes, CauseOf(result));
@@ -273,17 +275,18 @@
                      result.transfer, BootClock::now() - arrived}};
 }
 
-void PeerFeed::RecordFailure(const PeerQuestion& question,
+void PeerFeed::RecordFailure(const PeerFetch& question,
                              std::uint64_t bytes,
                              const std::string& reason) {
-  events_.Record(EventCode::kTransferFailed, question.peer.name,
-                 PathOf(question.request.topic),
-                 {NumberField(field::kBytes, bytes), {field::kReason, reason}});
+  events_.Record(
+      EventCode::kTransferFailed, question.peer.name,
+      PathOf(question.request.topic),
+      {IntegerField(field::kBytes, bytes), {field::kReason, reason}});
 }
 
 std::optional<FleetSnapshot> PeerFeed::Open(const FeedRequest& request,
                                             const std::string& body) {
-  const auto message = Unseal(body, key_);
+  const auto message = VerifyMac(body, key_);
   if (!message) {
     return std::nullopt;
   }
@@ -300,11 +303,11 @@
 
 // A change may be of another version than the one in force by now.
 PeerFeed::PartUse PeerFeed::Complete(FleetSnapshot& snapshot) {
-  if (snapshot.config_part.empty()) {
+  if (snapshot.config_update.empty()) {
     return PartUse::kComplete;
   }
-  auto part = DecodeConfigPart(snapshot.config_part);
-  snapshot.config_part.clear();
+  auto part = DecodeConfigUpdate(snapshot.config_update);
+  snapshot.config_update.clear();
   if (!part) {
     return PartUse::kUnusable;
   }
@@ -316,7 +319,7 @@
   if (IsOvertaken(*part)) {
     return PartUse::kOvertaken;
   }
-  auto config = CompleteConfig(std::move(*part), known);
+  auto config = ApplyConfigUpdate(std::move(*part), known);
   wants_whole_ = !config.has_value();
   if (!config) {
     return PartUse::kUnusable;
@@ -327,7 +330,7 @@
 
 // A watch may wait for 20 s, and another answer came into force meanwhile. Who
 // asks again tells the version in force by then, and is told what changes it.
-bool PeerFeed::IsOvertaken(const ConfigPart& part) const {
+bool PeerFeed::IsOvertaken(const ConfigUpdate& part) const {
   const RoutingConfig* known = tables_.Config();
   return part.base > 0 && known != nullptr && known->version > part.base;
 }
--- a/src/pathcleat/feeds/peer_feed_test.cpp
+++ b/src/pathcleat/feeds/peer_feed_test.cpp
@@ -18,7 +18,7 @@
 constexpr Duration kTimeout{1'000'000};
 
 // What a host knows, as the test says.
-class HandTables : public FeedTables {
+class HandTables : public SnapshotProvider {
  public:
   explicit HandTables(std::uint64_t version) { Take(version); }
 
@@ -44,7 +44,8 @@
     snapshot.version = config_.version;
     snapshot.changed = config_.version;
     if (config_.version > request.config) {
-      snapshot.config_part = history_.PartSince(config_, request.config);
+      snapshot.config_update =
+          history_.EncodedUpdateSince(config_, request.config);
     }
     return snapshot;
   }
@@ -96,7 +97,7 @@
   }
 
   boost::asio::io_context loop{1};
-  std::string address = OwnAddress();
+  std::string address = UniqueLoopbackAddress();
   EventLog events{"host", 100};
   PeerTraffic traffic;
   HandTables told;
@@ -164,18 +165,18 @@
 }
 
 // A watch over a connection that fell silent ends by itself, and a new one
-// works. Checked to fail (after 3.4 s) with SetSilenceLimit out of
+// works. Checked to fail (after 3.4 s) with SetAckTimeout out of
 // Ask.
 Test(peer_feed, watch_that_fell_silent_is_given_up) {
   FeedWorld world(5);
   world.told.Take(5);
-  world.teller.SetFirstHand(true);
+  world.teller.SetWatchingStore(true);
   PassThrough way(world.loop, world.address,
                   *ParseTcpEndpoint(world.TellerAddress()));
   world.AskAt(way.address(), 5, kWait);
-  cr_assert(WaitUntil(world.loop, [&] { return way.passing() == 1; }));
+  cr_assert(WaitUntil(world.loop, [&] { return way.forwarding_count() == 1; }));
   const Time silenced = BootClock::now();
-  way.Silence(Hush::kNetwork);
+  way.SilenceConnections(SilenceMode::kDropPackets);
   world.AwaitAnswer();
   constexpr Duration kFound{2'900'000};
   cr_assert_lt((BootClock::now() - silenced).count(), kFound.count());
@@ -201,11 +202,11 @@
   FeedRequest request;
   request.config = 5;
   const std::string body =
-      Seal(EncodeSnapshot(world.told.Snapshot(request)), kKey);
+      AppendMac(EncodeSnapshot(world.told.Snapshot(request)), kKey);
   thin.Send("HTTP/1.1 200 OK\r\nContent-Length: " +
             std::to_string(body.size()) + "\r\n\r\n");
   const Time began = BootClock::now();
-  thin.Drip(body, std::chrono::milliseconds(1'300 / body.size() + 1));
+  thin.SendByteByByte(body, std::chrono::milliseconds(1'300 / body.size() + 1));
   world.AwaitAnswer();
   constexpr Duration kOnceTheTotal{1'000'000};
   cr_assert_gt((BootClock::now() - began).count(), kOnceTheTotal.count());
--- a/src/pathcleat/feeds/relayed_source.cpp
+++ b/src/pathcleat/feeds/relayed_source.cpp
@@ -35,7 +35,7 @@
 RelayChoice RelayedSource::Choose(Time now) {
   std::erase_if(avoided_,
                 [now](const auto& peer) { return now >= peer.second; });
-  RelayNeed need;
+  RelayCriteria need;
   need.domains = domains_;
   need.store_failed = store_failed_ && now - *store_failed_ < kStoreFailTime;
   for (const auto& [peer, until] : avoided_) {
@@ -47,7 +47,7 @@
 // Who has read the topic says so in its heartbeats, and is then asked beside.
 bool RelayedSource::AwaitsOthers(SourceTopic topic, Time now) {
   const Time since = waiting_since_.try_emplace(topic, now).first->second;
-  if (ReadsStore(hosts_, {domains_, now - since}, now)) {
+  if (ShouldReadStore(hosts_, {domains_, now - since}, now)) {
     waiting_since_.erase(topic);
     return false;
   }
@@ -71,7 +71,7 @@
       AskPeer({choice.peer_name, choice.peer_address}, {topic, 0, Duration(0)},
               callback);
       return;
-    case RelayKind::kNobody:
+    case RelayKind::kNone:
       callback(NotAsked());
       return;
     case RelayKind::kStore:
@@ -93,7 +93,7 @@
       BeginWatch({choice.peer_name, choice.peer_address}, {topic, after, wait},
                  std::move(callback));
       return;
-    case RelayKind::kNobody:
+    case RelayKind::kNone:
       LeaveStore(topic);
       callback(NotAsked());
       return;
@@ -107,7 +107,7 @@
 void RelayedSource::BeginWatch(const FeedPeer& peer,
                                const FeedRequest& request,
                                Callback callback) {
-  const PeerQuestionPtr question =
+  const PeerFetchPtr question =
       AskPeer(peer, request,
               [this, topic = request.topic,
                callback = std::move(callback)](const SourceAnswer& answer) {
@@ -125,21 +125,22 @@
   if (watch == watches_.end()) {
     return;
   }
-  const PeerQuestionPtr question = watch->second;
+  const PeerFetchPtr question = watch->second;
   watches_.erase(watch);
   avoided_[question->peer.address] = BootClock::now() + kAvoidTime;
-  peers_.GiveUp(*question, "others know more");
+  peers_.Cancel(*question, "others know more");
 }
 
 std::optional<Time> RelayedSource::WatchHeard(SourceTopic topic) const {
   const auto watch = watches_.find(topic);
-  return watch == watches_.end() ? std::nullopt
-                                 : watch->second->client->last_heard();
+  return watch == watches_.end()
+             ? std::nullopt
+             : watch->second->client->last_response_byte_at();
 }
 
-PeerQuestionPtr RelayedSource::AskPeer(const FeedPeer& peer,
-                                       const FeedRequest& request,
-                                       const Callback& callback) {
+PeerFetchPtr RelayedSource::AskPeer(const FeedPeer& peer,
+                                    const FeedRequest& request,
+                                    const Callback& callback) {
   return peers_.Ask(peer, request,
                     [this, address = peer.address,
                      callback](const std::optional<FeedAnswer>& answer) {
@@ -211,7 +212,7 @@
       at_store_.size() > 1 &&
       std::all_of(at_store_.begin(), at_store_.end(),
                   [](const auto& topic) { return topic.second; });
-  return watching ? StoreAccess::kWatching : StoreAccess::kFollowing;
+  return watching ? StoreAccess::kWatching : StoreAccess::kFollowingPeer;
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/feeds/source_watcher.cpp
+++ b/src/pathcleat/feeds/source_watcher.cpp
@@ -39,7 +39,7 @@
   sum.from = page.from;
   sum.bytes += page.bytes;
   sum.took += page.took;
-  sum.decoding += page.decoding;
+  sum.decode_time += page.decode_time;
 }
 
 }  // namespace
@@ -48,7 +48,7 @@
                              FleetSource& source,
                              SourceTopic topic,
                              Handler handler,
-                             Observer observer)
+                             ReachabilityHandler observer)
     : source_(source),
       topic_(topic),
       pace_(topic == SourceTopic::kOrders ? kOrdersPace : kUpstreamsPace),
@@ -113,7 +113,7 @@
   Watch();
 }
 
-void SourceWatcher::DistrustBefore(Time since) {
+void SourceWatcher::RestartIfOlderThan(Time since) {
   if (!reading_ && loaded_ && !in_doubt_ && watch_began_ < since) {
     WatchAnew();
   }
--- a/src/pathcleat/feeds/upstream_rows.cpp
+++ b/src/pathcleat/feeds/upstream_rows.cpp
@@ -132,7 +132,7 @@
   writer.Name(upstream.service);
   writer.Name(upstream.domain);
   writer.Name(upstream.version);
-  writer.Number(upstream.born);
+  writer.Number(upstream.started_ms);
   writer.Number(static_cast<std::uint64_t>(upstream.slots));
   if (cold) {
     writer.Number(static_cast<std::uint64_t>(upstream.cold_for.count()));
@@ -153,7 +153,7 @@
   upstream.service = reader.Name();
   upstream.domain = reader.Name();
   upstream.version = reader.Name();
-  upstream.born = reader.Number();
+  upstream.started_ms = reader.Number();
   upstream.slots = static_cast<int>(reader.Number());
   upstream.leaving = (flags & kLeaving) != 0;
   if ((flags & kCold) != 0) {
--- a/src/pathcleat/feeds/upstream_rows_test.cpp
+++ b/src/pathcleat/feeds/upstream_rows_test.cpp
@@ -14,7 +14,7 @@
       "10.1.0.35:8144", "0.0.0.0:0", "010.1.0.35:8144", "nowhere", "");
   upstream.domain = *rc::gen::element<std::string>("a", "b");
   upstream.version = *rc::gen::element<std::string>("v1", "v2");
-  upstream.born = *rc::gen::arbitrary<std::uint64_t>();
+  upstream.started_ms = *rc::gen::arbitrary<std::uint64_t>();
   upstream.slots = *rc::gen::inRange(0, 1'000'000);
   upstream.leaving = *rc::gen::arbitrary<bool>();
   upstream.cold_for = Duration(*rc::gen::inRange(0, 5'000'000));
@@ -56,7 +56,7 @@
                        ":8080";
     upstream.domain = "domain-" + std::to_string(i % 9);
     upstream.version = "v1";
-    upstream.born = 1'764'736'000'000 + i;
+    upstream.started_ms = 1'764'736'000'000 + i;
     upstream.slots = 8;
     upstreams.push_back(upstream);
   }
--- a/src/pathcleat/fleet/domain_report.cpp
+++ b/src/pathcleat/fleet/domain_report.cpp
@@ -14,11 +14,11 @@
   return MixHashes(StableHash(host.name), host.incarnation);
 }
 
-std::string EncodeReport(const DomainReport& report) {
+std::string EncodeDomainReport(const DomainReport& report) {
   return EncodeBinary(report);
 }
 
-std::optional<DomainReport> DecodeReport(std::string_view bytes) {
+std::optional<DomainReport> DecodeDomainReport(std::string_view bytes) {
   return DecodeBinary<DomainReport>(bytes);
 }
 
--- a/src/pathcleat/fleet/domain_reporter.cpp
+++ b/src/pathcleat/fleet/domain_reporter.cpp
@@ -58,7 +58,7 @@
  public:
   explicit ReportPacker(DomainReport head) : head_(std::move(head)) {}
 
-  void Add(const MemberSign& member, const HostVersions& versions) {
+  void Add(const MemberObservation& member, const HostVersions& versions) {
     if (reports_.empty() || named_ == kMostMembers) {
       Begin();
     }
@@ -93,7 +93,7 @@
 
 bool DomainReporter::IsReporter(Time now) const {
   const auto heard_of_late = [now](const KnownHost& host) {
-    return host.ever_heard && now - host.heard <= kReporterSilence;
+    return host.has_heartbeat && now - host.heard <= kReporterSilence;
   };
   return CountAhead(hosts_, hosts_.self(), heard_of_late) < kReporters;
 }
@@ -146,8 +146,9 @@
   return alone;
 }
 
-std::vector<DomainReport> DomainReporter::Reports(const HostVersions& versions,
-                                                  Time now) {
+std::vector<DomainReport> DomainReporter::MakeReports(
+    const HostVersions& versions,
+    Time now) {
   ++round_;
   DomainReport head;
   head.domain = hosts_.self().domain;
--- a/src/pathcleat/fleet/domain_reporter_test.cpp
+++ b/src/pathcleat/fleet/domain_reporter_test.cpp
@@ -13,8 +13,8 @@
 Test(domain_reporter, all_hosts_are_known_a_second_after_the_start) {
   Fleet fleet(9, 12);
   fleet.Run(Duration(1'100'000));
-  for (const Node& node : fleet.nodes) {
-    cr_assert_eq(fleet.Alive(node), 108);
+  for (const HeartbeatNode& node : fleet.nodes) {
+    cr_assert_eq(fleet.AliveCount(node), 108);
   }
 }
 
@@ -27,10 +27,10 @@
         Fleet fleet(4, 6);
         fleet.Run(Duration(2'000'000));
         const int domain = *rc::gen::inRange(0, 4);
-        const int phases = *rc::gen::inRange(0, kPhases);
+        const int phases = *rc::gen::inRange(0, kPhasesPerInterval);
         fleet.Run(kPhase * phases);
         int killed = 0;
-        for (Node& node : fleet.nodes) {
+        for (HeartbeatNode& node : fleet.nodes) {
           const bool reports =
               node.info.domain == "domain-" + std::to_string(domain) &&
               node.reporter->IsReporter(fleet.now);
@@ -39,8 +39,9 @@
         }
         RC_ASSERT(killed == 2);
         fleet.Run(Duration(6'000'000), [&] {
-          for (const Node& node : fleet.nodes) {
-            RC_ASSERT(!node.runs || fleet.Alive(node) >= fleet.Running());
+          for (const HeartbeatNode& node : fleet.nodes) {
+            RC_ASSERT(!node.runs ||
+                      fleet.AliveCount(node) >= fleet.RunningCount());
           }
         });
       },
@@ -52,8 +53,8 @@
   fleet.Run(Duration(2'000'000));
   fleet.nodes[8].runs = false;
   fleet.Run(kSilence + kPhase);
-  for (const Node& node : fleet.nodes) {
-    cr_assert(!node.runs || fleet.Alive(node) == fleet.Running());
+  for (const HeartbeatNode& node : fleet.nodes) {
+    cr_assert(!node.runs || fleet.AliveCount(node) == fleet.RunningCount());
   }
 }
 
@@ -67,8 +68,8 @@
         fleet.lost = [&draws] { return MixHashes(++draws, 7) % 20 == 0; };
         fleet.Run(Duration(3'000'000));
         fleet.Run(Duration(10'000'000), [&] {
-          for (const Node& node : fleet.nodes) {
-            RC_ASSERT(fleet.Alive(node) == fleet.Running());
+          for (const HeartbeatNode& node : fleet.nodes) {
+            RC_ASSERT(fleet.AliveCount(node) == fleet.RunningCount());
           }
         });
       },
@@ -80,11 +81,11 @@
   Fleet fleet(4, 6);
   fleet.Run(Duration(2'000'000));
   fleet.nodes[3].runs = false;
-  fleet.ListAll(fleet.Start(HostAt(0, 3, 2)));
-  fleet.ListAll(fleet.Start(HostAt(2, 7)));
+  fleet.ListAllHosts(fleet.Start(HostAt(0, 3, 2)));
+  fleet.ListAllHosts(fleet.Start(HostAt(2, 7)));
   fleet.Run(Duration(1'600'000));
-  for (const Node& node : fleet.nodes) {
-    cr_assert(!node.runs || fleet.Alive(node) == 25);
+  for (const HeartbeatNode& node : fleet.nodes) {
+    cr_assert(!node.runs || fleet.AliveCount(node) == 25);
   }
 }
 
@@ -98,17 +99,17 @@
   Fleet fleet(0, 0);
   for (int i = 0; i < kHosts; ++i) {
     for (int d = 0; d < kDomains; ++d) {
-      Node& node = fleet.Start(HostAt(d, i));
-      fleet.ListAll(node);
+      HeartbeatNode& node = fleet.Start(HostAt(d, i));
+      fleet.ListAllHosts(node);
     }
   }
   // Those that are listed are greeted, and answer.
-  for (Node& node : fleet.nodes) {
+  for (HeartbeatNode& node : fleet.nodes) {
     fleet.Greet(node);
   }
   fleet.Run(Duration(2'500'000));
-  for (const Node& node : fleet.nodes) {
-    cr_assert_eq(fleet.Alive(node), kDomains * kHosts);
+  for (const HeartbeatNode& node : fleet.nodes) {
+    cr_assert_eq(fleet.AliveCount(node), kDomains * kHosts);
   }
 }
 
@@ -117,18 +118,18 @@
 Test(domain_reporter, domains_find_each_other_after_a_cut) {
   Fleet fleet(3, 4);
   fleet.Run(Duration(2'000'000));
-  std::vector<Node> away;
-  for (Node& node : fleet.nodes) {
+  std::vector<HeartbeatNode> away;
+  for (HeartbeatNode& node : fleet.nodes) {
     node.runs = node.info.domain == "domain-0";
   }
   fleet.Run(Duration(5'000'000));
-  cr_assert_eq(fleet.Alive(fleet.nodes[0]), 4);
-  for (Node& node : fleet.nodes) {
+  cr_assert_eq(fleet.AliveCount(fleet.nodes[0]), 4);
+  for (HeartbeatNode& node : fleet.nodes) {
     node.runs = true;
   }
   fleet.Run(Duration(1'600'000));
-  for (const Node& node : fleet.nodes) {
-    cr_assert_eq(fleet.Alive(node), 12);
+  for (const HeartbeatNode& node : fleet.nodes) {
+    cr_assert_eq(fleet.AliveCount(node), 12);
   }
 }
 
@@ -142,11 +143,11 @@
       [] {
         Fleet fleet(4, 6);
         const auto check = [&fleet] {
-          RC_ASSERT(fleet.SharesTaken() <= 1.0001);
+          RC_ASSERT(fleet.TotalShare() <= 1.0001);
         };
         check();
         fleet.Run(Duration(6'000'000), check);
-        for (Node& node : fleet.nodes) {
+        for (HeartbeatNode& node : fleet.nodes) {
           node.runs = *rc::gen::inRange(0, 2) == 0;
         }
         fleet.Run(Duration(6'000'000), check);
@@ -188,7 +189,7 @@
     table.OnHeard(HostAt(0, 3), other, at);
   }
   const auto reports =
-      reporter.Reports(late, heard + std::chrono::milliseconds(50));
+      reporter.MakeReports(late, heard + std::chrono::milliseconds(50));
   cr_assert_eq(reports.size(), 1U);
   cr_assert_eq(reports.front().groups.size(), 2U);
   const MemberGroup& group = reports.front().groups.front();
@@ -205,8 +206,8 @@
   }
   DomainReporter reporter(table, kStart);
   std::size_t members = 0;
-  for (const DomainReport& report : reporter.Reports({}, kStart)) {
-    cr_assert_lt(EncodeReport(report).size(), kPacket);
+  for (const DomainReport& report : reporter.MakeReports({}, kStart)) {
+    cr_assert_lt(EncodeDomainReport(report).size(), kPacket);
     for (const MemberGroup& group : report.groups) {
       members += group.members.size();
     }
@@ -218,7 +219,7 @@
   cr_assert(Holds("no bytes do harm", [] {
     const auto bytes =
         *rc::gen::container<std::string>(rc::gen::inRange<char>(-128, 127));
-    DecodeReport(bytes);
+    DecodeDomainReport(bytes);
   }));
 }
 
--- a/src/pathcleat/fleet/heartbeat_plan.cpp
+++ b/src/pathcleat/fleet/heartbeat_plan.cpp
@@ -62,14 +62,14 @@
 }
 
 std::vector<std::string> HeartbeatPlan::Told(Time now) const {
-  return IsLarge(now) ? Living(now) : std::vector<std::string>();
+  return IsLarge(now) ? AliveInDomain(now) : std::vector<std::string>();
 }
 
 std::vector<std::string> HeartbeatPlan::Known() const {
   return AddressesOf(Domain());
 }
 
-std::vector<std::string> HeartbeatPlan::Living(Time now) const {
+std::vector<std::string> HeartbeatPlan::AliveInDomain(Time now) const {
   std::vector<const KnownHost*> living = Domain();
   std::erase_if(living, [&](const KnownHost* host) {
     return !hosts_.IsAlive(*host, now);
--- a/src/pathcleat/fleet/heartbeat_plan_test.cpp
+++ b/src/pathcleat/fleet/heartbeat_plan_test.cpp
@@ -15,7 +15,7 @@
   Fleet fleet(1, per_domain);
   // Until nobody is new.
   fleet.Run(Duration(5'000'000));
-  for (Node& node : fleet.nodes) {
+  for (HeartbeatNode& node : fleet.nodes) {
     node.received = 0;
   }
   fleet.Run(Duration(1'000'000) * kSeconds);
@@ -40,19 +40,19 @@
   constexpr int kHosts = 60;
   Fleet fleet(2, kHosts);
   fleet.Run(Duration(5'000'000));
-  const Node& last = fleet.nodes[kHosts - 1];
+  const HeartbeatNode& last = fleet.nodes[kHosts - 1];
   const auto heard_by = last.plan->Receivers(fleet.now);
   cr_assert_eq(heard_by.size(), 4U);
   for (const std::string& address : heard_by) {
     fleet.Find(address)->runs = false;
   }
   fleet.Run(Duration(6'000'000), [&] {
-    for (const Node& node : fleet.nodes) {
-      cr_assert(!node.runs || fleet.Alive(node) >= fleet.Running());
+    for (const HeartbeatNode& node : fleet.nodes) {
+      cr_assert(!node.runs || fleet.AliveCount(node) >= fleet.RunningCount());
     }
   });
-  for (const Node& node : fleet.nodes) {
-    cr_assert(!node.runs || fleet.Alive(node) == fleet.Running());
+  for (const HeartbeatNode& node : fleet.nodes) {
+    cr_assert(!node.runs || fleet.AliveCount(node) == fleet.RunningCount());
   }
 }
 
@@ -63,8 +63,8 @@
   fleet.lost = [&draws] { return MixHashes(++draws, 7) % 20 == 0; };
   fleet.Run(Duration(3'000'000));
   fleet.Run(Duration(15'000'000), [&] {
-    for (const Node& node : fleet.nodes) {
-      cr_assert_eq(fleet.Alive(node), fleet.Running());
+    for (const HeartbeatNode& node : fleet.nodes) {
+      cr_assert_eq(fleet.AliveCount(node), fleet.RunningCount());
     }
   });
 }
--- a/src/pathcleat/fleet/host_table.cpp
+++ b/src/pathcleat/fleet/host_table.cpp
@@ -52,7 +52,7 @@
   kept = host;
 }
 
-void HostTable::OnListed(const HostInfo& host, Time now) {
+void HostTable::OnStoreRow(const HostInfo& host, Time now) {
   if (host.name == self_.name) {
     return;
   }
@@ -82,19 +82,19 @@
   return !was_alive;
 }
 
-void HostTable::OnIntroduced(const HostInfo& host, Time now) {
+void HostTable::OnInfoReported(const HostInfo& host, Time now) {
   const auto known = others_.find(host.name);
   if (known != others_.end() && !IsAlive(known->second, now) &&
       known->second.info.incarnation > host.incarnation) {
-    Keep({host, now, now, false, known->second.reported_alive, {}});
+    Keep({host, now, now, false, known->second.alive_at_last_check, {}});
     return;
   }
-  OnListed(host, now);
+  OnStoreRow(host, now);
 }
 
-const KnownHost* HostTable::OnReported(const MemberSign& member,
-                                       const HostVersions& versions,
-                                       Time now) {
+const KnownHost* HostTable::OnMemberReported(const MemberObservation& member,
+                                             const HostVersions& versions,
+                                             Time now) {
   const auto name = names_.find(member.id);
   if (name == names_.end()) {
     return nullptr;
@@ -103,16 +103,16 @@
   const Time heard = now - std::chrono::milliseconds(member.age_ms);
   const bool was_alive = IsAlive(host, now);
   // What was heard of the host itself, or by a shorter way, is newer.
-  if (host.ever_heard && heard <= host.heard) {
+  if (host.has_heartbeat && heard <= host.heard) {
     return nullptr;
   }
   host.since = was_alive ? host.since : now;
   host.heard = heard;
-  host.ever_heard = true;
+  host.has_heartbeat = true;
   host.info.leaving = member.leaving;
   host.versions = versions;
   const bool is_back = !was_alive && IsAlive(host, now);
-  host.reported_alive = host.reported_alive || is_back;
+  host.alive_at_last_check = host.alive_at_last_check || is_back;
   return is_back ? &host : nullptr;
 }
 
@@ -121,14 +121,14 @@
 }
 
 bool HostTable::IsAlive(const KnownHost& host, Time now) const {
-  return host.ever_heard && SilenceOf(host, now) <= silence_;
+  return host.has_heartbeat && SilenceOf(host, now) <= silence_;
 }
 
 std::vector<std::string> HostTable::NewlySilent(Time now) {
   std::vector<std::string> silent;
   for (auto& [name, host] : others_) {
-    if (host.reported_alive && !IsAlive(host, now)) {
-      host.reported_alive = false;
+    if (host.alive_at_last_check && !IsAlive(host, now)) {
+      host.alive_at_last_check = false;
       silent.push_back(name);
     }
   }
@@ -148,7 +148,7 @@
   return others;
 }
 
-int HostTable::SharersIn(const std::string& region, Time now) const {
+int HostTable::LimitSharerCountIn(const std::string& region, Time now) const {
   int count = self_.region == region ? 1 : 0;
   for (const auto& [name, host] : others_) {
     count += host.info.region == region && Shares(host, now) ? 1 : 0;
@@ -156,7 +156,8 @@
   return std::max(1, count);
 }
 
-std::map<std::string, int> HostTable::SharersByRegion(Time now) const {
+std::map<std::string, int> HostTable::LimitSharerCountsByRegion(
+    Time now) const {
   std::map<std::string, int> sharers{{self_.region, 1}};
   for (const auto& [name, host] : others_) {
     if (Shares(host, now)) {
@@ -166,7 +167,7 @@
   return sharers;
 }
 
-int HostTable::Sharers(Time now) const {
+int HostTable::LimitSharerCount(Time now) const {
   int count = 1;
   for (const auto& [name, host] : others_) {
     count += Shares(host, now) ? 1 : 0;
@@ -174,7 +175,7 @@
   return count;
 }
 
-int HostTable::Alive(Time now) const {
+int HostTable::AliveCount(Time now) const {
   int count = 1;
   for (const auto& [name, host] : others_) {
     count += IsAlive(host, now) ? 1 : 0;
--- a/src/pathcleat/fleet/host_table_test.cpp
+++ b/src/pathcleat/fleet/host_table_test.cpp
@@ -34,7 +34,7 @@
   table.OnHeard(HostAt("near", "n1", "north"), {}, kStart);
   table.OnHeard(HostAt("beside", "n2", "north"), {}, kStart);
   table.OnHeard(HostAt("far", "s1", "south"), {}, kStart);
-  table.OnListed(HostAt("listed", "n1", "north"), kStart);
+  table.OnStoreRow(HostAt("listed", "n1", "north"), kStart);
   auto found = table.Locate("north", "n1", 16, kStart);
   cr_assert_eq(found.size(), 2U);
   cr_assert(Has(found, "self") && Has(found, "near"));
@@ -63,20 +63,20 @@
   table.OnAwake(kStart);
   table.OnHeard(HostAt("near", "n1", "north"), {}, kStart);
   table.OnAwake(kStart + kPeriod);
-  cr_assert_eq(table.TakeStandstill().count(), 0);
+  cr_assert_eq(table.TakeStallDuration().count(), 0);
   const Time woken = kStart + kPeriod + std::chrono::seconds(60);
   table.OnAwake(woken);
-  cr_assert_eq(table.TakeStandstill().count(), Duration(60'000'000).count());
-  cr_assert_eq(table.TakeStandstill().count(), 0);
-  cr_assert_eq(table.Alive(woken), 2);
-  cr_assert_eq(table.Sharers(woken), 2);
+  cr_assert_eq(table.TakeStallDuration().count(), Duration(60'000'000).count());
+  cr_assert_eq(table.TakeStallDuration().count(), 0);
+  cr_assert_eq(table.AliveCount(woken), 2);
+  cr_assert_eq(table.LimitSharerCount(woken), 2);
   cr_assert(table.NewlySilent(woken).empty());
   // From now on it is heard, or falls silent, as ever.
   Time now = woken;
   for (; now < woken + kSilence; now += kPeriod) {
     table.OnAwake(now);
   }
-  cr_assert_eq(table.Alive(now), 1);
+  cr_assert_eq(table.AliveCount(now), 1);
 }
 
 Test(host_table, configuration_counts_at_hosts_that_take_callers) {
@@ -116,33 +116,33 @@
   cr_assert_eq(table.Locate("north", "n1", 16, later).size(), 2U);
 }
 
-MemberSign SignOf(const HostInfo& host, int age_ms) {
+MemberObservation SignOf(const HostInfo& host, int age_ms) {
   return {IncarnationId(host), static_cast<std::uint16_t>(age_ms), false};
 }
 
 Test(host_table, report_counts_from_when_the_host_was_heard) {
   HostTable table(HostAt("self", "n1", "north"), kSilence);
   const HostInfo far = HostAt("far", "s1", "south");
-  cr_assert_null(table.OnReported(SignOf(far, 500), {}, kStart));
-  table.OnIntroduced(far, kStart);
-  cr_assert_eq(table.Alive(kStart), 1);
-  cr_assert_not_null(table.OnReported(SignOf(far, 500), {}, kStart));
-  cr_assert_eq(table.Alive(kStart + Duration(2'000'000)), 2);
+  cr_assert_null(table.OnMemberReported(SignOf(far, 500), {}, kStart));
+  table.OnInfoReported(far, kStart);
+  cr_assert_eq(table.AliveCount(kStart), 1);
+  cr_assert_not_null(table.OnMemberReported(SignOf(far, 500), {}, kStart));
+  cr_assert_eq(table.AliveCount(kStart + Duration(2'000'000)), 2);
   // An older report, by a longer way, changes nothing.
-  table.OnReported(SignOf(far, 900), {}, kStart);
-  cr_assert_eq(table.Alive(kStart + Duration(2'000'000)), 2);
-  cr_assert_eq(table.Alive(kStart + Duration(2'001'000)), 1);
+  table.OnMemberReported(SignOf(far, 900), {}, kStart);
+  cr_assert_eq(table.AliveCount(kStart + Duration(2'000'000)), 2);
+  cr_assert_eq(table.AliveCount(kStart + Duration(2'001'000)), 1);
 }
 
 Test(host_table, report_of_a_gone_incarnation_revives_nobody) {
   HostTable table(HostAt("self", "n1", "north"), kSilence);
   HostInfo restarted = HostAt("far", "s1", "south");
   restarted.incarnation = 2;
-  table.OnIntroduced(restarted, kStart);
-  table.OnReported(SignOf(HostAt("far", "s1", "south"), 0), {}, kStart);
-  cr_assert_eq(table.Alive(kStart), 1);
-  table.OnReported(SignOf(restarted, 0), {}, kStart);
-  cr_assert_eq(table.Alive(kStart), 2);
+  table.OnInfoReported(restarted, kStart);
+  table.OnMemberReported(SignOf(HostAt("far", "s1", "south"), 0), {}, kStart);
+  cr_assert_eq(table.AliveCount(kStart), 1);
+  table.OnMemberReported(SignOf(restarted, 0), {}, kStart);
+  cr_assert_eq(table.AliveCount(kStart), 2);
 }
 
 Test(heartbeat, sealed_heartbeats_are_read_and_changed_ones_are_not) {
@@ -150,15 +150,15 @@
     Heartbeat heartbeat;
     heartbeat.host = HostAt("host", "domain", "region");
     heartbeat.versions.config = 7;
-    const std::string sealed = Seal(EncodeHeartbeat(heartbeat), "key");
-    const auto message = Unseal(sealed, "key");
+    const std::string sealed = AppendMac(EncodeHeartbeat(heartbeat), "key");
+    const auto message = VerifyMac(sealed, "key");
     RC_ASSERT(message.has_value());
     RC_ASSERT(DecodeHeartbeat(*message)->versions.config == 7U);
     std::string changed = sealed;
     const auto at = *rc::gen::inRange<std::size_t>(0, changed.size());
     changed[at] = static_cast<char>(changed[at] ^ 1);
-    RC_ASSERT(!Unseal(changed, "key").has_value());
-    RC_ASSERT(!Unseal(sealed, "other key").has_value());
+    RC_ASSERT(!VerifyMac(changed, "key").has_value());
+    RC_ASSERT(!VerifyMac(sealed, "other key").has_value());
   }));
 }
 
--- a/src/pathcleat/fleet/informed_choice.cpp
+++ b/src/pathcleat/fleet/informed_choice.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-const KnownHost* ChooseInformed(
+const KnownHost* ChooseUpToDateHost(
     const HostTable& hosts,
     const std::function<bool(const HostVersions&)>& knows,
     std::uint64_t salt,
--- a/src/pathcleat/fleet/informed_choice_test.cpp
+++ b/src/pathcleat/fleet/informed_choice_test.cpp
@@ -32,7 +32,7 @@
   }
 
   std::string Choose(std::uint64_t salt = 0, Time now = kStart) const {
-    const KnownHost* host = ChooseInformed(
+    const KnownHost* host = ChooseUpToDateHost(
         table, [](const HostVersions& v) { return v.orders > 7; }, salt, now);
     return host == nullptr ? "" : host->info.name;
   }
--- a/src/pathcleat/fleet/peer_datagram.cpp
+++ b/src/pathcleat/fleet/peer_datagram.cpp
@@ -8,12 +8,12 @@
 std::string SealDatagram(DatagramKind kind,
                          const std::string& message,
                          const std::string& key) {
-  return Seal(static_cast<char>(kind) + message, key);
+  return AppendMac(static_cast<char>(kind) + message, key);
 }
 
 std::optional<Datagram> OpenDatagram(std::string_view bytes,
                                      const std::string& key) {
-  const auto opened = Unseal(bytes, key);
+  const auto opened = VerifyMac(bytes, key);
   if (!opened || opened->empty()) {
     return std::nullopt;
   }
--- a/src/pathcleat/fleet/peer_datagram_test.cpp
+++ b/src/pathcleat/fleet/peer_datagram_test.cpp
@@ -24,14 +24,14 @@
   constexpr auto kNewer = static_cast<DatagramKind>(0x21);
   const auto datagram = OpenDatagram(SealDatagram(kNewer, "?", kKey), kKey);
   cr_assert(datagram && datagram->kind == kNewer);
-  cr_assert_not(OpenDatagram(Seal("", kKey), kKey));
+  cr_assert_not(OpenDatagram(AppendMac("", kKey), kKey));
 }
 
 // Hosts of the last version sent heartbeats without a kind. Those begin with
 // cereal's mark of its byte order, which no kind is.
 Test(peer_datagram, heartbeat_of_the_form_before_is_no_known_kind) {
   const auto datagram =
-      OpenDatagram(Seal(EncodeHeartbeat(Heartbeat()), kKey), kKey);
+      OpenDatagram(AppendMac(EncodeHeartbeat(Heartbeat()), kKey), kKey);
   cr_assert(datagram && datagram->kind != DatagramKind::kHeartbeat &&
             datagram->kind != DatagramKind::kReport);
 }
@@ -41,7 +41,7 @@
     const auto bytes =
         *rc::gen::container<std::string>(rc::gen::inRange<char>(-128, 127));
     OpenDatagram(bytes, kKey);
-    OpenDatagram(Seal(bytes, kKey), kKey);
+    OpenDatagram(AppendMac(bytes, kKey), kKey);
   }));
 }
 
--- a/src/pathcleat/fleet/peer_link.cpp
+++ b/src/pathcleat/fleet/peer_link.cpp
@@ -25,7 +25,7 @@
     HostTable& hosts,
     EventLog& events,
     PeerTraffic& traffic,
-    const PeerTellers& tellers,
+    const PeerPublishers& tellers,
     std::function<HostVersions()> versions,
     std::function<void(const std::string&, const HostVersions&)> on_versions)
     : hosts_(hosts),
@@ -78,9 +78,9 @@
   if (reporter_.IsReporter(now)) {
     SendReports();
   }
-  TellUsage();
-  TellCrashes();
-  TellLimits();
+  PublishUsage();
+  PublishCrashes();
+  PublishLimits();
   timer_.expires_after(kHeartbeatPeriod);
   timer_.async_wait([this](const error_code& error) {
     if (!error) {
@@ -102,8 +102,8 @@
 
 void PeerLink::SendReports() {
   const Time now = BootClock::now();
-  plan_.OnOwnDomainTold(now);
-  std::vector<DomainReport> reports = reporter_.Reports(versions_(), now);
+  plan_.OnOwnDomainReport(now);
+  std::vector<DomainReport> reports = reporter_.MakeReports(versions_(), now);
   reports.front().rollouts = tellers_.tallies.DomainTallies(now);
   SendRound(reports, reporter_.Receivers(now));
   for (DomainReport& report : reports) {
@@ -121,7 +121,7 @@
   for (DomainReport report : reports) {
     report.time = events_.clock().Tick(WallMicros());
     sealed.push_back(
-        SealDatagram(DatagramKind::kReport, EncodeReport(report), key_));
+        SealDatagram(DatagramKind::kReport, EncodeDomainReport(report), key_));
   }
   for (const std::string& address : receivers) {
     for (const std::string& bytes : sealed) {
@@ -143,7 +143,7 @@
 
 void PeerLink::SendSealed(const std::string& address,
                           const std::string& heartbeat) {
-  traffic_.OnSent(PeerMessage::kHeartbeat, heartbeat.size());
+  traffic_.OnSent(PeerMessageKind::kHeartbeat, heartbeat.size());
   Send(address, heartbeat);
 }
 
@@ -153,7 +153,7 @@
 
 void PeerLink::SendReport(const std::string& address,
                           const std::string& sealed) {
-  traffic_.OnSent(PeerMessage::kReport, sealed.size());
+  traffic_.OnSent(PeerMessageKind::kReport, sealed.size());
   Send(address, sealed);
 }
 
@@ -192,37 +192,37 @@
   const auto datagram = OpenDatagram(bytes, key_);
   if (datagram && datagram->kind == DatagramKind::kHeartbeat) {
     if (const auto heartbeat = DecodeHeartbeat(datagram->message)) {
-      traffic_.OnReceived(PeerMessage::kHeartbeat, size);
+      traffic_.OnReceived(PeerMessageKind::kHeartbeat, size);
       OnHeartbeat(*heartbeat);
       return;
     }
   } else if (datagram && datagram->kind == DatagramKind::kReport) {
-    if (const auto report = DecodeReport(datagram->message)) {
-      traffic_.OnReceived(PeerMessage::kReport, size);
+    if (const auto report = DecodeDomainReport(datagram->message)) {
+      traffic_.OnReceived(PeerMessageKind::kReport, size);
       OnReport(*report);
       return;
     }
   } else if (datagram && datagram->kind == DatagramKind::kUsage) {
     if (const auto report = DecodeUsage(datagram->message)) {
-      traffic_.OnReceived(PeerMessage::kUsage, size);
-      OnUsage(*report);
+      traffic_.OnReceived(PeerMessageKind::kUsage, size);
+      OnUsageReport(*report);
       return;
     }
   } else if (datagram && datagram->kind == DatagramKind::kCrashes) {
     if (const auto report = DecodeCrashes(datagram->message)) {
-      traffic_.OnReceived(PeerMessage::kCrashes, size);
-      OnCrashes(*report);
+      traffic_.OnReceived(PeerMessageKind::kCrashes, size);
+      OnCrashReport(*report);
       return;
     }
   } else if (datagram && datagram->kind == DatagramKind::kLimits) {
     if (const auto report = DecodeLimits(datagram->message)) {
-      traffic_.OnReceived(PeerMessage::kLimits, size);
-      OnLimits(*report);
+      traffic_.OnReceived(PeerMessageKind::kLimits, size);
+      OnLimitReport(*report);
       return;
     }
   } else if (datagram) {
     // Hosts of another version may run beside this one.
-    traffic_.OnUnknownForm();
+    traffic_.OnUnknownFormat();
     return;
   }
   events_.Record(EventCode::kPeerRejected, sender_.address().to_string(),
@@ -246,7 +246,7 @@
     SendCrashes({heartbeat.host.peer_address},
                 tellers_.crashes.Known(BootClock::now()));
     SendLimits({heartbeat.host.peer_address},
-               tellers_.limits.KnownLimits(BootClock::now()));
+               tellers_.limits.LimitSnapshot(BootClock::now()));
   }
 }
 
@@ -259,7 +259,7 @@
   }
   tellers_.tallies.OnDomainTallies(report.domain, report.rollouts, now);
   if (report.domain == hosts_.self().domain) {
-    plan_.OnOwnDomainTold(now);
+    plan_.OnOwnDomainReport(now);
   } else if (report.pass_on) {
     PassOn(report);
   }
@@ -268,13 +268,13 @@
 void PeerLink::TakeMembers(const DomainReport& report, Time now) {
   for (const HostInfo& host : report.introduced) {
     if (host.domain == report.domain) {
-      hosts_.OnIntroduced(host, now);
+      hosts_.OnInfoReported(host, now);
     }
   }
   for (const MemberGroup& group : report.groups) {
-    for (const MemberSign& member : group.members) {
+    for (const MemberObservation& member : group.members) {
       if (const KnownHost* host =
-              hosts_.OnReported(member, group.versions, now)) {
+              hosts_.OnMemberReported(member, group.versions, now)) {
         events_.Record(EventCode::kPeerHeard, host->info.name,
                        "reported by " + report.domain);
       }
@@ -285,8 +285,8 @@
 void PeerLink::PassOn(DomainReport report) {
   report.pass_on = false;
   const std::string sealed =
-      SealDatagram(DatagramKind::kReport, EncodeReport(report), key_);
-  for (const std::string& address : plan_.Living(BootClock::now())) {
+      SealDatagram(DatagramKind::kReport, EncodeDomainReport(report), key_);
+  for (const std::string& address : plan_.AliveInDomain(BootClock::now())) {
     SendReport(address, sealed);
   }
 }
--- a/src/pathcleat/fleet/peer_link_tellers.cpp
+++ b/src/pathcleat/fleet/peer_link_tellers.cpp
@@ -12,7 +12,7 @@
 
 namespace pathcleat {
 
-void PeerLink::TellUsage() {
+void PeerLink::PublishUsage() {
   const Time now = BootClock::now();
   SendOwnUsage(now);
   if (reporter_.IsReporter(now)) {
@@ -29,7 +29,7 @@
 
 void PeerLink::SendUsage(const std::string& address,
                          const std::string& sealed) {
-  traffic_.OnSent(PeerMessage::kUsage, sealed.size());
+  traffic_.OnSent(PeerMessageKind::kUsage, sealed.size());
   Send(address, sealed);
 }
 
@@ -61,32 +61,31 @@
 // A host that has just started would else know of other domains' usage a round
 // of reports later.
 void PeerLink::SendKnownUsage(const std::string& address) {
-  for (const UsageReport& report : tellers_.usage.KnownUsage()) {
+  for (const UsageReport& report : tellers_.usage.UsageSnapshot()) {
     SendUsage(address, SealUsage(report));
   }
 }
 
-void PeerLink::OnUsage(const UsageReport& report) {
+void PeerLink::OnUsageReport(const UsageReport& report) {
   events_.clock().Observe(report.time, WallMicros());
-  tellers_.usage.OnUsage(report, BootClock::now());
+  tellers_.usage.OnUsageReport(report, BootClock::now());
   if (!report.pass_on) {
     return;
   }
   UsageReport passed = report;
   passed.pass_on = false;
   const std::string sealed = SealUsage(passed);
-  for (const std::string& address : plan_.Living(BootClock::now())) {
+  for (const std::string& address : plan_.AliveInDomain(BootClock::now())) {
     SendUsage(address, sealed);
   }
 }
 
-void PeerLink::TellCrashes() {
+void PeerLink::PublishCrashes() {
   const Time now = BootClock::now();
   const bool reports = reporter_.IsReporter(now);
-  SendCrashes(plan_.Known(), tellers_.crashes.ForDomain(reports, now));
+  SendCrashes(plan_.Known(), tellers_.crashes.OwnCrashes(reports, now));
   if (reports) {
-    SendCrashes(reporter_.Receivers(now),
-                tellers_.crashes.ForOtherDomains(now));
+    SendCrashes(reporter_.Receivers(now), tellers_.crashes.DomainCrashes(now));
   }
 }
 
@@ -98,25 +97,25 @@
   const std::string sealed =
       SealDatagram(DatagramKind::kCrashes, EncodeCrashes(report), key_);
   for (const std::string& address : receivers) {
-    traffic_.OnSent(PeerMessage::kCrashes, sealed.size());
+    traffic_.OnSent(PeerMessageKind::kCrashes, sealed.size());
     Send(address, sealed);
   }
 }
 
-void PeerLink::OnCrashes(const CrashReport& report) {
+void PeerLink::OnCrashReport(const CrashReport& report) {
   const Time now = BootClock::now();
-  const bool news = tellers_.crashes.OnCrashes(report, now);
+  const bool news = tellers_.crashes.OnCrashReport(report, now);
   if (report.pass_on) {
     CrashReport passed = report;
     passed.pass_on = false;
-    SendCrashes(plan_.Living(now), passed);
+    SendCrashes(plan_.AliveInDomain(now), passed);
   }
   if (news) {
-    TellCrashes();
+    PublishCrashes();
   }
 }
 
-void PeerLink::TellLimits() {
+void PeerLink::PublishLimits() {
   const Time now = BootClock::now();
   SendLimits(plan_.Receivers(now), tellers_.limits.OwnLimits(now));
   if (!reporter_.IsReporter(now)) {
@@ -136,18 +135,18 @@
   const std::string sealed =
       SealDatagram(DatagramKind::kLimits, EncodeLimits(report), key_);
   for (const std::string& address : receivers) {
-    traffic_.OnSent(PeerMessage::kLimits, sealed.size());
+    traffic_.OnSent(PeerMessageKind::kLimits, sealed.size());
     Send(address, sealed);
   }
 }
 
-void PeerLink::OnLimits(const LimitReport& report) {
+void PeerLink::OnLimitReport(const LimitReport& report) {
   const Time now = BootClock::now();
-  tellers_.limits.OnLimits(report, now);
+  tellers_.limits.OnLimitReport(report, now);
   if (report.pass_on) {
     LimitReport passed = report;
     passed.pass_on = false;
-    SendLimits(plan_.Living(now), passed);
+    SendLimits(plan_.AliveInDomain(now), passed);
   }
 }
 
--- a/src/pathcleat/fleet/peer_traffic.cpp
+++ b/src/pathcleat/fleet/peer_traffic.cpp
@@ -3,21 +3,21 @@
 
 namespace pathcleat {
 
-const char* ToString(PeerMessage kind) {
+const char* ToString(PeerMessageKind kind) {
   switch (kind) {
-    case PeerMessage::kHeartbeat:
+    case PeerMessageKind::kHeartbeat:
       return "heartbeat";
-    case PeerMessage::kReport:
+    case PeerMessageKind::kReport:
       return "report";
-    case PeerMessage::kUsage:
+    case PeerMessageKind::kUsage:
       return "usage";
-    case PeerMessage::kCrashes:
+    case PeerMessageKind::kCrashes:
       return "crashes";
-    case PeerMessage::kLimits:
+    case PeerMessageKind::kLimits:
       return "limits";
-    case PeerMessage::kOrders:
+    case PeerMessageKind::kOrders:
       return "orders";
-    case PeerMessage::kUpstreams:
+    case PeerMessageKind::kUpstreams:
       return "upstreams";
   }
   return "heartbeat";
--- a/src/pathcleat/fleet/relay_choice.cpp
+++ b/src/pathcleat/fleet/relay_choice.cpp
@@ -63,7 +63,7 @@
 
 // Followers spread over the relays at the same distance.
 const KnownHost* NearestRelay(const HostTable& hosts,
-                              const RelayNeed& need,
+                              const RelayCriteria& need,
                               Distance farthest,
                               Time now) {
   const HostInfo& self = hosts.self();
@@ -92,7 +92,9 @@
 
 }  // namespace
 
-bool ReadsStore(const HostTable& hosts, const ReadingNeed& need, Time now) {
+bool ShouldReadStore(const HostTable& hosts,
+                     const StoreReadCriteria& need,
+                     Time now) {
   const auto counts = [&hosts, now](const KnownHost& host) {
     return hosts.Shares(host, now);
   };
@@ -108,7 +110,7 @@
 }
 
 RelayChoice ChooseRelay(const HostTable& hosts,
-                        const RelayNeed& need,
+                        const RelayCriteria& need,
                         Time now) {
   const RankRule past_failing{need.domains, true, need.store_failed};
   if (!need.store_failed &&
@@ -124,7 +126,7 @@
   const RankRule all{need.domains, false, need.store_failed};
   const bool others_first =
       need.store_failed && !RanksFirst(hosts, hosts.self(), all, now);
-  return {others_first ? RelayKind::kNobody : RelayKind::kStore, "", ""};
+  return {others_first ? RelayKind::kNone : RelayKind::kStore, "", ""};
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/fleet/relay_choice_test.cpp
+++ b/src/pathcleat/fleet/relay_choice_test.cpp
@@ -31,7 +31,7 @@
       }
     }
     RebuildTables();
-    access.assign(infos.size(), StoreAccess::kFollowing);
+    access.assign(infos.size(), StoreAccess::kFollowingPeer);
   }
 
   void RebuildTables() {
@@ -120,7 +120,7 @@
     const bool watches = fleet.ChoiceOf(i).kind == RelayKind::kStore;
     cr_assert_eq(watches, is_wide(i), "host %zu", i);
     fleet.access[i] =
-        watches ? StoreAccess::kWatching : StoreAccess::kFollowing;
+        watches ? StoreAccess::kWatching : StoreAccess::kFollowingPeer;
   }
   fleet.TellAll();
   for (std::size_t i = 0; i < fleet.infos.size(); ++i) {
@@ -189,7 +189,7 @@
   const RelayChoice choice = fleet.ChoiceOf(0, true);
   cr_assert(choice.kind == RelayKind::kPeer);
   cr_assert_str_eq(choice.peer_address.c_str(), "host-1-0");
-  const RelayNeed failed_there{2, true, {"host-1-0"}};
+  const RelayCriteria failed_there{2, true, {"host-1-0"}};
   cr_assert(ChooseRelay(*fleet.tables[0], failed_there, kStart).kind ==
             RelayKind::kStore);
 }
@@ -224,19 +224,19 @@
   Fleet fleet(domains, per_domain);
   for (const auto& table : fleet.tables) {
     for (const HostInfo& info : fleet.infos) {
-      table->OnListed(info, kStart);
+      table->OnStoreRow(info, kStart);
     }
   }
   int readers = 0;
   for (const auto& table : fleet.tables) {
-    readers += ReadsStore(*table, {domains, waited}, kStart) ? 1 : 0;
+    readers += ShouldReadStore(*table, {domains, waited}, kStart) ? 1 : 0;
   }
   return readers;
 }
 
 // With each of 986 hosts reading 10,002 upstreams, a start took 3 GB from the
 // store: 0.4 of a day's worth. Readers grow with the domains, not the hosts.
-// Checked to fail with ReadsStore always true.
+// Checked to fail with ShouldReadStore always true.
 Test(relay_choice, readers_of_the_store_do_not_grow_with_the_hosts) {
   cr_assert_eq(ReadersAtStart(9, 11, Duration(0)), 9);
   cr_assert_eq(ReadersAtStart(9, 111, Duration(0)), 9);
--- a/src/pathcleat/gateway/call.cpp
+++ b/src/pathcleat/gateway/call.cpp
@@ -29,7 +29,7 @@
 }  // namespace
 
 Call::Call(GatewayState& state,
-           ExchangePtr exchange,
+           HttpExchangePtr exchange,
            std::shared_ptr<const Route> route,
            std::shared_ptr<const Account> account)
     : state_(state),
@@ -42,16 +42,16 @@
       key_(state),
       trace_(state) {
   ++state_.requests;
-  state_.open_requests.Add(*this);
+  state_.in_flight_requests.Add(*this);
   const HttpHeaders& headers = exchange_->request().headers;
   const std::uint64_t incarnation = state_.hosts.self().incarnation;
   request_id_ =
       FindHeader(headers, state_.headers.request_id)
           .value_or(ToString(RequestId{incarnation, state_.next_request++, 0}));
   trace_.SetRequest(request_id_);
-  request_ = PickRequestOf(state_.headers, *exchange_, *route_, request_id_);
+  request_ = MakePickRequest(state_.headers, *exchange_, *route_, request_id_);
   request_.account = account_.get();
-  const Duration allowed = std::min(route_->timeout, request_.caller_deadline);
+  const Duration allowed = std::min(route_->timeout, request_.caller_timeout);
   deadline_ = exchange_->received() + allowed;
 }
 
@@ -64,9 +64,10 @@
   exchange_->OnAbandoned(on_left);
   exchange_->OnCallerEnded(on_left);
   Arm(deadline_timer_, deadline_ - BootClock::now(), &Call::OnDeadline);
-  request_.service = state_.splits.Choose(*route_, UnitOfHash(request_.key));
-  state_.RetriesOf(request_.service).OnFirstAttempt();
-  trace_.NoteTaken(*exchange_, request_, Left());
+  request_.service =
+      state_.splits.Choose(*route_, ToUnitInterval(request_.key));
+  state_.RetryBudgetOf(request_.service).OnFirstAttempt();
+  trace_.NoteAccepted(*exchange_, request_, Left());
   // On a host that is behind, callers give up before they are read.
   exchange_->CheckCaller();
   if (left_ || !TakeQuota()) {
@@ -98,12 +99,12 @@
     return;
   }
   key_.Claim(request_.service, exchange_->request(), Left(),
-             [self = shared_from_this()](const KeyDecision& decision) {
+             [self = shared_from_this()](const IdempotencyDecision& decision) {
                self->OnKey(decision);
              });
 }
 
-void Call::OnKey(const KeyDecision& decision) {
+void Call::OnKey(const IdempotencyDecision& decision) {
   if (!decision.run) {
     Answer(decision.answer, decision.outcome);
     return;
@@ -135,19 +136,19 @@
 // than expected, if another one would have it and time is left. Else it waits
 // on: a work that is under way may still be answered.
 void Call::ArmPatience(Duration patience) {
-  if (state_.settings.policy.IsOn(Mechanism::kPatience)) {
+  if (state_.settings.policy.IsEnabled(Mechanism::kPatience)) {
     Arm(patience_timer_, patience, &Call::OnPatienceOver);
   }
 }
 
 // A host that is being stopped leaves work where it is.
 bool Call::MayGoElsewhere() const {
-  return !done_ && attempt_.IsUnderWay() && !state_.leaving &&
-         attempts_ + 1 < route_->max_attempts && Left() > kShortestAttempt;
+  return !done_ && attempt_.IsInFlight() && !state_.leaving &&
+         attempts_ + 1 < route_->max_attempts && Left() > kMinAttemptTime;
 }
 
 void Call::OnPatienceOver() {
-  const bool silent = attempt_.FindSilent();
+  const bool silent = attempt_.DetectSilence();
   if (!route_->repeatable || !MayGoElsewhere()) {
     return;
   }
@@ -157,7 +158,7 @@
     request_.excluded.erase(attempt_.pick().upstream->info.id);
     next = ChooseNow();
   }
-  if (!next.upstream || !state_.RetriesOf(request_.service).TryRetry()) {
+  if (!next.upstream || !state_.RetryBudgetOf(request_.service).TryAcquire()) {
     ArmPatience(kPatienceRecheck);
     return;
   }
@@ -168,7 +169,7 @@
   ++attempts_;
   attempt_.NoteNoAnswer();
   NoteVersion(attempt_.pick(), true);
-  CancelAttempt(BreakCause::kPatience);
+  CancelAttempt(AbortCause::kPatience);
   Retry(next);
 }
 
@@ -199,7 +200,7 @@
       [self = shared_from_this()](const CallResult& result) {
         self->OnResult(result);
       });
-  ArmPatience(PatienceFor(pick.expected, left));
+  ArmPatience(FailoverTimeoutFor(pick.expected, left));
 }
 
 void Call::OnResult(const CallResult& result) {
@@ -216,11 +217,11 @@
       return;
     case CallOutcome::kNotSent:
       ++unsent_;
-      runs_.OnKnownNotRun();
+      runs_.OnNotRun();
       state_.OnAttemptFailed(upstream);
       RetryOrGiveUp();
       return;
-    case CallOutcome::kBroken:
+    case CallOutcome::kConnectionLost:
     case CallOutcome::kTimedOut:
       ++attempts_;
       NoteEndedUnder(result);
@@ -236,7 +237,7 @@
   const Time now = BootClock::now();
   UpstreamState& upstream = *pick.upstream;
   if (IsNotRun(state_.headers, result.response)) {
-    runs_.OnKnownNotRun();
+    runs_.OnNotRun();
     if (result.response.status == http_status::kMisdirected) {
       // Another upstream has the address now; the list will say so.
       state_.OnAttemptFailed(upstream);
@@ -244,14 +245,15 @@
     ++upstream.turned_away;
     trace_.Note(EventCode::kAttemptNotRun,
                 {{field::kUpstream, upstream.info.id},
-                 NumberField(field::kStatus, result.response.status)});
+                 IntegerField(field::kStatus, result.response.status)});
     RetryOrGiveUp();
     return;
   }
-  if (!IsWholeAnswer(state_.headers, result.response)) {
+  if (!IsCompleteAnswer(state_.headers, result.response)) {
     state_.OnAttemptFailed(upstream);
     NoteVersion(pick, true);
-    OnFailure({CallOutcome::kBroken, {}, "the answer lacks its signature"});
+    OnFailure(
+        {CallOutcome::kConnectionLost, {}, "the answer lacks its signature"});
     return;
   }
   if (upstream.health.IsSuspect()) {
@@ -259,11 +261,12 @@
   }
   NoteRunEnded();
   upstream.health.OnSuccess();
-  NoteVersion(pick, result.response.status >= http_status::kInternalError ||
-                        now - sent > pick.if_cold * kFarTooSlow);
-  const auto report = LoadReportIn(state_.headers, result.response);
-  const AnswerFacts facts{now - sent, result.response.body.size(),
-                          report && report->waiting > 0};
+  NoteVersion(pick,
+              result.response.status >= http_status::kInternalError ||
+                  now - sent > pick.expected_latency_if_cold * kFarTooSlow);
+  const auto report = ParseLoadReport(state_.headers, result.response);
+  const AnswerMeasurements facts{now - sent, result.response.body.size(),
+                                 report && report->waiting > 0};
   state_.picker.OnAnswer(upstream, request_, pick, facts, now);
   HttpResponse response = result.response;
   response.headers = EndToEndHeaders(response.headers);
@@ -275,7 +278,7 @@
 void Call::NoteVersion(const Pick& pick, bool bad) {
   const UpstreamState& upstream = *pick.upstream;
   Rollout* rollout = state_.rollouts.Find(upstream.info.service);
-  if (rollout != nullptr && !upstream.IsBounded(BootClock::now())) {
+  if (rollout != nullptr && !upstream.IsRateBounded(BootClock::now())) {
     rollout->OnAnswer(upstream.info.version, StableHash(route_->name), bad);
   }
 }
@@ -299,7 +302,7 @@
   }
   return attempts_ < route_->max_attempts && unsent_ < kMostUnsent &&
          Left() > kLeastTimeLeft &&
-         state_.RetriesOf(request_.service).TryRetry();
+         state_.RetryBudgetOf(request_.service).TryAcquire();
 }
 
 void Call::RetryOrGiveUp() {
@@ -337,7 +340,7 @@
 
 void Call::AnswerUnknown(int status, const std::string& reason) {
   trace_.Note(EventCode::kRequestUnknown,
-              {{field::kReason, reason}, NumberField(field::kStatus, status)});
+              {{field::kReason, reason}, IntegerField(field::kStatus, status)});
   Answer(TextResponse(status, reason + "\n"), RunOutcome::kUnknown);
 }
 
@@ -354,7 +357,7 @@
   response.headers.push_back({kOutcomeHeader, ToString(outcome)});
   const Duration latency = BootClock::now() - exchange_->received();
   trace_.Note(EventCode::kRequestAnswered,
-              {NumberField(field::kStatus, response.status),
+              {IntegerField(field::kStatus, response.status),
                {field::kOutcome, std::string(ToString(outcome))},
                MillisecondsField(field::kLatencyMs, latency)});
   if (!left_) {
@@ -374,10 +377,10 @@
   if (done_) {
     return;
   }
-  if (attempt_.IsUnderWay()) {
+  if (attempt_.IsInFlight()) {
     attempt_.NoteNoAnswer();
   }
-  CancelAttempt(BreakCause::kDeadline);
+  CancelAttempt(AbortCause::kDeadline);
   if (runs_.MayHaveRun()) {
     AnswerUnknown(http_status::kGatewayTimeout, "no answer in time");
   } else {
--- a/src/pathcleat/gateway/call_account.cpp
+++ b/src/pathcleat/gateway/call_account.cpp
@@ -13,15 +13,15 @@
     return true;
   }
   const Time now = BootClock::now();
-  const QuotaAnswer quota = state_.quotas.Take(*account_, request_.CallerLeft(),
-                                               route_->target_latency, now);
+  const QuotaResult quota = state_.quotas.Take(
+      *account_, request_.CallerTimeLeft(), route_->target_latency, now);
   counts_ = quota.decision.allowed;
   if (counts_) {
-    state_.account_stats.OnTaken(account_->name);
+    state_.account_stats.OnAccepted(account_->name);
     return true;
   }
   state_.account_stats.OnOverLimit(account_->name);
-  state_.metrics.OnRefused(kOverLimit);
+  state_.metrics.OnRefused(kAccountLimitReason);
   trace_.NoteOverLimit(*account_, quota.decision, quota.retry_after);
   Answer(OverLimitResponse(quota.retry_after), RunOutcome::kNotRun);
   return false;
@@ -30,7 +30,7 @@
 // What certainly has not run is no use of the account's limit.
 void Call::GiveQuotaBack() {
   if (std::exchange(counts_, false)) {
-    state_.quotas.control().GiveBack(*account_, BootClock::now());
+    state_.quotas.control().Release(*account_, BootClock::now());
   }
 }
 
--- a/src/pathcleat/gateway/call_crash.cpp
+++ b/src/pathcleat/gateway/call_crash.cpp
@@ -17,14 +17,14 @@
 RequestDigest Call::Digest() {
   if (!digest_) {
     digest_ = DigestOf(exchange_->request(), account_ ? account_->name : "",
-                       state_.request_digester);
+                       state_.request_hasher);
   }
   return *digest_;
 }
 
 bool Call::CountsCrashes() const {
-  return state_.request_digester.IsReady() &&
-         state_.settings.policy.IsOn(Mechanism::kCrashBlock);
+  return state_.request_hasher.IsReady() &&
+         state_.settings.policy.IsEnabled(Mechanism::kCrashBlock);
 }
 
 // As long as nothing is suspected, no digest is reckoned.
@@ -32,15 +32,15 @@
   return !state_.crashes.IsEmpty() && CountsCrashes();
 }
 
-CrashVerdict Call::JudgeCrashes(Time now) {
+CrashDecision Call::JudgeCrashes(Time now) {
   return MayBeSuspected() ? state_.crashes.Judge(Digest(), now)
-                          : CrashVerdict();
+                          : CrashDecision();
 }
 
 // A request under which this call's upstream has ended gets no second one if
 // others have ended under it before.
 std::optional<Pick> Call::KeptFromUpstreams(Time now) {
-  const CrashVerdict verdict = JudgeCrashes(now);
+  const CrashDecision verdict = JudgeCrashes(now);
   if (!verdict.blocked && !(ended_under_ && verdict.crashes > 0)) {
     return std::nullopt;
   }
@@ -59,8 +59,8 @@
 // A connection ends without an answer also where it was reset, or had been
 // idle for too long. Only where nobody listens any more has the upstream ended.
 void Call::NoteEndedUnder(const CallResult& result) {
-  const bool by_peer = result.outcome == CallOutcome::kBroken &&
-                       !result.ended_here && !result.silent;
+  const bool by_peer = result.outcome == CallOutcome::kConnectionLost &&
+                       !result.closed_locally && !result.silent;
   const UpstreamInfo& upstream = attempt_.pick().upstream->info;
   const auto endpoint = ParseTcpEndpoint(upstream.address);
   if (!by_peer || !endpoint || !CountsCrashes()) {
@@ -70,7 +70,7 @@
   state_.listen_probe.Ask(
       *endpoint, kProbeTimeout,
       [&state = state_, request = Digest(), id = StableHash(upstream.id)] {
-        state.metrics.OnEndedUnder();
+        state.metrics.OnUpstreamCrashed();
         state.crashes.OnCrash(request, id, BootClock::now());
       });
 }
--- a/src/pathcleat/gateway/call_left.cpp
+++ b/src/pathcleat/gateway/call_left.cpp
@@ -9,10 +9,11 @@
 // Repeatable work is cancelled at the upstream, and what has not been sent is
 // taken back, also the rest of a body. Other work that an upstream has whole
 // runs to its end, as nobody could tell afterwards how far it had come.
-void Call::CancelAttempt(BreakCause cause) {
-  if (attempt_.IsUnderWay() && (route_->repeatable || !attempt_.IsPassedOn())) {
+void Call::CancelAttempt(AbortCause cause) {
+  if (attempt_.IsInFlight() &&
+      (route_->repeatable || !attempt_.IsFullySent())) {
     if (!attempt_.MayHaveSent()) {
-      runs_.OnKnownNotRun();
+      runs_.OnNotRun();
     }
     attempt_.Cancel(cause);
   }
@@ -27,14 +28,14 @@
   left_ = true;
   trace_.Note(EventCode::kCallerLeft, {});
   const bool was_sent = attempt_.MayHaveSent();
-  CancelAttempt(BreakCause::kCallerLeft);
-  if (attempt_.IsUnderWay()) {
-    state_.metrics.OnCallerLeft(WorkLeft::kRunsOn);
-    trace_.TellSoFar();
+  CancelAttempt(AbortCause::kCallerLeft);
+  if (attempt_.IsInFlight()) {
+    state_.metrics.OnCallerLeft(AbandonedWork::kRunsOn);
+    trace_.Flush();
     return;
   }
-  state_.metrics.OnCallerLeft(was_sent ? WorkLeft::kCancelled
-                                       : WorkLeft::kNotStarted);
+  state_.metrics.OnCallerLeft(was_sent ? AbandonedWork::kCancelled
+                                       : AbandonedWork::kNotStarted);
   EndForCallerLeft();
 }
 
--- a/src/pathcleat/gateway/call_opened.cpp
+++ b/src/pathcleat/gateway/call_opened.cpp
@@ -13,7 +13,7 @@
   const Time now = BootClock::now();
   trace_.NoteOpened(attempt_.pick().upstream->info.id, now - attempt_.sent());
   exchange_->CheckCaller();
-  if (attempt_.IsUnderWay() && !MayStillSend(now)) {
+  if (attempt_.IsInFlight() && !MayStillSend(now)) {
     Withdraw(now);
   }
 }
@@ -23,7 +23,7 @@
   const bool blocked = !on_trial_ && JudgeCrashes(now).blocked;
   return !blocked && attempt_.MayStillSend(now) &&
          (rollout == nullptr ||
-          rollout->StillAllows(attempt_.pick().upstream->info.version));
+          rollout->IsVersionAllowed(attempt_.pick().upstream->info.version));
 }
 
 void Call::Withdraw(Time now) {
@@ -31,8 +31,8 @@
   trace_.NoteFailed(attempt_.pick().upstream->info.id,
                     "it takes nothing new any more", now - attempt_.sent());
   ++unsent_;
-  runs_.OnKnownNotRun();
-  attempt_.TakeBack();
+  runs_.OnNotRun();
+  attempt_.Withdraw();
   RetryOrGiveUp();
 }
 
--- a/src/pathcleat/gateway/call_stop.cpp
+++ b/src/pathcleat/gateway/call_stop.cpp
@@ -15,13 +15,14 @@
 
 // Time that an upstream may be given.
 Duration Call::Left() const {
-  return state_.stop.WorkEnd(deadline_) - BootClock::now();
+  return state_.stop.WorkDeadline(deadline_) - BootClock::now();
 }
 
 // A claim is a write that must be undone if the work is not begun, so it is
 // made only if there is time for all that the target allows.
 bool Call::MayClaim() const {
-  return !state_.stop.Shortens(deadline_) || Left() >= route_->target_latency;
+  return !state_.stop.ShortensDeadline(deadline_) ||
+         Left() >= route_->target_latency;
 }
 
 Pick Call::ChooseNow() {
@@ -41,10 +42,10 @@
   }
   const StopPlan& stop = state_.stop;
   const bool too_late =
-      pick.failure == PickFailure::kTooLate && stop.Shortens(deadline_);
+      pick.failure == PickFailure::kTooLate && stop.ShortensDeadline(deadline_);
   const WorkTimes times{pick.expected, route_->target_latency,
                         route_->repeatable};
-  const bool may_begin = !pick.upstream || stop.MayBegin(times, deadline_, now);
+  const bool may_begin = !pick.upstream || stop.MayStart(times, deadline_, now);
   if (too_late || !may_begin) {
     pick.upstream = nullptr;
     pick.failure = PickFailure::kHostStops;
@@ -64,8 +65,8 @@
   if (done_) {
     return;
   }
-  state_.metrics.OnGivenUpAtEnd();
-  CancelAttempt(BreakCause::kHostStops);
+  state_.metrics.OnGivenUpAtShutdown();
+  CancelAttempt(AbortCause::kHostStops);
   if (runs_.MayHaveRun()) {
     AnswerUnknown(http_status::kGatewayTimeout,
                   "the host ends before the answer");
--- a/src/pathcleat/gateway/client_regions.cpp
+++ b/src/pathcleat/gateway/client_regions.cpp
@@ -11,7 +11,7 @@
 // Site 0 of the table means "not known"; region r is site r + 1.
 constexpr std::uint16_t kNoSite = 0;
 
-std::uint32_t LastAddress(const AssignBlock& block) {
+std::uint32_t LastAddress(const AssignClientBlock& block) {
   constexpr int kAddressBits = 32;
   const std::uint64_t size = std::uint64_t{1}
                              << (kAddressBits - block.prefix_length);
@@ -23,14 +23,14 @@
 ClientRegions::ClientRegions(std::vector<std::string> regions)
     : regions_(std::move(regions)) {}
 
-void ClientRegions::Assign(const std::vector<AssignBlock>& blocks) {
+void ClientRegions::Assign(const std::vector<AssignClientBlock>& blocks) {
   assigned_ = blocks.size();
   if (blocks.empty()) {
     table_.reset();
     return;
   }
-  table_.emplace(std::vector<BlockRow>{});
-  for (const AssignBlock& block : blocks) {
+  table_.emplace(std::vector<ClientBlockRow>{});
+  for (const AssignClientBlock& block : blocks) {
     const auto region =
         std::find(regions_.begin(), regions_.end(), block.region);
     if (region != regions_.end()) {
--- a/src/pathcleat/gateway/fleet_view.cpp
+++ b/src/pathcleat/gateway/fleet_view.cpp
@@ -78,7 +78,7 @@
 }
 
 bool FleetView::IsLoaded() const {
-  return state_.routes.IsKnown() && upstream_list_.IsLoaded();
+  return state_.routes.IsLoaded() && upstream_list_.IsLoaded();
 }
 
 void FleetView::OnAwake(Time since) {
@@ -89,7 +89,7 @@
 // Whether a watch at another host lives shows in what others know.
 void FleetView::Distrust(SourceTopic topic, Time since) {
   if (!source_.FollowsPeer(topic)) {
-    WatcherOf(topic).DistrustBefore(since);
+    WatcherOf(topic).RestartIfOlderThan(since);
   }
 }
 
@@ -101,7 +101,7 @@
   const Time now = BootClock::now();
   versions.store = source_.access(now);
   if (versions.config > 0) {
-    versions.config_age_ms = WholeMilliseconds(now - state_.routes_since);
+    versions.config_age_ms = WholeMilliseconds(now - state_.routes_applied_at);
   }
   return versions;
 }
@@ -116,9 +116,9 @@
 
 void FleetView::OnPeerVersions(const std::string& from,
                                const HostVersions& versions) {
-  lag_.OnTold(versions.config,
-              std::chrono::milliseconds(versions.config_age_ms),
-              BootClock::now());
+  lag_.OnPeerVersion(versions.config,
+                     std::chrono::milliseconds(versions.config_age_ms),
+                     BootClock::now());
   AskIfBehind(SourceTopic::kOrders, from, versions.orders);
   AskIfBehind(SourceTopic::kUpstreams, from, versions.upstreams);
 }
@@ -133,7 +133,7 @@
     return;
   }
   // Who was heard knows more; the host to ask need not be the same.
-  const KnownHost* informed = ChooseInformed(
+  const KnownHost* informed = ChooseUpToDateHost(
       state_.hosts,
       [topic, known = watcher.changed()](const HostVersions& versions) {
         return ChangedIn(versions, topic) > known;
@@ -174,7 +174,7 @@
 }
 
 const RoutingConfig* FleetView::Config() const {
-  return state_.routes.IsKnown() ? &state_.routes.config() : nullptr;
+  return state_.routes.IsLoaded() ? &state_.routes.config() : nullptr;
 }
 
 FleetSnapshot FleetView::Snapshot(const FeedRequest& request) {
@@ -197,7 +197,7 @@
   snapshot.rollouts = state_.rollouts.orders();
   const RoutingConfig* config = Config();
   if (config != nullptr && config->version > known) {
-    snapshot.config_part = config_history_.PartSince(*config, known);
+    snapshot.config_update = config_history_.EncodedUpdateSince(*config, known);
   }
 }
 
@@ -212,7 +212,7 @@
   }
   for (const UpstreamPtr& upstream : state_.upstreams.All()) {
     const bool told = snapshot.whole || changed->contains(upstream->info.id);
-    if (!told || upstream->lapse_ends) {
+    if (!told || upstream->lapse_deadline) {
       continue;
     }
     gone.erase(upstream->info.id);
@@ -231,7 +231,7 @@
     BoundLapses(now + kLapseTime);
   }
   if (update.whole) {
-    upstream_journal_.StartAt(update.version);
+    upstream_journal_.ResetTo(update.version);
   }
   std::set<std::string> listed;
   for (const FleetChange& change : update.changes) {
@@ -255,10 +255,10 @@
       }
     }
   }
-  state_.list_version = upstream_list_.version();
-  state_.list_since = now;
+  state_.upstream_list_version = upstream_list_.version();
+  state_.upstream_list_changed_at = now;
   state_.RefreshRollouts();
-  state_.ShareBounds(now);
+  state_.UpdateHostShares(now);
   peers_.Publish(SourceTopic::kUpstreams);
 }
 
@@ -306,7 +306,7 @@
 // Entries that lapsed while the store was away have this long from its return.
 void FleetView::BoundLapses(Time until) {
   for (const UpstreamPtr& upstream : state_.upstreams.Lapsed()) {
-    upstream->lapse_ends = std::min(*upstream->lapse_ends, until);
+    upstream->lapse_deadline = std::min(*upstream->lapse_deadline, until);
   }
 }
 
@@ -323,22 +323,22 @@
 void FleetView::RecordOfList(EventCode code, const std::string& upstream) {
   state_.events.Record(
       code, upstream, "",
-      {NumberField(field::kListVersion, upstream_list_.version()),
+      {IntegerField(field::kListVersion, upstream_list_.version()),
        {field::kFrom, list_transfer_.from},
-       NumberField(field::kBytes, list_transfer_.bytes),
+       IntegerField(field::kBytes, list_transfer_.bytes),
        MillisecondsField(field::kTransferMs, list_transfer_.took)});
 }
 
 void FleetView::Tick(Time now) {
   for (const UpstreamPtr& upstream : state_.upstreams.Lapsed()) {
-    if (now >= *upstream->lapse_ends) {
+    if (now >= *upstream->lapse_deadline) {
       OnGone(upstream->info.id, false, now);
     }
   }
 }
 
 void FleetView::OnStore(bool reached, SourceTopic topic) {
-  state_.store_reached = reached;
+  state_.store_reachable = reached;
   if (reached) {
     const SourceTopic other = topic == SourceTopic::kOrders
                                   ? SourceTopic::kUpstreams
@@ -361,7 +361,7 @@
 void FleetView::OnAccess() {
   const bool watching =
       source_.access(BootClock::now()) == StoreAccess::kWatching;
-  peers_.SetFirstHand(watching && !state_.leaving);
+  peers_.SetWatchingStore(watching && !state_.leaving);
   on_access_();
 }
 
--- a/src/pathcleat/gateway/fleet_view_orders.cpp
+++ b/src/pathcleat/gateway/fleet_view_orders.cpp
@@ -20,15 +20,15 @@
     state_.quotas.control().Adopt(state_.accounts.All());
     lag_.OnApplied(config.version);
     on_config_(config);
-    state_.routes_since = BootClock::now();
+    state_.routes_applied_at = BootClock::now();
     state_.events.Record(
         EventCode::kConfigApplied, "routes", "",
-        {NumberField(field::kConfigVersion, config.version),
-         NumberField(field::kReplaces, replaces),
+        {IntegerField(field::kConfigVersion, config.version),
+         IntegerField(field::kReplaces, replaces),
          {field::kFrom, transfer.from},
-         NumberField(field::kBytes, transfer.bytes),
+         IntegerField(field::kBytes, transfer.bytes),
          MillisecondsField(field::kTransferMs, transfer.took),
-         MillisecondsField(field::kDecodeMs, transfer.decoding)});
+         MillisecondsField(field::kDecodeMs, transfer.decode_time)});
   }
 }
 
@@ -63,7 +63,7 @@
     if (now == state_.upstreams.drained_domains().contains(domain)) {
       continue;
     }
-    state_.upstreams.SetDrained(domain, now);
+    state_.upstreams.SetDomainDrained(domain, now);
     state_.events.Record(EventCode::kDomainDrained, domain,
                          now ? "nothing new goes there" : "taken back");
   }
--- a/src/pathcleat/gateway/gateway.cpp
+++ b/src/pathcleat/gateway/gateway.cpp
@@ -94,17 +94,19 @@
           state_.hosts,
           [this](const TableRow& row) { OnRow(row); },
           [this] { OnRowsRead(); }),
-      callers_(loop, [this](const ExchangePtr& e) { HandleCaller(e); }),
-      readiness_(loop, [this](const ExchangePtr& e) { HandleReadiness(e); }),
-      locate_(loop, [this](const ExchangePtr& e) { HandleLocate(e); }),
+      callers_(loop, [this](const HttpExchangePtr& e) { HandleCaller(e); }),
+      readiness_(loop,
+                 [this](const HttpExchangePtr& e) { HandleReadiness(e); }),
+      locate_(loop, [this](const HttpExchangePtr& e) { HandleLocate(e); }),
       operator_service_(state_, commands_, secrets_),
-      operators_(loop,
-                 [this](const ExchangePtr& e) { operator_service_.Handle(e); }),
-      metrics_(loop, [this](const ExchangePtr& e) { HandleMetrics(e); }),
+      operators_(
+          loop,
+          [this](const HttpExchangePtr& e) { operator_service_.Handle(e); }),
+      metrics_(loop, [this](const HttpExchangePtr& e) { HandleMetrics(e); }),
       tick_timer_(loop),
       stop_timer_(loop) {
-  state_.crashes.OnNews([this] { peers_.TellCrashes(); });
-  state_.limits.OnNews([this] { peers_.TellLimits(); });
+  state_.crashes.SetOnUpdate([this] { peers_.PublishCrashes(); });
+  state_.limits.SetOnUpdate([this] { peers_.PublishLimits(); });
 }
 
 Result<void> Gateway::ListenAt(HttpServer& server, const std::string& address) {
@@ -127,7 +129,7 @@
     state_.events.Record(EventCode::kCallerInputRejected, caller,
                          "status " + std::to_string(status));
   });
-  callers_.SetMostConnections(MostCallers());
+  callers_.SetMaxConnections(MostCallers());
   BOOST_LEAF_CHECK(ListenAt(callers_, settings.listen.callers));
   BOOST_LEAF_CHECK(ListenAt(readiness_, settings.listen.readiness));
   BOOST_LEAF_CHECK(ListenAt(locate_, settings.listen.locate));
@@ -150,7 +152,7 @@
 // Past the bound a request must not be handled as only an older version would.
 bool Gateway::IsTooFarBehind() const {
   const Duration bound = state_.settings.bounds.config_apply - kFirstHostLag;
-  return view_.lag().BehindFor(BootClock::now()) >
+  return view_.lag().LagDuration(BootClock::now()) >
          std::max(kFirstHostLag, bound);
 }
 
@@ -177,13 +179,14 @@
   peers_.SetKey(secrets_.peer_key());
   view_.SetKey(secrets_.peer_key());
   digester_.SetSecret(secrets_.peer_key());
-  state_.request_digester.SetSecret(secrets_.peer_key());
+  state_.request_hasher.SetSecret(secrets_.peer_key());
   peers_.Announce();
 }
 
 void Gateway::OnCommands() {
   const ConfigState& state = commands_.state();
-  state_.upstreams.SetDrains(state.drained_upstreams, state.drained_regions);
+  state_.upstreams.SetOperatorDrains(state.drained_upstreams,
+                                     state.drained_regions);
   state_.picker.shifts().Sync(state, BootClock::now());
   state_.client_regions.Assign(state.blocks);
   state_.rollouts.Adopt(state.rollouts);
@@ -202,8 +205,8 @@
         return state_.picker.StateOf(service, region, now);
       },
       [this](const ShiftStatus& shift) {
-        const bool moves =
-            shift.step == PaceStep::kAdvanced || shift.step == PaceStep::kAtCap;
+        const bool moves = shift.step == RampDecision::kAdvanced ||
+                           shift.step == RampDecision::kAtCap;
         state_.events.Record(
             moves ? EventCode::kShiftStep : EventCode::kShiftHeld,
             shift.plan.service,
@@ -230,19 +233,19 @@
     return;
   }
   state_.RefreshRollouts();
-  const RolloutSurroundings fleet{state_.hosts.Sharers(now),
-                                  state_.events.clock().Tick(WallMicros())};
+  const RolloutContext fleet{state_.hosts.LimitSharerCount(now),
+                             state_.events.clock().Tick(WallMicros())};
   const auto due = state_.rollouts.Judge(fleet, now);
   rollout_writer_.Tick(due, HostsAhead(now), now);
 }
 
-void Gateway::HandleReadiness(const ExchangePtr& exchange) {
+void Gateway::HandleReadiness(const HttpExchangePtr& exchange) {
   exchange->Respond(
       IsReady() ? TextResponse(http_status::kOk, "ready\n")
                 : TextResponse(http_status::kUnavailable, "not ready\n"));
 }
 
-void Gateway::HandleLocate(const ExchangePtr& exchange) {
+void Gateway::HandleLocate(const HttpExchangePtr& exchange) {
   NoteAwake(BootClock::now());
   const std::string& target = exchange->request().target;
   const std::string own = state_.client_regions.RegionOf(exchange->caller())
@@ -258,12 +261,12 @@
       nlohmann::json{{"hosts", hosts}, {"ttl_seconds", ttl}}.dump()));
 }
 
-void Gateway::HandleMetrics(const ExchangePtr& exchange) {
+void Gateway::HandleMetrics(const HttpExchangePtr& exchange) {
   MetricsInputs inputs;
   inputs.versions = Versions();
   for (const SourceTopic topic :
        {SourceTopic::kOrders, SourceTopic::kUpstreams}) {
-    inputs.feeds_answered[topic] = view_.AnsweredAt(topic);
+    inputs.feeds_received_at[topic] = view_.LastReceivedAt(topic);
   }
   inputs.store_calls = probes_.store_calls;
   if (probes_.log_dropped) {
@@ -283,12 +286,12 @@
   if (state_.hosts.OtherHasConfig(missing + 1, BootClock::now())) {
     return Duration::zero();
   }
-  const Duration left = CallerDeadline(state_.headers, exchange.request())
+  const Duration left = CallerTimeout(state_.headers, exchange.request())
                             .value_or(state_.settings.bounds.locate_ttl);
-  return LatestReturn(left, Duration::zero());
+  return LatestRetry(left, Duration::zero());
 }
 
-void Gateway::HandleCaller(const ExchangePtr& exchange) {
+void Gateway::HandleCaller(const HttpExchangePtr& exchange) {
   NoteAwake(BootClock::now());
   if (!view_.IsLoaded()) {
     exchange->Respond(NotRunResponse(kNoConfig, ReturnUnloaded(*exchange)));
@@ -312,7 +315,7 @@
   CallerIdentity caller;
   if (state_.accounts.IsInForce()) {
     caller = IdentifyCaller(request.headers, state_.accounts, state_.digester);
-    if (!caller.account && route->needs_key) {
+    if (!caller.account && route->needs_account_key) {
       RefuseKey(exchange, *route, caller.fault);
       return;
     }
@@ -323,10 +326,11 @@
 }
 
 // A newer version may have the key: that nobody holds it would be a guess.
-void Gateway::RefuseKey(const ExchangePtr& exchange,
+void Gateway::RefuseKey(const HttpExchangePtr& exchange,
                         const Route& route,
-                        KeyFault fault) {
-  if (fault == KeyFault::kUnknown && view_.lag().IsBehind(BootClock::now())) {
+                        ApiKeyFault fault) {
+  if (fault == ApiKeyFault::kUnknown &&
+      view_.lag().IsBehind(BootClock::now())) {
     exchange->Respond(NotRunResponse(kBehind, ReturnUnloaded(*exchange)));
     return;
   }
@@ -335,7 +339,7 @@
   RequestTrace trace(state_);
   trace.SetRequest(
       FindHeader(request.headers, state_.headers.request_id).value_or(""));
-  trace.NoteKeyRefused(*exchange, route, fault);
+  trace.NoteApiKeyRefused(*exchange, route, fault);
   trace.Finish(true);
   exchange->Respond(TextResponse(http_status::kUnauthorized,
                                  std::string(ReasonOf(fault)) + "\n"));
@@ -345,7 +349,7 @@
 // what was to happen meanwhile is due now.
 void Gateway::NoteAwake(Time now) {
   state_.hosts.OnAwake(now);
-  const Duration still = state_.hosts.TakeStandstill();
+  const Duration still = state_.hosts.TakeStallDuration();
   if (still == Duration::zero()) {
     return;
   }
@@ -359,7 +363,7 @@
   const Time now = BootClock::now();
   NoteAwake(now);
   if (now - awake_since_ >= kOverdue) {
-    state_.open_requests.EndOverdue(now - kOverdue);
+    state_.in_flight_requests.EndOverdue(now - kOverdue);
   }
   if (now - state_.started > kRowsPatience) {
     view_.Start();
@@ -368,15 +372,15 @@
   AdvanceRollouts(now);
   for (const std::string& host : state_.hosts.NewlySilent(now)) {
     if (state_.hosts.IsLeaving(host)) {
-      state_.quotas.control().OnHostEnded(host);
+      state_.quotas.control().OnHostStopped(host);
     }
     state_.events.Record(EventCode::kPeerSilent, host,
                          "no heartbeats; callers are not sent there");
   }
   view_.Tick(now);
-  state_.ShareBounds(now);
+  state_.UpdateHostShares(now);
   if (state_.quotas.control().HasNews()) {
-    peers_.TellUsage();
+    peers_.PublishUsage();
   }
   state_.TickCrashes(now);
   state_.pool.CloseIdle(now);
@@ -390,7 +394,7 @@
 
 void Gateway::Reload(const EntrySettings& settings) {
   state_.settings.bounds = settings.bounds;
-  state_.ShareBounds(BootClock::now());
+  state_.UpdateHostShares(BootClock::now());
   state_.events.Record(EventCode::kSettingsReloaded, state_.settings.host,
                        "bounds taken over");
 }
--- a/src/pathcleat/gateway/gateway_state.cpp
+++ b/src/pathcleat/gateway/gateway_state.cpp
@@ -52,8 +52,8 @@
   PickerSettings picker;
   picker.domain = settings.domain;
   picker.region = settings.region;
-  picker.domain_gigabyte_cost = settings.costs.between_domains;
-  picker.region_gigabyte_cost = settings.costs.between_regions;
+  picker.cross_domain_cost_per_gigabyte = settings.costs.between_domains;
+  picker.cross_region_cost_per_gigabyte = settings.costs.between_regions;
   picker.link_limits = settings.link_limits;
   picker.policy = settings.policy;
   return picker;
@@ -87,23 +87,24 @@
                MixHashes(StableHash(settings.host), incarnation)),
       crashes(settings.domain, settings.host),
       listen_probe(loop),
-      unknown_fields(headers),
+      unknown_headers(headers),
       limits(upstreams, settings.host, settings.domain) {
   limits.SetOnChange([this](UpstreamState& upstream, LimitChange change) {
     OnLimitChange(upstream, change);
   });
-  crashes.OnNotice([this](const CrashNotice& notice) {
+  crashes.SetOnBlockChange([this](const CrashBlockChange& notice) {
     events.Record(notice.blocked ? EventCode::kRequestBlocked
                                  : EventCode::kRequestUnblocked,
-                  ToText(notice.request), "", FieldsOf(notice.verdict));
+                  ToText(notice.request), "", ToEventFields(notice.verdict));
   });
 }
 
 double GatewayState::RetryBurst(Time now) const {
-  return settings.bounds.retry_slack * kSlackShare / hosts.Sharers(now);
+  return settings.bounds.retry_slack * kSlackShare /
+         hosts.LimitSharerCount(now);
 }
 
-RetryBudget& GatewayState::RetriesOf(const std::string& service) {
+RetryBudget& GatewayState::RetryBudgetOf(const std::string& service) {
   const auto found = retries.find(service);
   if (found != retries.end()) {
     return found->second;
@@ -129,14 +130,15 @@
   picker.links().OnEnded(upstream.region);
 }
 
-void GatewayState::ShareBounds(Time now) {
-  picker.links().SetSharers(hosts.SharersIn(settings.region, now));
-  picker.SetHosts(hosts.SharersByRegion(now));
+void GatewayState::UpdateHostShares(Time now) {
+  picker.links().SetHostCount(hosts.LimitSharerCountIn(settings.region, now));
+  picker.SetHosts(hosts.LimitSharerCountsByRegion(now));
   for (auto& [service, budget] : retries) {
     budget.SetBurst(RetryBurst(now));
   }
   ShareQuotas(now);
-  picker.SetBoundDemand(quotas.control().DemandAtHome(accounts.All(), now));
+  picker.SetPinnedDemand(
+      quotas.control().DemandByHomeRegion(accounts.All(), now));
   limits.Tick(now);
   ShareRates(now);
 }
@@ -162,8 +164,8 @@
       const bool fresh = upstream->info.version == rollout.order().version;
       on_others += fresh ? 0 : upstream->load.own();
     }
-    rollout.SetSituation(upstreams.VersionsOf(service),
-                         static_cast<std::uint32_t>(on_others));
+    rollout.SetLocalState(upstreams.VersionsOf(service),
+                          static_cast<std::uint32_t>(on_others));
   }
 }
 
@@ -171,21 +173,21 @@
 // known.
 void GatewayState::ShareQuotas(Time now) {
   const auto others = hosts.Others();
-  LimitSharers sharers;
+  QuotaHosts sharers;
   sharers.known = static_cast<int>(others.size()) + 1;
-  sharers.hears_most = hosts.Alive(now) >= sharers.known * kMostOfFleet;
+  sharers.hears_most = hosts.AliveCount(now) >= sharers.known * kMostOfFleet;
   const Duration running = now - started;
   if (running > kHeardWithin && running < kUnheardCountsFor) {
-    sharers.unheard = static_cast<int>(
-        std::count_if(others.begin(), others.end(),
-                      [](const KnownHost* host) { return !host->ever_heard; }));
+    sharers.unheard = static_cast<int>(std::count_if(
+        others.begin(), others.end(),
+        [](const KnownHost* host) { return !host->has_heartbeat; }));
   }
   quotas.control().SetBounds(settings.bounds.quota);
   quotas.control().SetHosts(sharers, now);
 }
 
 void GatewayState::ShareRates(Time now) {
-  const auto& bounded = upstreams.MaybeBounded(now);
+  const auto& bounded = upstreams.MaybeRateBounded(now);
   if (bounded.empty()) {
     return;
   }
@@ -199,7 +201,7 @@
         !host->info.leaving && now - host->heard < kMayBeCutOffFor;
     known += may_live ? 1 : 0;
   }
-  senders.SetKnown(known);
+  senders.SetFleetSize(known);
   for (const UpstreamPtr& upstream : bounded) {
     if (const auto bound = BoundOf(*upstream, now)) {
       upstream->share.SetRate(
@@ -224,7 +226,7 @@
     const RateBound limit{
         per_second,
         bounds.limit_slack + bounds.limit_overage * per_second * window};
-    bound = bound ? bound->Lower(limit) : limit;
+    bound = bound ? bound->MinWith(limit) : limit;
   }
   return bound;
 }
@@ -232,10 +234,10 @@
 // Until the next tick shares the limit out, this host sends nothing more.
 void GatewayState::OnLimitChange(UpstreamState& upstream, LimitChange change) {
   const Time now = BootClock::now();
-  if (change == LimitChange::kNamed) {
+  if (change == LimitChange::kStarted) {
     upstream.share.SetRate(0, now);
   }
-  const LimitSign& sign = *upstream.limit.sign();
+  const LimitObservation& sign = *upstream.limit.sign();
   events.Record(change == LimitChange::kEnded ? EventCode::kUpstreamLimitEnded
                                               : EventCode::kUpstreamLimited,
                 upstream.info.id, "",
--- a/src/pathcleat/gateway/gateway_stop.cpp
+++ b/src/pathcleat/gateway/gateway_stop.cpp
@@ -23,7 +23,7 @@
   state_.stop.Begin(now, state_.settings.bounds.stop_grace);
   state_.hosts.SetLeaving();
   peers_.Tell();
-  view_.Leave();
+  view_.StopPublishing();
   callers_.CloseAfterAnswers();
   state_.events.Record(EventCode::kHostLeaving, state_.settings.host, "");
   stop_timer_.expires_after(state_.stop.accepts_until() - now);
@@ -36,7 +36,7 @@
 
 void Gateway::FinishStop() {
   callers_.StopAccepting();
-  callers_.FinishAndClose();
+  callers_.CloseGracefully();
   AwaitQuiet();
 }
 
@@ -46,15 +46,15 @@
   state_.events.Record(
       EventCode::kHostStopped, state_.settings.host,
       std::to_string(state_.requests) + " requests left unanswered",
-      {NumberField(field::kRefused,
-                   refused == refusals.end() ? 0 : refused->second),
-       NumberField(field::kGivenUp, state_.metrics.given_up_at_end())});
+      {IntegerField(field::kRefused,
+                    refused == refusals.end() ? 0 : refused->second),
+       IntegerField(field::kGivenUp, state_.metrics.given_up_at_shutdown())});
 }
 
 void Gateway::AwaitQuiet() {
   const Time now = BootClock::now();
-  if (now >= state_.stop.last_answers()) {
-    state_.open_requests.OnHostEnds();
+  if (now >= state_.stop.final_answer_time()) {
+    state_.in_flight_requests.OnHostEnds();
   }
   const bool quiet = state_.requests == 0 && callers_.connections() == 0 &&
                      state_.keys.pending() == 0;
--- a/src/pathcleat/gateway/key_guard.cpp
+++ b/src/pathcleat/gateway/key_guard.cpp
@@ -21,8 +21,8 @@
 
 // When the store will answer again is not known: the later a return, the
 // better, as far as its caller can use it.
-KeyDecision NotRun(const std::string& reason, Duration left) {
-  const Duration after = LatestReturn(left, Duration::zero());
+IdempotencyDecision NotRun(const std::string& reason, Duration left) {
+  const Duration after = LatestRetry(left, Duration::zero());
   return {false, NotRunResponse(reason, after), RunOutcome::kNotRun};
 }
 
@@ -35,7 +35,7 @@
 void KeyGuard::Claim(const std::string& service,
                      const HttpRequest& request,
                      Duration left,
-                     std::function<void(KeyDecision)> callback) {
+                     std::function<void(IdempotencyDecision)> callback) {
   const std::string key = FindHeader(request.headers, kKeyHeader).value_or("");
   if (key.empty() || key.size() > kLongestKey) {
     callback({false,
@@ -46,7 +46,7 @@
   }
   // While the store does not answer, a claim would only make its caller wait
   // for the same refusal.
-  if (!state_.store_reached) {
+  if (!state_.store_reachable) {
     callback(NotRun("the key cannot be claimed: no store", left));
     return;
   }
@@ -54,8 +54,8 @@
     callback(NotRun("the caller waits no longer", left));
     return;
   }
-  KeyRequest claim;
-  claim.row_name = KeyRowName(service, key);
+  KeyClaimRequest claim;
+  claim.row_name = IdempotencyKeyRowName(service, key);
   claim.fingerprint = Fingerprint(request);
   claim.ends_wall_micros =
       WallMicros() + static_cast<std::uint64_t>(left.count());
@@ -65,12 +65,12 @@
       });
 }
 
-KeyDecision KeyGuard::Decide(ClaimResult result, Duration left) {
+IdempotencyDecision KeyGuard::Decide(ClaimResult result, Duration left) {
   switch (result.action) {
     case KeyAction::kRun:
       claimed_ = std::move(result.claimed);
       return {true, {}, RunOutcome::kNotRun};
-    case KeyAction::kAnswerKept:
+    case KeyAction::kReplayAnswer:
       state_.events.Record(EventCode::kKeyReplayed, result.claimed.row_name,
                            "the kept answer was given again");
       return {false, std::move(result.kept), RunOutcome::kAnswered};
--- a/src/pathcleat/gateway/metrics_page.cpp
+++ b/src/pathcleat/gateway/metrics_page.cpp
@@ -37,13 +37,14 @@
   void Buckets(const std::string& name,
                const Label& label,
                const Histogram& histogram) {
-    for (std::size_t i = 0; i < Histogram::kBounds.size(); ++i) {
+    for (std::size_t i = 0; i < Histogram::kBucketBounds.size(); ++i) {
       std::ostringstream bound;
-      bound << Histogram::kBounds.at(i);
+      bound << Histogram::kBucketBounds.at(i);
       Sample(name + "_bucket", {label, {"le", bound.str()}},
              histogram.CountUpTo(i));
     }
-    const std::uint64_t all = histogram.CountUpTo(Histogram::kBounds.size());
+    const std::uint64_t all =
+        histogram.CountUpTo(Histogram::kBucketBounds.size());
     Sample(name + "_bucket", {label, {"le", "+Inf"}}, all);
     Sample(name + "_sum", {label}, histogram.sum_seconds());
     Sample(name + "_count", {label}, all);
@@ -106,7 +107,7 @@
   page.Family("pathcleat_broken_off_total", "counter",
               "Exchanges that this host ended while their upstream may have "
               "been at work, by cause.");
-  for (const auto& [cause, count] : state.metrics.broken_off()) {
+  for (const auto& [cause, count] : state.metrics.aborted()) {
     page.Sample("pathcleat_broken_off_total", {{"cause", ToString(cause)}},
                 count);
   }
@@ -118,7 +119,7 @@
 void AddAccounts(Page& page, const AccountStats& accounts) {
   page.Family("pathcleat_account_requests_total", "counter",
               "Requests of the busiest and the most refused client accounts.");
-  for (const auto& [account, counts] : accounts.Foremost()) {
+  for (const auto& [account, counts] : accounts.TopAccounts()) {
     page.Sample("pathcleat_account_requests_total",
                 {{"account", account}, {"outcome", "taken"}}, counts.taken);
     page.Sample("pathcleat_account_requests_total",
@@ -198,10 +199,11 @@
 void AddCrashes(Page& page, const GatewayState& state) {
   page.Family("pathcleat_upstream_ends_total", "counter",
               "Requests that an upstream had when its process ended.");
-  page.Sample("pathcleat_upstream_ends_total", {}, state.metrics.ended_under());
+  page.Sample("pathcleat_upstream_ends_total", {},
+              state.metrics.upstream_crashes());
   page.Family("pathcleat_crash_requests", "gauge",
               "Requests under which upstreams have ended, by state.");
-  const std::size_t blocked = state.crashes.Blocked();
+  const std::size_t blocked = state.crashes.BlockedCount();
   page.Sample("pathcleat_crash_requests", {{"state", "suspected"}},
               state.crashes.size() - blocked);
   page.Sample("pathcleat_crash_requests", {{"state", "blocked"}}, blocked);
@@ -266,13 +268,13 @@
   page.Sample("pathcleat_store_watched", {},
               versions.store == StoreAccess::kWatching ? 1 : 0);
   page.Family("pathcleat_hosts_alive", "gauge", "Hosts heard, this one too.");
-  page.Sample("pathcleat_hosts_alive", {}, state.hosts.Alive(now));
+  page.Sample("pathcleat_hosts_alive", {}, state.hosts.AliveCount(now));
 }
 
 void AddFeeds(Page& page, const MetricsInputs& inputs, Time now) {
   page.Family("pathcleat_feed_age_seconds", "gauge",
               "Since a topic was last heard of, also that nothing changed.");
-  for (const auto& [topic, answered] : inputs.feeds_answered) {
+  for (const auto& [topic, answered] : inputs.feeds_received_at) {
     page.Sample("pathcleat_feed_age_seconds", {{"topic", ToString(topic)}},
                 std::chrono::duration<double>(now - answered).count());
   }
@@ -281,27 +283,27 @@
 void AddPeers(Page& page, const PeerTraffic& traffic) {
   page.Family("pathcleat_peer_bytes_sent_total", "counter",
               "Bytes sent to other hosts, by kind.");
-  for (const PeerMessage kind : kPeerMessages) {
+  for (const PeerMessageKind kind : kPeerMessageKinds) {
     page.Sample("pathcleat_peer_bytes_sent_total", {{"kind", ToString(kind)}},
                 traffic.sent(kind));
   }
   page.Family("pathcleat_peer_bytes_received_total", "counter",
               "Bytes taken from other hosts, by kind.");
-  for (const PeerMessage kind : kPeerMessages) {
+  for (const PeerMessageKind kind : kPeerMessageKinds) {
     page.Sample("pathcleat_peer_bytes_received_total",
                 {{"kind", ToString(kind)}}, traffic.received(kind));
   }
   page.Family("pathcleat_peer_unknown_forms_total", "counter",
               "Datagrams of this fleet in a form that is not known here.");
   page.Sample("pathcleat_peer_unknown_forms_total", {},
-              traffic.unknown_forms());
+              traffic.unknown_formats());
   page.Family("pathcleat_peer_questions_under_way", "gauge",
               "Other hosts asked that have not answered yet.");
   page.Sample("pathcleat_peer_questions_under_way", {}, traffic.asked());
   page.Family("pathcleat_peer_questions_given_up_total", "counter",
               "Other hosts asked that gave no answer that could be used.");
   page.Sample("pathcleat_peer_questions_given_up_total", {},
-              traffic.given_up());
+              traffic.failed_fetches());
 }
 
 void AddProcess(Page& page, const GatewayState& state, const LogCounts& drops) {
@@ -316,7 +318,7 @@
   page.Family("pathcleat_failures_not_logged_total", "counter",
               "Requests that failed beyond the log's rate.");
   page.Sample("pathcleat_failures_not_logged_total", {},
-              state.request_log.left_out());
+              state.request_log.suppressed_failures());
   rusage usage{};
   getrusage(RUSAGE_SELF, &usage);
   constexpr double kMicros = 1e6;
--- a/src/pathcleat/gateway/operator_accounts.cpp
+++ b/src/pathcleat/gateway/operator_accounts.cpp
@@ -60,7 +60,8 @@
     const QuotaDecision use =
         state_.quotas.control().Explain(*account, BootClock::now());
     text << "use: " << UseText(use) << "; next in "
-         << static_cast<int>(ToMilliseconds(use.next_in)) << " ms\n";
+         << static_cast<int>(ToMilliseconds(use.time_until_available))
+         << " ms\n";
   }
   const AccountCounts counts = state_.account_stats.Of(account->name);
   text << "here: taken " << counts.taken << ", refused beyond the limit "
@@ -71,8 +72,8 @@
   for (const std::string& region : account->home_regions) {
     text << "home: " << region << "\n";
   }
-  for (const KeyDigest& key : account->keys) {
-    text << "key: digest " << ShortText(key) << "...\n";
+  for (const KeyedDigest& key : account->keys) {
+    text << "key: digest " << ShortHex(key) << "...\n";
   }
   return text.str();
 }
--- a/src/pathcleat/gateway/operator_rollouts.cpp
+++ b/src/pathcleat/gateway/operator_rollouts.cpp
@@ -22,7 +22,7 @@
 std::string OperatorService::ShowRollouts() const {
   std::ostringstream text;
   for (const auto& [service, rollout] : state_.rollouts.All()) {
-    const RolloutTally& fleet = rollout.judged();
+    const RolloutTally& fleet = rollout.evaluated_tally();
     text << service << " to " << rollout.order().version << ": "
          << PhaseText(rollout) << "; answers of all hosts, as told within the "
          << "last second: " << CountsText(fleet.fresh)
--- a/src/pathcleat/gateway/operator_service.cpp
+++ b/src/pathcleat/gateway/operator_service.cpp
@@ -46,7 +46,7 @@
                                  const FleetSecrets& secrets)
     : state_(state), commands_(commands), secrets_(secrets) {}
 
-void OperatorService::Handle(const ExchangePtr& exchange) {
+void OperatorService::Handle(const HttpExchangePtr& exchange) {
   const HttpRequest& request = exchange->request();
   if (!IsOperator(request)) {
     state_.events.Record(EventCode::kOperatorRejected, exchange->caller(),
@@ -72,9 +72,9 @@
          AreSecretsEqual(*header, kBearer + secrets_.operator_token());
 }
 
-KnownNames OperatorService::Names() const {
-  KnownNames names;
-  if (state_.routes.IsKnown()) {
+ValidNames OperatorService::Names() const {
+  ValidNames names;
+  if (state_.routes.IsLoaded()) {
     for (const ServiceInfo& service : state_.routes.config().services) {
       names.services.insert(service.name);
     }
@@ -88,7 +88,7 @@
   return names;
 }
 
-void OperatorService::Query(const ExchangePtr& exchange) {
+void OperatorService::Query(const HttpExchangePtr& exchange) {
   TryOr(
       [&]() -> Result<void> {
         BOOST_LEAF_AUTO(command,
@@ -117,7 +117,7 @@
          std::to_string(next_command_++);
 }
 
-void OperatorService::Submit(const ExchangePtr& exchange,
+void OperatorService::Submit(const HttpExchangePtr& exchange,
                              const ChangeCommand& command) {
   commands_.Submit(
       command.operation, NextCommandId(),
@@ -208,12 +208,12 @@
   std::ostringstream text;
   text << state_.settings.host << ": this host"
        << (state_.leaving ? ", leaving" : "") << ", store "
-       << (state_.store_reached ? "reached" : "out of reach") << "\n";
+       << (state_.store_reachable ? "reached" : "out of reach") << "\n";
   for (const KnownHost* host : state_.hosts.Others()) {
     text << host->info.name << ": in " << host->info.domain << ", "
          << (state_.hosts.IsAlive(*host, now) ? "alive" : "silent")
          << (host->info.leaving ? ", leaving" : "");
-    if (host->ever_heard) {
+    if (host->has_heartbeat) {
       text << ", heard " << Age(host->heard, now) << ", routes at version "
            << host->versions.config << ", commands at "
            << host->versions.commands;
@@ -228,7 +228,7 @@
   if (!upstream.limit.IsInForce(now)) {
     return "";
   }
-  const LimitSign& sign = *upstream.limit.sign();
+  const LimitObservation& sign = *upstream.limit.sign();
   std::ostringstream text;
   text << ", takes " << upstream.limit.PerSecond(now)
        << " requests a second from all hosts, " << upstream.share.per_second()
@@ -274,9 +274,9 @@
   std::ostringstream text;
   text << "routes: version " << state_.routes.version() << "\n"
        << "commands: version " << state.version << ", its age "
-       << (commands_.IsKnown() ? "confirmed by the table service"
-                               : "unknown: the table service has not "
-                                 "answered since the start")
+       << (commands_.IsLoaded() ? "confirmed by the table service"
+                                : "unknown: the table service has not "
+                                  "answered since the start")
        << "\n";
   int heard = 1;
   int in_force = 1;
@@ -309,7 +309,8 @@
     text << "shift: " << plan.service << " from " << plan.from << " to "
          << plan.to << " cap " << Percent(plan.cap) << "\n";
   }
-  text << "client blocks changed: " << state_.client_regions.assigned() << "\n";
+  text << "client blocks changed: " << state_.client_regions.assigned_count()
+       << "\n";
   return text.str();
 }
 
--- a/src/pathcleat/gateway/quota_gate.cpp
+++ b/src/pathcleat/gateway/quota_gate.cpp
@@ -3,21 +3,21 @@
 
 namespace pathcleat {
 
-QuotaAnswer QuotaGate::Take(const Account& account,
+QuotaResult QuotaGate::Take(const Account& account,
                             Duration caller_left,
                             Duration target,
                             Time now) {
-  QuotaAnswer answer;
+  QuotaResult answer;
   answer.decision = control_.Take(account, now);
   if (answer.decision.allowed) {
     return answer;
   }
-  ComebackWindow window;
-  window.room = answer.decision.next_in;
+  RetryWindow window;
+  window.room = answer.decision.time_until_available;
   window.in_time = Duration::zero();
-  window.latest = LatestReturn(caller_left, target);
+  window.latest = LatestRetry(caller_left, target);
   window.spacing = answer.decision.spacing;
-  answer.retry_after = returns_[AccountId(account)].Book(window, now);
+  answer.retry_after = returns_[AccountId(account)].Reserve(window, now);
   return answer;
 }
 
--- a/src/pathcleat/gateway/request_trace.cpp
+++ b/src/pathcleat/gateway/request_trace.cpp
@@ -15,18 +15,18 @@
 
 void RequestTrace::Note(EventCode code, EventFields fields) {
   events_.push_back(
-      state_.events.Stamp(code, request_id_, "", std::move(fields)));
+      state_.events.MakeEvent(code, request_id_, "", std::move(fields)));
 }
 
-void RequestTrace::NoteTaken(const Exchange& exchange,
-                             const PickRequest& picked,
-                             Duration left) {
+void RequestTrace::NoteAccepted(const Exchange& exchange,
+                                const PickRequest& picked,
+                                Duration left) {
   const HttpRequest& request = exchange.request();
   Note(EventCode::kRequestTaken,
        {{field::kCaller, exchange.caller()},
         {field::kMethod, request.method},
         {field::kPath, request.target.substr(0, kMostPathBytes)},
-        NumberField(field::kBodyBytes, request.body.size()),
+        IntegerField(field::kBodyBytes, request.body.size()),
         {field::kRoute, picked.route->name},
         {field::kService, picked.service},
         {field::kAccount, picked.account ? picked.account->name : ""},
@@ -34,31 +34,31 @@
         {field::kKey, picked.sticky ? std::to_string(picked.key) : ""},
         MillisecondsField(field::kTargetMs, picked.route->target_latency),
         MillisecondsField(field::kLeftMs, left),
-        NumberField(field::kConfigVersion, state_.routes.version()),
+        IntegerField(field::kConfigVersion, state_.routes.version()),
         MillisecondsField(field::kAgeMs,
-                          BootClock::now() - state_.routes_since)});
+                          BootClock::now() - state_.routes_applied_at)});
 }
 
-void RequestTrace::NoteKeyRefused(const Exchange& exchange,
-                                  const Route& route,
-                                  KeyFault fault) {
+void RequestTrace::NoteApiKeyRefused(const Exchange& exchange,
+                                     const Route& route,
+                                     ApiKeyFault fault) {
   Note(EventCode::kKeyRefused,
        {{field::kReason, ReasonOf(fault)},
         {field::kCaller, exchange.caller()},
         {field::kRoute, route.name},
-        NumberField(field::kConfigVersion, state_.routes.version()),
+        IntegerField(field::kConfigVersion, state_.routes.version()),
         MillisecondsField(field::kAgeMs,
-                          BootClock::now() - state_.routes_since)});
+                          BootClock::now() - state_.routes_applied_at)});
 }
 
 void RequestTrace::NoteOverLimit(const Account& account,
                                  const QuotaDecision& decision,
                                  Duration retry_after) {
   Note(EventCode::kRequestRefused,
-       {{field::kReason, kOverLimit},
+       {{field::kReason, kAccountLimitReason},
         {field::kAccount, account.name},
         {field::kLimitPerSecond, decision.limit_per_second},
-        {field::kFleetDemand, decision.fleet_demand},
+        {field::kFleetDemandPerSecond, decision.fleet_demand},
         {field::kShare, decision.share},
         MillisecondsField(field::kRetryAfterMs, retry_after)});
 }
@@ -67,23 +67,24 @@
   Note(EventCode::kRequestSent,
        {{field::kUpstream, pick.upstream->info.id},
         {field::kDomain, pick.upstream->info.domain},
-        NumberField(field::kAttempt, attempt),
-        NumberField(field::kCandidates, pick.candidates),
-        NumberField(field::kPassedOver, pick.passed_over),
+        IntegerField(field::kAttempt, attempt),
+        IntegerField(field::kCandidates, pick.candidates),
+        IntegerField(field::kPassedOver, pick.passed_over),
         MillisecondsField(field::kExpectedMs, pick.expected),
         MillisecondsField(field::kWaitMs, pick.wait),
         {field::kWarm, pick.warm},
-        NumberField(field::kListVersion, state_.list_version),
-        MillisecondsField(field::kListAgeMs, now - state_.list_since)});
+        IntegerField(field::kListVersion, state_.upstream_list_version),
+        MillisecondsField(field::kListAgeMs,
+                          now - state_.upstream_list_changed_at)});
 }
 
 void RequestTrace::NoteOpened(const std::string& upstream, Duration elapsed) {
   Note(EventCode::kConnectionOpened,
        {{field::kUpstream, upstream},
         MillisecondsField(field::kElapsedMs, elapsed),
-        NumberField(field::kListVersion, state_.list_version),
+        IntegerField(field::kListVersion, state_.upstream_list_version),
         MillisecondsField(field::kListAgeMs,
-                          BootClock::now() - state_.list_since)});
+                          BootClock::now() - state_.upstream_list_changed_at)});
 }
 
 void RequestTrace::NoteFailed(const std::string& upstream,
@@ -96,8 +97,8 @@
 }
 
 void RequestTrace::NoteSuspected(RequestDigest request,
-                                 const CrashVerdict& verdict) {
-  EventFields fields = FieldsOf(verdict);
+                                 const CrashDecision& verdict) {
+  EventFields fields = ToEventFields(verdict);
   fields.insert(fields.begin(), {field::kDigest, ToText(request)});
   Note(EventCode::kRequestSuspected, std::move(fields));
 }
@@ -115,13 +116,13 @@
   if (best != nullptr) {
     fields.push_back(MillisecondsField(field::kWaitMs, best->wait));
     fields.push_back(MillisecondsField(field::kExpectedMs, best->expected));
-    fields.push_back(NumberField(field::kCandidates, best->candidates));
-    fields.push_back(NumberField(field::kPassedOver, best->passed_over));
+    fields.push_back(IntegerField(field::kCandidates, best->candidates));
+    fields.push_back(IntegerField(field::kPassedOver, best->passed_over));
   }
   Note(EventCode::kRequestRefused, std::move(fields));
 }
 
-void RequestTrace::TellSoFar() {
+void RequestTrace::Flush() {
   state_.request_log.Finish(request_id_, true, events_, BootClock::now());
   state_.traces.Keep(request_id_, events_);
   told_ = events_.size();
--- a/src/pathcleat/gateway/upstream_attempt.cpp
+++ b/src/pathcleat/gateway/upstream_attempt.cpp
@@ -19,8 +19,8 @@
 void UpstreamAttempt::Start(const Pick& pick,
                             std::uint64_t key,
                             const HttpRequest& request,
-                            const RequestOrigin& origin,
-                            const AttemptTimes& times,
+                            const RequestMetadata& origin,
+                            const AttemptTimeouts& times,
                             std::function<void()> opened,
                             Callback callback) {
   const Time now = BootClock::now();
@@ -47,12 +47,13 @@
                                   : std::nullopt;
   client_->OnOpened(std::move(opened));
   client_->Send(
-      ToUpstream(state_.headers, request, origin, upstream.info.id, times.told),
+      MakeUpstreamRequest(state_.headers, request, origin, upstream.info.id,
+                          times.told),
       {std::min(kConnectTimeout, times.told), times.waited},
       [this, callback = std::move(callback)](const CallResult& result) {
         OnResult(result, callback);
       },
-      AnswersOf(state_.headers, origin.request_id));
+      MakeResponseMatcher(state_.headers, origin.request_id));
 }
 
 void UpstreamAttempt::OnResult(const CallResult& result,
@@ -65,7 +66,7 @@
   }
   if (answered) {
     upstream.health.OnHeard(BootClock::now());
-    if (const auto report = LoadReportIn(state_.headers, result.response)) {
+    if (const auto report = ParseLoadReport(state_.headers, result.response)) {
       upstream.load.OnReport(*report, BootClock::now());
     }
     NoteUnknownFields(result.response.headers);
@@ -74,7 +75,7 @@
   CountBreak(result);
   if (WasForgotten(result)) {
     counts_ = false;
-    state_.pool.OnForgotten(upstream.info, *rested_, BootClock::now());
+    state_.pool.OnStaleConnection(upstream.info, *rested_, BootClock::now());
   }
   if (result.silent && !silent_) {
     NoteSilent(*client);
@@ -85,7 +86,7 @@
     state_.picker.OnConnected(upstream, *opened);
   }
   if (answered) {
-    state_.pool.Return(upstream.info.id, client);
+    state_.pool.Release(upstream.info.id, client);
   }
   callback(result);
 }
@@ -95,11 +96,11 @@
 void UpstreamAttempt::NoteLimit(const HttpResponse& response) {
   const Time now = BootClock::now();
   const UpstreamPtr& upstream = pick_.upstream;
-  if (!state_.settings.policy.IsOn(Mechanism::kUpstreamLimits) ||
+  if (!state_.settings.policy.IsEnabled(Mechanism::kUpstreamLimits) ||
       response.status == http_status::kMisdirected) {
     return;
   }
-  const LimitField limit = LimitFieldIn(state_.headers, response);
+  const RateLimitHeader limit = ParseRateLimit(state_.headers, response);
   const bool unreadable = limit.present && !limit.per_second;
   if (unreadable && !upstream->limit_unreadable) {
     state_.events.Record(
@@ -108,15 +109,15 @@
   }
   upstream->limit_unreadable = unreadable;
   if (limit.per_second) {
-    state_.limits.OnNamed(upstream, *limit.per_second, now);
+    state_.limits.OnLimitReported(upstream, *limit.per_second, now);
   } else if (!limit.present && !IsNotRun(state_.headers, response) &&
-             IsWholeAnswer(state_.headers, response)) {
-    state_.limits.OnNotNamed(upstream, sent_, now);
+             IsCompleteAnswer(state_.headers, response)) {
+    state_.limits.OnNoLimitReported(upstream, sent_, now);
   }
 }
 
 void UpstreamAttempt::NoteUnknownFields(const HttpHeaders& headers) {
-  for (const HttpHeader& header : state_.unknown_fields.TakeNew(headers)) {
+  for (const HttpHeader& header : state_.unknown_headers.FindNew(headers)) {
     state_.events.Record(EventCode::kAnswerFieldUnknown,
                          pick_.upstream->info.id,
                          header.name + ": " + header.value);
@@ -127,29 +128,30 @@
 // ends. It says nothing of the upstream.
 bool UpstreamAttempt::WasForgotten(const CallResult& result) const {
   const Duration took = BootClock::now() - sent_;
-  return rested_ && result.outcome == CallOutcome::kBroken &&
-         !result.ended_here && !result.silent && result.bytes == 0 &&
+  return rested_ && result.outcome == CallOutcome::kConnectionLost &&
+         !result.closed_locally && !result.silent && result.bytes == 0 &&
          took < pick_.expected / 2;
 }
 
 void UpstreamAttempt::CountBreak(const CallResult& result) {
   if (result.silent) {
-    state_.metrics.OnBrokenOff(BreakCause::kSilentLink);
+    state_.metrics.OnAborted(AbortCause::kSilentConnection);
   } else if (result.outcome == CallOutcome::kTimedOut) {
-    state_.metrics.OnBrokenOff(BreakCause::kDeadline);
-  } else if (result.outcome == CallOutcome::kBroken && result.ended_here) {
-    state_.metrics.OnBrokenOff(BreakCause::kBadAnswer);
+    state_.metrics.OnAborted(AbortCause::kDeadline);
+  } else if (result.outcome == CallOutcome::kConnectionLost &&
+             result.closed_locally) {
+    state_.metrics.OnAborted(AbortCause::kBadAnswer);
   }
 }
 
-void UpstreamAttempt::Cancel(BreakCause cause) {
+void UpstreamAttempt::Cancel(AbortCause cause) {
   if (MayHaveSent()) {
-    state_.metrics.OnBrokenOff(cause);
+    state_.metrics.OnAborted(cause);
   }
-  TakeBack();
+  Withdraw();
 }
 
-void UpstreamAttempt::TakeBack() {
+void UpstreamAttempt::Withdraw() {
   if (!MayHaveSent()) {
     GiveShareBack();
   }
@@ -163,8 +165,8 @@
 
 bool UpstreamAttempt::TakeShare(Time now) {
   UpstreamState& upstream = *pick_.upstream;
-  if (!took_share_ && upstream.IsBounded(now)) {
-    took_share_ = upstream.share.TryTake(now);
+  if (!took_share_ && upstream.IsRateBounded(now)) {
+    took_share_ = upstream.share.TryAcquire(now);
     return took_share_;
   }
   return true;
@@ -172,16 +174,16 @@
 
 void UpstreamAttempt::GiveShareBack() {
   if (std::exchange(took_share_, false)) {
-    pick_.upstream->share.GiveBack(BootClock::now());
+    pick_.upstream->share.Release(BootClock::now());
   }
 }
 
-bool UpstreamAttempt::FindSilent() {
+bool UpstreamAttempt::DetectSilence() {
   if (silent_ || !client_) {
     return silent_;
   }
-  silent_ =
-      BootClock::now() - sent_ >= kLeastSilence && client_->HasUnacknowledged();
+  silent_ = BootClock::now() - sent_ >= kMinSilence &&
+            client_->HasUnacknowledgedBytes();
   if (silent_) {
     NoteSilent(*client_);
     // It holds nothing back any more: the upstream itself may well answer.
@@ -191,13 +193,13 @@
 }
 
 void UpstreamAttempt::NoteSilent(const HttpClient& client) {
-  counts_ =
-      state_.pool.OnSilent(pick_.upstream->info.id, client, BootClock::now());
+  counts_ = state_.pool.OnSilentConnection(pick_.upstream->info.id, client,
+                                           BootClock::now());
 }
 
 void UpstreamAttempt::NoteEnded() {
   if (silent_) {
-    pick_.upstream->health.OnTakenBack();
+    pick_.upstream->health.OnEndReverted();
   }
   state_.OnAttemptEnded(*pick_.upstream);
 }
--- a/src/pathcleat/http/http_client.cpp
+++ b/src/pathcleat/http/http_client.cpp
@@ -78,7 +78,7 @@
   }
 }
 
-void HttpClient::BindTo(const std::string& local_address) {
+void HttpClient::BindLocalAddress(const std::string& local_address) {
   local_address_ = local_address;
 }
 
@@ -95,8 +95,8 @@
 
 void HttpClient::StartParser() {
   parser_.emplace();
-  parser_->header_limit(limits_.header_bytes);
-  parser_->body_limit(limits_.body_bytes);
+  parser_->header_limit(limits_.max_header_bytes);
+  parser_->body_limit(limits_.max_body_bytes);
   parser_->eager(true);
   parser_->skip(head_);
 }
@@ -146,7 +146,7 @@
   Write();
 }
 
-bool HttpClient::HasUnacknowledged() {
+bool HttpClient::HasUnacknowledgedBytes() {
   tcp_info info{};
   socklen_t size = sizeof info;
   return connected_ &&
@@ -224,7 +224,7 @@
     buffer_.consume(used);
   }
   if (error && error != http::error::need_more) {
-    Fail(CallOutcome::kBroken, error.message());
+    Fail(CallOutcome::kConnectionLost, error.message());
     return;
   }
   if (parser_->is_done()) {
@@ -246,13 +246,13 @@
   if (matcher_ && !matcher_(result.response)) {
     spent_ = true;
     if (++strangers_ > kMostStrangers || !keep_alive) {
-      Fail(CallOutcome::kBroken, "the answer is another request's");
+      Fail(CallOutcome::kConnectionLost, "the answer is another request's");
       return;
     }
     AwaitNext();
     return;
   }
-  keep_alive_ = KeepAliveOf(result.response);
+  keep_alive_ = KeepAliveTimeout(result.response);
   spent_ = spent_ || !keep_alive || buffer_.size() > 0 || !written_;
   Finish(std::move(result));
 }
@@ -283,19 +283,19 @@
     }
   }
   if (silent_) {
-    Fail(CallOutcome::kBroken, kSilentText);
+    Fail(CallOutcome::kConnectionLost, kSilentText);
     return;
   }
-  Fail(CallOutcome::kBroken, parser_->got_some()
-                                 ? "the answer ended early"
-                                 : "the connection ended with no answer");
+  Fail(CallOutcome::kConnectionLost,
+       parser_->got_some() ? "the answer ended early"
+                           : "the connection ended with no answer");
 }
 
 // A request that is still being sent is bounded by the total time and by TCP,
 // which notices that nothing is taken.
 Time HttpClient::Limit() const {
   const Duration quiet = heard_ ? timeouts_.progress : timeouts_.first_byte;
-  const bool bounded = quiet != kNoLimit && (heard_ || written_);
+  const bool bounded = quiet != kNoTimeout && (heard_ || written_);
   return bounded ? std::min(deadline_, quiet_since_ + quiet) : deadline_;
 }
 
@@ -347,7 +347,7 @@
   result.outcome = outcome;
   result.detail = std::move(detail);
   result.silent = silent_;
-  result.ended_here = !peer_ended_;
+  result.closed_locally = !peer_ended_;
   Finish(std::move(result));
 }
 
--- a/src/pathcleat/http/http_client_test.cpp
+++ b/src/pathcleat/http/http_client_test.cpp
@@ -20,7 +20,7 @@
 
 struct ClientWorld {
   boost::asio::io_context loop{1};
-  ScriptedServer server{loop, OwnAddress()};
+  ScriptedServer server{loop, UniqueLoopbackAddress()};
   HttpClientPtr client =
       std::make_shared<HttpClient>(loop, server.endpoint(), HttpLimits());
   std::optional<CallResult> result;
@@ -49,7 +49,7 @@
   ClientWorld world;
   world.Ask({kFarOff, kFarOff, kFarOff, kShort});
   const Time began = BootClock::now();
-  world.server.Drip(AnswerOf(80), kPace);
+  world.server.SendByteByByte(AnswerOf(80), kPace);
   cr_assert(world.AwaitEnd());
   cr_assert(world.result->outcome == CallOutcome::kAnswered);
   cr_assert_eq(world.result->response.body.size(), 80U);
@@ -60,7 +60,7 @@
 // deadline_ alone.
 Test(http_client, answer_that_stopped_is_given_up_as_silent) {
   ClientWorld world;
-  world.Ask({kFarOff, kShort * 10, kNoLimit, kShort});
+  world.Ask({kFarOff, kShort * 10, kNoTimeout, kShort});
   world.server.Send(AnswerOf(100).substr(0, 60));
   cr_assert(world.AwaitEnd());
   cr_assert(world.result->outcome == CallOutcome::kTimedOut);
@@ -72,7 +72,7 @@
 // Checked to fail in the same way.
 Test(http_client, connection_without_any_answer_is_given_up_as_silent) {
   ClientWorld world;
-  world.Ask({kFarOff, kShort * 10, kShort, kNoLimit});
+  world.Ask({kFarOff, kShort * 10, kShort, kNoTimeout});
   cr_assert(world.AwaitEnd());
   cr_assert(world.result->outcome == CallOutcome::kTimedOut);
   cr_assert(world.result->silent);
@@ -80,8 +80,8 @@
 
 Test(http_client, total_time_ends_an_answer_that_still_arrives) {
   ClientWorld world;
-  world.Ask({kFarOff, kShort, kNoLimit, kShort});
-  world.server.Drip(AnswerOf(100'000), kPace);
+  world.Ask({kFarOff, kShort, kNoTimeout, kShort});
+  world.server.SendByteByByte(AnswerOf(100'000), kPace);
   cr_assert(world.AwaitEnd());
   cr_assert(world.result->outcome == CallOutcome::kTimedOut);
   cr_assert_not(world.result->silent);
@@ -91,10 +91,10 @@
 // `heard_ = false` taken out of Send.
 Test(http_client, limits_begin_anew_with_each_request) {
   ClientWorld world;
-  world.Ask({kFarOff, kFarOff, kNoLimit, kShort});
+  world.Ask({kFarOff, kFarOff, kNoTimeout, kShort});
   world.server.Send(AnswerOf(1));
   cr_assert(world.AwaitEnd());
-  world.Ask({kFarOff, kShort * 10, kShort, kNoLimit});
+  world.Ask({kFarOff, kShort * 10, kShort, kNoTimeout});
   cr_assert(world.client->reused());
   cr_assert(world.AwaitEnd());
   cr_assert(world.result->silent);
@@ -104,7 +104,7 @@
 // Checked to fail with `heard_` left as it is in AwaitNext.
 Test(http_client, interim_answer_starts_no_limit_on_progress) {
   ClientWorld world;
-  world.Ask({kFarOff, kFarOff, kNoLimit, kShort});
+  world.Ask({kFarOff, kFarOff, kNoTimeout, kShort});
   world.server.Send("HTTP/1.1 100 Continue\r\n\r\n");
   boost::asio::steady_timer late(world.loop, kShort * 3);
   late.async_wait([&](const boost::system::error_code&) {
@@ -118,13 +118,13 @@
 // pause before a probe, are far below the total time.
 struct SilentWorld {
   boost::asio::io_context loop{1};
-  ScriptedServer server{loop, OwnAddress()};
-  PassThrough way{loop, OwnAddress(), server.endpoint()};
+  ScriptedServer server{loop, UniqueLoopbackAddress()};
+  PassThrough way{loop, UniqueLoopbackAddress(), server.endpoint()};
   HttpClientPtr client =
       std::make_shared<HttpClient>(loop, way.endpoint(), HttpLimits());
   std::optional<CallResult> result;
 
-  SilentWorld() { client->SetSilenceLimit(kShort); }
+  SilentWorld() { client->SetAckTimeout(kShort); }
   void Ask() {
     result.reset();
     client->Send({"GET", "/", {{"Host", "test"}}, ""}, {kFarOff, kFarOff},
@@ -141,9 +141,9 @@
   SilentWorld world;
   world.Ask();
   cr_assert(world.Await([&] { return world.server.Has("\r\n\r\n"); }));
-  world.way.Silence(Hush::kNetwork);
+  world.way.SilenceConnections(SilenceMode::kDropPackets);
   cr_assert(world.Await([&] { return world.result.has_value(); }));
-  cr_assert(world.result->outcome == CallOutcome::kBroken);
+  cr_assert(world.result->outcome == CallOutcome::kConnectionLost);
   cr_assert(world.result->silent);
 }
 
@@ -155,25 +155,27 @@
   world.server.Send(AnswerOf(1));
   cr_assert(world.Await([&] { return world.result.has_value(); }));
   cr_assert(world.client->IsReusable());
-  cr_assert_not(world.client->HasUnacknowledged());
-  world.way.Silence(Hush::kNetwork);
+  cr_assert_not(world.client->HasUnacknowledgedBytes());
+  world.way.SilenceConnections(SilenceMode::kDropPackets);
   cr_assert(world.Await([&] { return !world.client->IsReusable(); }));
   cr_assert(world.client->silent());
 }
 
 // What was sent into silence is told from what a peer is at work on.
-// Checked to fail with HasUnacknowledged returning false.
+// Checked to fail with HasUnacknowledgedBytes returning false.
 Test(http_client, request_sent_into_silence_is_not_acknowledged) {
   SilentWorld world;
   world.Ask();
   cr_assert(world.Await([&] { return world.server.Has("\r\n\r\n"); }));
-  cr_assert(world.Await([&] { return !world.client->HasUnacknowledged(); }));
+  cr_assert(
+      world.Await([&] { return !world.client->HasUnacknowledgedBytes(); }));
   world.server.Send(AnswerOf(1));
   cr_assert(world.Await([&] { return world.result.has_value(); }));
-  world.way.Silence(Hush::kNetwork);
+  world.way.SilenceConnections(SilenceMode::kDropPackets);
   world.Ask();
   cr_assert(world.client->reused());
-  cr_assert(world.Await([&] { return world.client->HasUnacknowledged(); }));
+  cr_assert(
+      world.Await([&] { return world.client->HasUnacknowledgedBytes(); }));
   cr_assert(world.Await([&] { return world.result.has_value(); }));
   cr_assert(world.result->silent);
 }
--- a/src/pathcleat/http/http_codec.cpp
+++ b/src/pathcleat/http/http_codec.cpp
@@ -113,7 +113,7 @@
   return bytes;
 }
 
-Duration KeepAliveOf(const HttpResponse& response) {
+Duration KeepAliveTimeout(const HttpResponse& response) {
   const auto field = FindHeader(response.headers, "Keep-Alive");
   if (!field) {
     return Duration::zero();
--- a/src/pathcleat/http/http_exchange.cpp
+++ b/src/pathcleat/http/http_exchange.cpp
@@ -40,7 +40,7 @@
   on_ended_ = std::move(callback);
 }
 
-void Exchange::OnCheck(std::function<void()> callback) {
+void Exchange::OnConnectionCheck(std::function<void()> callback) {
   on_check_ = std::move(callback);
 }
 
@@ -51,7 +51,7 @@
   }
 }
 
-bool Exchange::CallerEnded() {
+bool Exchange::NotifyCallerHalfClosed() {
   if (!IsOpen() || !on_ended_) {
     return false;
   }
--- a/src/pathcleat/http/http_server.cpp
+++ b/src/pathcleat/http/http_server.cpp
@@ -20,7 +20,8 @@
 
 }  // namespace
 
-HttpServer::HttpServer(boost::asio::io_context& loop, ExchangeHandler handler)
+HttpServer::HttpServer(boost::asio::io_context& loop,
+                       HttpExchangeHandler handler)
     : loop_(loop),
       handler_(std::move(handler)),
       acceptor_(loop),
@@ -96,9 +97,9 @@
 }
 
 bool HttpServer::MakeRoom() {
-  std::vector<std::pair<SessionWorth, std::shared_ptr<ServerSession>>> ranked;
+  std::vector<std::pair<EvictionRank, std::shared_ptr<ServerSession>>> ranked;
   for (const auto& session : sessions_) {
-    if (const auto worth = session->Worth()) {
+    if (const auto worth = session->RankForEviction()) {
       ranked.emplace_back(*worth, session);
     }
   }
@@ -108,7 +109,7 @@
       ranked.end(),
       [](const auto& a, const auto& b) { return a.first < b.first; });
   for (std::size_t i = 0; i < ended; ++i) {
-    ranked[i].second->GiveWay();
+    ranked[i].second->Evict();
   }
   return ended > 0;
 }
@@ -120,7 +121,7 @@
       std::make_shared<ServerSession>(*this, std::move(socket));
   sessions_.insert(session);
   if (shed) {
-    session->GiveWay();
+    session->Evict();
   } else {
     session->Start();
   }
@@ -136,7 +137,7 @@
     const std::vector<std::shared_ptr<ServerSession>> sessions(
         sessions_.begin(), sessions_.end());
     for (const auto& session : sessions) {
-      session->CheckTime(now);
+      session->CheckTimeouts(now);
     }
     Sweep();
   });
@@ -154,7 +155,7 @@
   acceptor_.close(error);
 }
 
-void HttpServer::FinishAndClose() {
+void HttpServer::CloseGracefully() {
   close_after_answers_ = true;
   const std::vector<std::shared_ptr<ServerSession>> sessions(sessions_.begin(),
                                                              sessions_.end());
--- a/src/pathcleat/http/http_server_test.cpp
+++ b/src/pathcleat/http/http_server_test.cpp
@@ -21,18 +21,18 @@
 // A server that answers at once, or when told to.
 struct ServerWorld {
   boost::asio::io_context loop{1};
-  std::string address = OwnAddress();
+  std::string address = UniqueLoopbackAddress();
   bool hold = false;
-  std::vector<ExchangePtr> held;
-  HttpServer server{loop, [this](const ExchangePtr& e) { Handle(e); }};
+  std::vector<HttpExchangePtr> held;
+  HttpServer server{loop, [this](const HttpExchangePtr& e) { Handle(e); }};
   std::uint16_t port = 0;
   std::vector<std::unique_ptr<RawClient>> callers;
 
   ServerWorld() {
     // Half-sent requests end for no other reason within a test.
     HttpLimits limits;
-    limits.read_time = std::chrono::hours(1);
-    limits.idle_time = std::chrono::hours(1);
+    limits.read_timeout = std::chrono::hours(1);
+    limits.idle_timeout = std::chrono::hours(1);
     server.SetLimits(limits);
     TryOr(
         [this]() -> Result<void> {
@@ -43,7 +43,7 @@
     cr_assert_gt(port, 0);
   }
 
-  void Handle(const ExchangePtr& exchange) {
+  void Handle(const HttpExchangePtr& exchange) {
     if (hold) {
       held.push_back(exchange);
     } else {
@@ -71,12 +71,12 @@
   }
 };
 
-// Checked to fail (the longest is not ended) with GiveWay not called in
+// Checked to fail (the longest is not ended) with Evict not called in
 // MakeRoom, and (the new caller is told 503) with MakeRoom returning false.
 Test(http_server, half_sent_requests_give_way_to_new_callers) {
   ServerWorld world;
   constexpr std::size_t kMost = 8;
-  world.server.SetMostConnections(kMost);
+  world.server.SetMaxConnections(kMost);
   world.Callers(kMost, kHalf);
   RawClient& caller = world.Caller(kWhole);
   cr_assert(world.Await([&] { return caller.Has("200 OK"); }));
@@ -90,11 +90,11 @@
 
 // Requests under way are never ended for others; those get a true answer.
 // Checked to fail (the caller waits for good) with the shed connection started
-// in place of GiveWay.
+// in place of Evict.
 Test(http_server, caller_beyond_the_bound_is_told_that_nothing_ran) {
   ServerWorld world;
   constexpr std::size_t kMost = 4;
-  world.server.SetMostConnections(kMost);
+  world.server.SetMaxConnections(kMost);
   world.hold = true;
   world.Callers(kMost, kWhole);
   RawClient& caller = world.Caller(kWhole);
@@ -102,7 +102,7 @@
   cr_assert(caller.Has("HTTP/1.1 503"));
   cr_assert(caller.Has("Retry-After: "));
   cr_assert_eq(world.held.size(), kMost);
-  for (const ExchangePtr& exchange : world.held) {
+  for (const HttpExchangePtr& exchange : world.held) {
     exchange->Respond(TextResponse(200, "done\n"));
   }
   for (std::size_t i = 0; i < kMost; ++i) {
@@ -110,7 +110,7 @@
   }
 }
 
-// Checked to fail (no answer) with GiveWay not called in MakeRoom.
+// Checked to fail (no answer) with Evict not called in MakeRoom.
 Test(http_server, descriptor_limit_ends_what_waits_for_nothing) {
   ServerWorld world;
   world.Callers(4, kHalf);
@@ -138,7 +138,7 @@
   socket.connect({boost::asio::ip::make_address(world.address), world.port});
   cr_assert(world.Await([&] { return !world.server.CanAccept(); }));
   cr_assert_eq(world.server.connections(), 2U);
-  none.GiveBack(4);
+  none.Release(4);
   cr_assert(world.Await([&] { return world.server.CanAccept(); }));
   cr_assert_eq(world.server.connections(), 3U);
 }
--- a/src/pathcleat/http/listen_probe_test.cpp
+++ b/src/pathcleat/http/listen_probe_test.cpp
@@ -16,7 +16,7 @@
 
 tcp::endpoint Endpoint() {
   constexpr std::uint16_t kPort = 20'000;
-  return {boost::asio::ip::make_address(OwnAddress()), kPort};
+  return {boost::asio::ip::make_address(UniqueLoopbackAddress()), kPort};
 }
 
 Test(listen_probe, port_where_nobody_listens_refuses) {
--- a/src/pathcleat/http/server_session.cpp
+++ b/src/pathcleat/http/server_session.cpp
@@ -101,8 +101,8 @@
 
 void ServerSession::StartRequest() {
   parser_.emplace();
-  parser_->header_limit(server_->limits().header_bytes);
-  parser_->body_limit(server_->limits().body_bytes);
+  parser_->header_limit(server_->limits().max_header_bytes);
+  parser_->body_limit(server_->limits().max_body_bytes);
   header_seen_ = false;
   phase_began_ = BootClock::now();
 }
@@ -138,7 +138,7 @@
     return;
   }
   // A caller that sends ahead without end is read again after its answer.
-  if (buffer_.size() < server_->limits().header_bytes) {
+  if (buffer_.size() < server_->limits().max_header_bytes) {
     Read();
   } else {
     WatchCaller();
@@ -163,7 +163,7 @@
   ended_ = true;
   last_request_ = true;
   const auto exchange = exchange_;
-  if (!writing_ && !(exchange && exchange->CallerEnded())) {
+  if (!writing_ && !(exchange && exchange->NotifyCallerHalfClosed())) {
     Close();
   }
 }
@@ -237,7 +237,7 @@
     return false;
   }
   const auto announced = parser_->content_length();
-  if (announced && *announced > server_->limits().body_bytes) {
+  if (announced && *announced > server_->limits().max_body_bytes) {
     Reject(http_status::kPayloadTooLarge);
     return false;
   }
@@ -257,7 +257,7 @@
                                          BootClock::now());
   exchange_->OnAnswered([this] { Answer(); });
   exchange_->OnDropped([this] { Close(); });
-  exchange_->OnCheck([this] { CheckCaller(); });
+  exchange_->OnConnectionCheck([this] { CheckCaller(); });
   const auto exchange = exchange_;
   server_->handler_(exchange);
 }
@@ -317,7 +317,7 @@
   Read();
 }
 
-void ServerSession::CheckTime(Time now) {
+void ServerSession::CheckTimeouts(Time now) {
   if (closing_ && now - phase_began_ > kLingerTime) {
     Close();
     return;
@@ -327,30 +327,30 @@
   }
   const HttpLimits& limits = server_->limits();
   const bool mid_request = parser_->got_some();
-  if (mid_request && now - phase_began_ > limits.read_time) {
+  if (mid_request && now - phase_began_ > limits.read_timeout) {
     Reject(http_status::kRequestTimeout);
-  } else if (!mid_request && now - phase_began_ > limits.idle_time) {
+  } else if (!mid_request && now - phase_began_ > limits.idle_timeout) {
     Close();
   }
 }
 
-std::optional<SessionWorth> ServerSession::Worth() {
+std::optional<EvictionRank> ServerSession::RankForEviction() {
   if (closing_) {
-    return SessionWorth{SessionWorth::Kind::kLingering, phase_began_};
+    return EvictionRank{EvictionRank::Kind::kLingering, phase_began_};
   }
   error_code error;
   if (closed_ || exchange_ || writing_ || socket_.available(error) > 0) {
     return std::nullopt;
   }
   const bool half_sent = parser_->got_some() || buffer_.size() > 0;
-  return SessionWorth{
-      half_sent ? SessionWorth::Kind::kHalfSent : SessionWorth::Kind::kIdle,
+  return EvictionRank{
+      half_sent ? EvictionRank::Kind::kHalfSent : EvictionRank::Kind::kIdle,
       phase_began_};
 }
 
 // Sent as far as the connection takes it at once. What has come is read, as
 // the answer would else be overtaken by a reset.
-void ServerSession::GiveWay() {
+void ServerSession::Evict() {
   const bool idle = !closing_ && reading_ && !parser_->got_some();
   if (!closing_ && !idle) {
     HttpResponse response = TextResponse(http_status::kUnavailable,
