--- a/src/pathcleat/http/server_session.hpp
+++ b/src/pathcleat/http/server_session.hpp
@@ -17,11 +17,11 @@
 
 /// @brief What a connection without a request under way is worth, the least
 /// first: its kind, then since when it has been so.
-struct SessionWorth {
+struct EvictionRank {
   enum class Kind { kLingering, kHalfSent, kIdle };
   Kind kind = Kind::kIdle;
   Time since;
-  auto operator<=>(const SessionWorth&) const = default;
+  auto operator<=>(const EvictionRank&) const = default;
 };
 
 /// @brief The server's end of one connection. While a request waits for its
@@ -39,15 +39,15 @@
   void Finish();
 
   /// @brief Ends what has taken too long. Called several times a second.
-  void CheckTime(Time now);
+  void CheckTimeouts(Time now);
 
   /// @brief What it is worth; nothing while its caller waits for an answer or
   /// sends.
-  std::optional<SessionWorth> Worth();
+  std::optional<EvictionRank> RankForEviction();
 
   /// @brief Ends it at once for others: a request that is half sent, or not
   /// read, is told that it was not run.
-  void GiveWay();
+  void Evict();
 
   /// @brief The server is going away: no callbacks any more.
   void Detach();
@@ -80,7 +80,7 @@
   std::string caller_;
   boost::beast::flat_buffer buffer_;
   std::optional<Parser> parser_;
-  ExchangePtr exchange_;  ///< the request that waits for its answer
+  HttpExchangePtr exchange_;  ///< the request that waits for its answer
   std::string out_;
   Time phase_began_;  ///< of waiting idle, of reading, or of closing
   bool header_seen_ = false;
--- a/src/pathcleat/http/server_stop_test.cpp
+++ b/src/pathcleat/http/server_stop_test.cpp
@@ -49,10 +49,10 @@
   }
 
   boost::asio::io_context loop{1};
-  std::string address = OwnAddress();
+  std::string address = UniqueLoopbackAddress();
   int handled = 0;
   HttpServer server{
-      loop, [this](const ExchangePtr& exchange) {
+      loop, [this](const HttpExchangePtr& exchange) {
         ++handled;
         exchange->Respond(TextResponse(http_status::kOk, "done\n"));
       }};
@@ -67,7 +67,7 @@
   ServerWorld world;
   world.Send();
   world.server.StopAccepting();
-  world.server.FinishAndClose();
+  world.server.CloseGracefully();
   const std::string text = world.AwaitEnd();
   cr_assert(text.starts_with("HTTP/1.1 200"), "%s", text.c_str());
   cr_assert_neq(text.find("Connection: close"), std::string::npos);
@@ -79,7 +79,7 @@
   cr_assert(
       WaitUntil(world.loop, [&] { return world.server.connections() == 1; }));
   world.Send();
-  world.server.FinishAndClose();
+  world.server.CloseGracefully();
   const std::string text = world.AwaitEnd();
   cr_assert(text.starts_with("HTTP/1.1 200"), "%s", text.c_str());
 }
@@ -88,7 +88,7 @@
   ServerWorld world;
   cr_assert(
       WaitUntil(world.loop, [&] { return world.server.connections() == 1; }));
-  world.server.FinishAndClose();
+  world.server.CloseGracefully();
   cr_assert_str_empty(world.AwaitEnd().c_str());
   cr_assert_eq(world.handled, 0);
 }
--- a/src/pathcleat/lab/account_slopes.cpp
+++ b/src/pathcleat/lab/account_slopes.cpp
@@ -31,8 +31,8 @@
   return config;
 }
 
-Slope SlopeOf(const char* name) {
-  Slope slope;
+CostCurve SlopeOf(const char* name) {
+  CostCurve slope;
   slope.name = name;
   slope.size_unit = "accounts with two keys";
   return slope;
@@ -46,17 +46,18 @@
   changed.version = 2;
   changed.accounts.front().keys.pop_back();
   history.Note(changed);
-  return static_cast<double>(history.PartSince(changed, whole ? 0 : 1).size());
+  return static_cast<double>(
+      history.EncodedUpdateSince(changed, whole ? 0 : 1).size());
 }
 
 }  // namespace
 
-std::vector<Slope> AccountSlopes() {
-  Slope known = SlopeOf("account of a key found, us");
-  Slope unknown = SlopeOf("key that nobody holds looked up, us");
-  Slope taken = SlopeOf("request counted in its limit, us");
-  Slope whole = SlopeOf("configuration told whole, bytes");
-  Slope change = SlopeOf("one key taken away told, bytes");
+std::vector<CostCurve> MeasureAccountCosts() {
+  CostCurve known = SlopeOf("account of a key found, us");
+  CostCurve unknown = SlopeOf("key that nobody holds looked up, us");
+  CostCurve taken = SlopeOf("request counted in its limit, us");
+  CostCurve whole = SlopeOf("configuration told whole, bytes");
+  CostCurve change = SlopeOf("one key taken away told, bytes");
   KeyDigester digester;
   digester.SetSecret("a secret");
   for (const int size : kSizes) {
@@ -72,24 +73,24 @@
           {{"Host", "test"}, {"Authorization", "Bearer " + KeyOf(i, 7)}});
     }
     const auto time = [&](const std::vector<HttpHeaders>& requests) {
-      return PointOf(size, TimeCalls(kCalls, [&](std::size_t i) {
-                       IdentifyCaller(requests[i % requests.size()], table,
-                                      digester);
-                     }));
+      return MakeCostPoint(size, TimeCalls(kCalls, [&](std::size_t i) {
+                             IdentifyCaller(requests[i % requests.size()],
+                                            table, digester);
+                           }));
     };
     known.points.push_back(time(callers));
     unknown.points.push_back(time(strangers));
     QuotaControl quotas("domain", "host", 1);
     const Time now = BootClock::now();
-    taken.points.push_back(PointOf(size, TimeCalls(kCalls, [&](std::size_t i) {
-                                     quotas.Take(config.accounts[i % size],
-                                                 now + Duration(i));
-                                   })));
-    whole.points.push_back(PointOf(size, {BytesTold(config, true)}));
-    change.points.push_back(PointOf(size, {BytesTold(config, false)}));
+    taken.points.push_back(MakeCostPoint(
+        size, TimeCalls(kCalls, [&](std::size_t i) {
+          quotas.Take(config.accounts[i % size], now + Duration(i));
+        })));
+    whole.points.push_back(MakeCostPoint(size, {BytesTold(config, true)}));
+    change.points.push_back(MakeCostPoint(size, {BytesTold(config, false)}));
   }
-  return {Fitted(known), Fitted(unknown), Fitted(taken), Fitted(whole),
-          Fitted(change)};
+  return {FitLine(known), FitLine(unknown), FitLine(taken), FitLine(whole),
+          FitLine(change)};
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/lab/accounts_test.cpp
+++ b/src/pathcleat/lab/accounts_test.cpp
@@ -24,12 +24,12 @@
 // A world with two accounts, "runners" and "clubs", and a public route.
 class AccountWorld {
  public:
-  explicit AccountWorld(const TestWorldPlan& plan = {}) : world(plan) {
+  explicit AccountWorld(const TestClusterPlan& plan = {}) : world(plan) {
     RoutingConfig& config = world.config();
     Route open = config.routes.front();
     open.name = "open";
     open.path_prefix = "/s/open/";
-    open.needs_key = false;
+    open.needs_account_key = false;
     config.routes.push_back(open);
     config.accounts = {Named("runners"), Named("clubs")};
     keys = {{"runners", {kRunnersKey}}, {"clubs", {kClubsKey}}};
@@ -61,7 +61,8 @@
 
   int Status(std::size_t host, const std::string& key) {
     return world
-        .AskHost(host, With(world.GetRequest("r" + std::to_string(++run)), key))
+        .SendToHost(host,
+                    With(world.GetRequest("r" + std::to_string(++run)), key))
         .response.status;
   }
 
@@ -83,20 +84,20 @@
     return keys_seen;
   }
 
-  TestWorld world;
+  TestCluster world;
   platform::AccountKeys keys;
   int run = 0;
 };
 
 // Checked to fail with Authorization, and with names.account, left out of
-// what ToUpstream takes away.
+// what MakeUpstreamRequest takes away.
 Test(promise, upstreams_are_told_the_account_and_never_the_key) {
   AccountWorld accounts;
-  TestWorld& world = accounts.world;
+  TestCluster& world = accounts.world;
   world.StartAll();
   HttpRequest request = accounts.With(world.PostRequest("one"), kRunnersKey);
   request.headers.push_back({platform::PlatformHeaderNames().account, "clubs"});
-  cr_assert_eq(world.AskHost(0, request).response.status, http_status::kOk);
+  cr_assert_eq(world.SendToHost(0, request).response.status, http_status::kOk);
   cr_assert_eq(accounts.RunsOf("runners"), 1);
   cr_assert_eq(accounts.RunsOf("clubs"), 0);
   cr_assert_eq(accounts.KeysSeen(), 0);
@@ -105,7 +106,7 @@
 // Checked to fail with RefuseKey left out of Gateway::HandleCaller.
 Test(promise, request_without_a_valid_key_runs_nowhere) {
   AccountWorld accounts;
-  TestWorld& world = accounts.world;
+  TestCluster& world = accounts.world;
   world.StartAll();
   cr_assert_eq(world.Get(0, "none").response.status,
                http_status::kUnauthorized);
@@ -114,7 +115,7 @@
                http_status::kUnauthorized);
   HttpRequest twice = accounts.With(world.GetRequest("twice"), kRunnersKey);
   cr_assert_eq(
-      world.AskHost(0, accounts.With(twice, kRunnersKey)).response.status,
+      world.SendToHost(0, accounts.With(twice, kRunnersKey)).response.status,
       http_status::kUnauthorized);
   cr_assert_eq(world.TotalRuns(), 0);
   cr_assert(world.HasEvent(0, EventCode::kKeyRefused) ||
@@ -123,17 +124,17 @@
 
 Test(accounts, public_route_needs_no_key_and_is_told_whose_it_is) {
   AccountWorld accounts;
-  TestWorld& world = accounts.world;
+  TestCluster& world = accounts.world;
   world.StartAll();
   HttpRequest request = world.GetRequest("open");
   request.target = "/s/open/item";
-  cr_assert_eq(world.AskHost(0, request).response.status, http_status::kOk);
+  cr_assert_eq(world.SendToHost(0, request).response.status, http_status::kOk);
   cr_assert_eq(accounts.RunsOf(""), 1);
   cr_assert_eq(
-      world.AskHost(0, accounts.With(request, "of-nobody")).response.status,
+      world.SendToHost(0, accounts.With(request, "of-nobody")).response.status,
       http_status::kOk);
   cr_assert_eq(
-      world.AskHost(0, accounts.With(request, kClubsKey)).response.status,
+      world.SendToHost(0, accounts.With(request, kClubsKey)).response.status,
       http_status::kOk);
   cr_assert_eq(accounts.RunsOf("clubs"), 1);
   cr_assert_eq(accounts.KeysSeen(), 0);
@@ -141,11 +142,11 @@
 
 // Without accounts a caller's Authorization is the upstream's business.
 Test(accounts, without_accounts_everything_travels_as_before) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   HttpRequest request = world.GetRequest("plain");
   request.headers.push_back({"Authorization", "Bearer of-somebody"});
-  cr_assert_eq(world.AskHost(0, request).response.status, http_status::kOk);
+  cr_assert_eq(world.SendToHost(0, request).response.status, http_status::kOk);
   int keys_seen = 0;
   world.ForEachUpstream([&](UpstreamStandIn& upstream) {
     keys_seen += upstream.ledger().keys_seen;
@@ -156,10 +157,10 @@
 // Keys added, taken, moved and renamed with their account, at hosts that read
 // the store and at those that follow others.
 Test(accounts, changed_keys_are_in_force_at_all_hosts) {
-  TestWorldPlan plan;
+  TestClusterPlan plan;
   plan.hosts_in_domain = {3, 3};
   AccountWorld accounts(plan);
-  TestWorld& world = accounts.world;
+  TestCluster& world = accounts.world;
   world.StartAll();
   accounts.AwaitInForce(6);
   cr_assert_eq(accounts.Status(5, kRunnersKey), http_status::kOk);
@@ -186,7 +187,7 @@
 // What an ambiguous version says of a key would be a guess.
 Test(accounts, version_with_a_key_of_two_accounts_changes_nothing) {
   AccountWorld accounts;
-  TestWorld& world = accounts.world;
+  TestCluster& world = accounts.world;
   world.StartAll();
   accounts.AwaitInForce(2);
   const std::uint64_t before = world.host(0).Versions().config;
@@ -201,7 +202,7 @@
 // A newer version may have the key.
 Test(accounts, unknown_key_is_not_denied_while_others_know_more) {
   AccountWorld accounts;
-  TestWorld& world = accounts.world;
+  TestCluster& world = accounts.world;
   world.StartAll();
   Gateway& told = world.host(0);
   boost::asio::ip::udp::socket socket(
@@ -228,10 +229,10 @@
 
 // Three hosts of two failure domains get many times the limit.
 Test(promise, limit_of_an_account_holds_over_all_hosts) {
-  TestWorldPlan plan;
+  TestClusterPlan plan;
   plan.hosts_in_domain = {2, 1};
   AccountWorld accounts(plan);
-  TestWorld& world = accounts.world;
+  TestCluster& world = accounts.world;
   constexpr double kRate = 20;
   world.config().accounts[0].limit = {kRate, kRate};
   accounts.Put();
@@ -256,28 +257,28 @@
 
 Test(accounts, refusal_beyond_the_limit_tells_when_to_come_back) {
   AccountWorld accounts;
-  TestWorld& world = accounts.world;
+  TestCluster& world = accounts.world;
   world.config().accounts[0].limit = {1, 1};
   accounts.Put();
   world.StartAll();
   CallResult last;
   cr_assert(world.Await([&] {
-    last = world.AskHost(
+    last = world.SendToHost(
         0,
         accounts.With(world.PostRequest("p" + std::to_string(++accounts.run)),
                       kRunnersKey));
     return last.response.status == http_status::kTooManyRequests;
   }));
   cr_assert(FindHeader(last.response.headers, "Retry-After").has_value());
-  cr_assert_eq(TestWorld::Outcome(last), "not-run");
+  cr_assert_eq(TestCluster::OutcomeHeader(last), "not-run");
 }
 
 // Homes of the route and of the account both bind.
 Test(promise, requests_run_in_their_accounts_homes_alone) {
-  TestWorldPlan plan;
+  TestClusterPlan plan;
   plan.hosts_in_domain = {1, 1};
   AccountWorld accounts(plan);
-  TestWorld& world = accounts.world;
+  TestCluster& world = accounts.world;
   world.config().accounts[0].home_regions = {"region-1"};
   world.config().routes[1].home_regions = {"region-0"};
   accounts.Put();
@@ -292,27 +293,27 @@
   }
   // The write route is at home in region-0 alone: nowhere for this account.
   const CallResult nowhere =
-      world.AskHost(0, accounts.With(world.PostRequest("w"), kRunnersKey));
+      world.SendToHost(0, accounts.With(world.PostRequest("w"), kRunnersKey));
   cr_assert_eq(nowhere.response.status, http_status::kUnavailable);
-  cr_assert_eq(TestWorld::Outcome(nowhere), "not-run");
+  cr_assert_eq(TestCluster::OutcomeHeader(nowhere), "not-run");
 }
 
 Test(accounts, operators_see_limits_use_and_digests) {
   AccountWorld accounts;
-  TestWorld& world = accounts.world;
+  TestCluster& world = accounts.world;
   world.config().accounts[0].limit = {5, 5};
   accounts.Put();
   world.StartAll();
   accounts.AwaitInForce(2);
   cr_assert_eq(accounts.Status(0, kRunnersKey), http_status::kOk);
-  const std::string all = world.Command(0, "show accounts").response.body;
+  const std::string all = world.RunCommand(0, "show accounts").response.body;
   cr_assert(all.find("runners: 5 requests a second") != std::string::npos);
   cr_assert(all.find("clubs: no limit") != std::string::npos);
-  const std::string one = world.Command(0, "account runners").response.body;
+  const std::string one = world.RunCommand(0, "account runners").response.body;
   cr_assert(one.find("here: taken 1, refused") != std::string::npos);
   cr_assert(one.find("key: digest ") != std::string::npos);
   cr_assert(one.find(kRunnersKey) == std::string::npos);
-  cr_assert(world.Command(0, "account nobody")
+  cr_assert(world.RunCommand(0, "account nobody")
                 .response.body.starts_with("no account"));
   const std::string page = world.Metrics(0).response.body;
   cr_assert(page.find("pathcleat_account_requests_total{account=\"runners\"") !=
@@ -322,7 +323,7 @@
 // No key stands in a log line, an event, or a message between hosts.
 Test(promise, keys_are_told_nowhere) {
   AccountWorld accounts;
-  TestWorld& world = accounts.world;
+  TestCluster& world = accounts.world;
   world.StartAll();
   accounts.AwaitInForce(2);
   const std::string wrong = "wrong-key-of-a-caller";
@@ -333,11 +334,11 @@
     told += ToJsonLine(event);
   }
   told += world.Metrics(0).response.body;
-  told += world.Command(0, "show config").response.body;
+  told += world.RunCommand(0, "show config").response.body;
   ConfigHistory history;
   const RoutingConfig& config = world.host(0).state().routes.config();
   history.Note(config);
-  told += history.PartSince(config, 0);
+  told += history.EncodedUpdateSince(config, 0);
   cr_assert(told.find("runners") != std::string::npos);
   cr_assert(told.find(kRunnersKey) == std::string::npos);
   cr_assert(told.find(wrong) == std::string::npos);
--- a/src/pathcleat/lab/agenda.hpp
+++ b/src/pathcleat/lab/agenda.hpp
@@ -12,7 +12,7 @@
 
 /// @brief Runs steps in order of their virtual time.
 /// @ingroup lab
-class Agenda {
+class VirtualScheduler {
  public:
   Time now() const { return now_; }
 
--- a/src/pathcleat/lab/block_table_slopes.cpp
+++ b/src/pathcleat/lab/block_table_slopes.cpp
@@ -14,11 +14,11 @@
 constexpr double kNanos = 1e3;
 
 // Blocks of random lengths over all addresses, each of a random site.
-std::vector<BlockRow> MakeRows(std::size_t count) {
+std::vector<ClientBlockRow> MakeRows(std::size_t count) {
   std::mt19937_64 random(count);
   const double step = 4294967296.0 / static_cast<double>(count);
   std::uniform_real_distribution<double> place(0.0, 1.0);
-  std::vector<BlockRow> rows;
+  std::vector<ClientBlockRow> rows;
   rows.reserve(count);
   for (std::size_t i = 0; i < count; ++i) {
     const double first = (static_cast<double>(i) + place(random)) * step;
@@ -30,25 +30,25 @@
 
 }  // namespace
 
-std::vector<Slope> BlockTableSlopes() {
-  Slope build{"block table: build, CPU ms", "blocks", {}, 0, 0, 0};
-  Slope memory{"block table: memory, MB", "blocks", {}, 0, 0, 0};
-  Slope look_up{"block table: look-up, CPU ns", "blocks", {}, 0, 0, 0};
-  Slope change{"block table: one change, CPU us", "blocks", {}, 0, 0, 0};
-  Slope compact{
+std::vector<CostCurve> MeasureBlockTableCosts() {
+  CostCurve build{"block table: build, CPU ms", "blocks", {}, 0, 0, 0};
+  CostCurve memory{"block table: memory, MB", "blocks", {}, 0, 0, 0};
+  CostCurve look_up{"block table: look-up, CPU ns", "blocks", {}, 0, 0, 0};
+  CostCurve change{"block table: one change, CPU us", "blocks", {}, 0, 0, 0};
+  CostCurve compact{
       "block table: merge of 2,000 changes, CPU ms", "blocks", {}, 0, 0, 0};
   for (const std::size_t size : kSizes) {
     const auto x = static_cast<double>(size);
-    const std::vector<BlockRow> rows = MakeRows(size);
+    const std::vector<ClientBlockRow> rows = MakeRows(size);
     std::vector<double> builds =
         TimeCalls(1, [&rows](std::size_t) { const BlockTable built(rows); });
     for (double& micros : builds) {
       micros /= kNanos;
     }
-    build.points.push_back(PointOf(x, builds));
+    build.points.push_back(MakeCostPoint(x, builds));
     BlockTable table(rows);
-    memory.points.push_back(
-        PointOf(x, {static_cast<double>(table.MemoryBytes()) / kMegabyte}));
+    memory.points.push_back(MakeCostPoint(
+        x, {static_cast<double>(table.MemoryBytes()) / kMegabyte}));
     std::mt19937 random(1);
     std::uint64_t sum = 0;
     constexpr std::size_t kLookUps = 2'000'000;
@@ -57,7 +57,7 @@
     for (double& micros : look_ups) {
       micros *= kNanos;
     }
-    look_up.points.push_back(PointOf(x, look_ups));
+    look_up.points.push_back(MakeCostPoint(x, look_ups));
     std::vector<double> changes;
     std::vector<double> merges;
     constexpr int kRuns = 5;
@@ -74,11 +74,11 @@
       changes.push_back((changed - began) / kChanges);
       merges.push_back((CpuMicros() - changed) / kNanos);
     }
-    change.points.push_back(PointOf(x, changes));
-    compact.points.push_back(PointOf(x, merges));
+    change.points.push_back(MakeCostPoint(x, changes));
+    compact.points.push_back(MakeCostPoint(x, merges));
   }
-  return {Fitted(build), Fitted(memory), Fitted(look_up), Fitted(change),
-          Fitted(compact)};
+  return {FitLine(build), FitLine(memory), FitLine(look_up), FitLine(change),
+          FitLine(compact)};
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/lab/broken_off_test.cpp
+++ b/src/pathcleat/lab/broken_off_test.cpp
@@ -10,10 +10,10 @@
 namespace {
 
 using std::chrono::milliseconds;
-using Kind = UpstreamAct::Kind;
+using Kind = UpstreamAction::Kind;
 
-std::uint64_t BrokenOff(TestWorld& world, BreakCause cause) {
-  const auto& counts = world.host(0).state().metrics.broken_off();
+std::uint64_t BrokenOff(TestCluster& world, AbortCause cause) {
+  const auto& counts = world.host(0).state().metrics.aborted();
   const auto found = counts.find(cause);
   return found == counts.end() ? 0 : found->second;
 }
@@ -24,57 +24,58 @@
 }
 
 // Plays one request against upstreams that do so at each arrival.
-CallResult AskWith(TestWorld& world, const std::vector<UpstreamAct>& acts) {
+CallResult AskWith(TestCluster& world,
+                   const std::vector<UpstreamAction>& acts) {
   std::size_t arrivals = 0;
   world.ForEachUpstream([&](UpstreamStandIn& upstream) {
-    upstream.Direct([&] { return acts.at(arrivals++); });
+    upstream.SetActionChooser([&] { return acts.at(arrivals++); });
   });
   return world.Get(0, "r");
 }
 
-// Checked to fail without OnBrokenOff in UpstreamAttempt::Cancel.
+// Checked to fail without OnAborted in UpstreamAttempt::Cancel.
 Test(broken_off, silent_upstream_that_is_left_is_counted) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
-  const CallResult got = AskWith(world, {{Kind::kSilent, milliseconds(0)},
+  const CallResult got = AskWith(world, {{Kind::kNeverAnswer, milliseconds(0)},
                                          {Kind::kAnswer, milliseconds(0)}});
   cr_assert_eq(got.response.status, http_status::kOk);
-  cr_assert_eq(BrokenOff(world, BreakCause::kPatience), 1U);
+  cr_assert_eq(BrokenOff(world, AbortCause::kPatience), 1U);
   const std::string page = world.Metrics(0).response.body;
   cr_assert_neq(page.find("pathcleat_broken_off_total{cause=\"patience\"} 1\n"),
                 std::string::npos);
 }
 
 // An upstream that breaks off by itself is no doing of this host. Checked to
-// fail with ended_here set always.
+// fail with closed_locally set always.
 Test(broken_off, upstream_that_breaks_off_is_not_counted) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
-  AskWith(world,
-          {{Kind::kBreak, milliseconds(0)}, {Kind::kAnswer, milliseconds(0)}});
-  cr_assert(world.host(0).state().metrics.broken_off().empty());
+  AskWith(world, {{Kind::kDisconnect, milliseconds(0)},
+                  {Kind::kAnswer, milliseconds(0)}});
+  cr_assert(world.host(0).state().metrics.aborted().empty());
 }
 
-// Checked to fail without OnBrokenOff in UpstreamAttempt::Cancel.
+// Checked to fail without OnAborted in UpstreamAttempt::Cancel.
 Test(broken_off, deadline_is_counted_as_such) {
-  TestWorldPlan plan;
+  TestClusterPlan plan;
   plan.timeout = Duration(300'000);
-  TestWorld world(plan);
+  TestCluster world(plan);
   world.StartAll();
-  const CallResult got = AskWith(world, {{Kind::kSilent, milliseconds(0)},
+  const CallResult got = AskWith(world, {{Kind::kNeverAnswer, milliseconds(0)},
                                          {Kind::kAnswer, milliseconds(0)}});
   cr_assert_eq(got.response.status, http_status::kGatewayTimeout);
-  cr_assert_eq(BrokenOff(world, BreakCause::kDeadline), 1U);
+  cr_assert_eq(BrokenOff(world, AbortCause::kDeadline), 1U);
 }
 
 // What the fleet, the list and the configuration go through leaves work where
 // it is. Checked to fail with UpstreamPool::Drop made to cancel connections in
 // use too.
 Test(broken_off, changes_leave_work_where_it_is) {
-  TestWorldPlan plan;
+  TestClusterPlan plan;
   plan.hosts_in_domain = {2, 1};
   plan.timeout = Duration(60'000'000);
-  TestWorld world(plan);
+  TestCluster world(plan);
   world.StartAll();
   world.ForEachUpstream([](UpstreamStandIn& u) { u.HoldAnswers(); });
   std::vector<std::unique_ptr<RawClient>> callers;
@@ -85,7 +86,7 @@
     callers.back()->Send(PostText("r" + std::to_string(i)));
   }
   cr_assert(world.Await([&] { return world.InFlight() == kCallers; }));
-  world.platform().SetEvacuated("domain-0", true);
+  world.platform().SetDomainDrained("domain-0", true);
   for (std::size_t i = 0; i < world.upstreams(); ++i) {
     world.platform().RemoveUpstream(world.upstream_info(i).id);
   }
@@ -99,8 +100,8 @@
   }));
   cr_assert_eq(world.InFlight(), kCallers);
   world.ForEachUpstream([](UpstreamStandIn& u) {
-    while (u.HeldAnswers() > 0) {
-      u.AnswerHeld(0);
+    while (u.HeldAnswerCount() > 0) {
+      u.ReleaseAnswer(0);
     }
   });
   for (std::size_t i = 0; i < kCallers; ++i) {
@@ -108,7 +109,7 @@
     cr_assert(world.Await([&] { return callers[i]->Has(end); }));
   }
   cr_assert_eq(world.TotalRuns(), kCallers);
-  cr_assert(world.host(0).state().metrics.broken_off().empty());
+  cr_assert(world.host(0).state().metrics.aborted().empty());
 }
 
 }  // namespace
--- a/src/pathcleat/lab/caller_leaves_test.cpp
+++ b/src/pathcleat/lab/caller_leaves_test.cpp
@@ -25,7 +25,7 @@
 }
 
 // A caller whose steps take effect at once, while the host stands still.
-tcp::socket SendAtOnce(TestWorld& world, const std::string& text) {
+tcp::socket SendAtOnce(TestCluster& world, const std::string& text) {
   tcp::socket socket(world.loop());
   socket.connect(
       {boost::asio::ip::make_address(world.address()), world.CallerPort(0)});
@@ -33,26 +33,26 @@
   return socket;
 }
 
-std::uint64_t Left(TestWorld& world) {
+std::uint64_t Left(TestCluster& world) {
   const auto& left = world.host(0).state().metrics.callers_left();
   return std::accumulate(
       left.begin(), left.end(), std::uint64_t{0},
       [](std::uint64_t sum, const auto& entry) { return sum + entry.second; });
 }
 
-std::uint64_t LeftWith(TestWorld& world, WorkLeft work) {
+std::uint64_t LeftWith(TestCluster& world, AbandonedWork work) {
   const auto& left = world.host(0).state().metrics.callers_left();
   const auto found = left.find(work);
   return found == left.end() ? 0 : found->second;
 }
 
-void HoldAll(TestWorld& world) {
+void HoldAll(TestCluster& world) {
   world.ForEachUpstream([](UpstreamStandIn& u) { u.HoldAnswers(); });
 }
 
 // Leaves a connection open to each upstream, on which a request goes out
 // without a turn of the loop between.
-int OpenConnections(TestWorld& world) {
+int OpenConnections(TestCluster& world) {
   for (std::size_t i = 0; i < world.upstreams(); ++i) {
     for (int j = 0; world.upstream(i).ledger().runs == 0; ++j) {
       world.Get(0, "warm" + std::to_string(i) + "-" + std::to_string(j));
@@ -64,7 +64,7 @@
 // A host that is behind reads requests whose callers have given up. Checked to
 // fail without CheckCaller in Call::Start.
 Test(gone, callers_that_left_before_they_were_read_start_nothing) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   const int runs = OpenConnections(world);
   constexpr int kCallers = 40;
@@ -73,7 +73,7 @@
     SendAtOnce(world, i % 2 == 0 ? GetText(id) : PostText(id, 10)).close();
   }
   cr_assert(world.Await([&] { return Left(world) == kCallers; }));
-  cr_assert_eq(LeftWith(world, WorkLeft::kNotStarted), kCallers);
+  cr_assert_eq(LeftWith(world, AbandonedWork::kNotStarted), kCallers);
   cr_assert_eq(world.Get(0, "after").response.status, http_status::kOk);
   cr_log_info("begun for callers that had left: %d",
               world.TotalRuns() - runs - 1);
@@ -82,7 +82,7 @@
 
 // Checked to fail, with one run, without the call of on_opened_ in HttpClient.
 Test(gone, caller_that_leaves_while_a_connection_opens_starts_nothing) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   tcp::socket caller = SendAtOnce(world, PostText("left", 10));
   while (world.host(0).state().requests == 0) {
@@ -91,14 +91,14 @@
   }
   caller.close();
   cr_assert(world.Await([&] { return world.host(0).state().requests == 0; }));
-  cr_assert_eq(LeftWith(world, WorkLeft::kNotStarted), 1U);
+  cr_assert_eq(LeftWith(world, AbandonedWork::kNotStarted), 1U);
   cr_assert_eq(world.Get(0, "after").response.status, http_status::kOk);
   cr_assert_eq(world.RunsOf("left"), 0);
 }
 
 // Checked to fail, with two runs, without CheckCaller in RetryOrGiveUp.
 Test(gone, broken_attempt_of_a_caller_that_left_is_not_made_again) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   OpenConnections(world);
   HoldAll(world);
@@ -119,11 +119,11 @@
 // What a caller has sent ahead is not read beyond a bound, and hides its end.
 // Checked to fail, the slot kept until the deadline, without WatchCaller.
 Test(gone, caller_that_leaves_behind_unread_bytes_is_noticed) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   HoldAll(world);
   std::string ahead;
-  while (ahead.size() < 4 * HttpLimits().header_bytes) {
+  while (ahead.size() < 4 * HttpLimits().max_header_bytes) {
     ahead += GetText("ahead");
   }
   tcp::socket caller = SendAtOnce(world, GetText("held") + ahead);
@@ -132,7 +132,7 @@
   caller.close();
   cr_assert(world.Await([&] { return world.InFlight() == 0; }));
   cr_log_info("slot-seconds %.3f", world.SlotSeconds() - before);
-  cr_assert_eq(LeftWith(world, WorkLeft::kCancelled), 1U);
+  cr_assert_eq(LeftWith(world, AbandonedWork::kCancelled), 1U);
   cr_assert_eq(world.RunsOf("ahead"), 0);
 }
 
@@ -141,10 +141,10 @@
 // HttpClient::Cancel.
 Test(gone, body_of_a_caller_that_left_is_not_passed_on) {
   constexpr std::size_t kBody = 32UL * 1024 * 1024;
-  TestWorldPlan plan;
+  TestClusterPlan plan;
   plan.upstreams_in_domain = 0;
-  plan.caller_limits.body_bytes = kBody;
-  TestWorld world(plan);
+  plan.caller_limits.max_body_bytes = kBody;
+  TestCluster world(plan);
   world.StartAll();
   tcp::acceptor slow(world.loop(),
                      {boost::asio::ip::make_address(world.address()), 0});
@@ -190,7 +190,7 @@
 // the key free. Checked to fail, with one run, without the test of done_ in
 // Call::OnKey.
 Test(gone, key_claim_that_ends_too_late_starts_nothing) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   platform::StandInFaults slow;
   slow.delay = std::chrono::milliseconds(300);
@@ -204,7 +204,7 @@
   caller.Close();
   cr_assert(world.Await([&] { return world.host(0).state().requests == 0; }));
   world.platform().SetFaults({});
-  cr_assert_eq(LeftWith(world, WorkLeft::kNotStarted), 1U);
+  cr_assert_eq(LeftWith(world, AbandonedWork::kNotStarted), 1U);
   cr_assert(world.Await([&] {
     return world.Post(0, "again", "k").response.status == http_status::kOk;
   }));
@@ -215,13 +215,13 @@
 // deadline, without CancelAttempt in OnCallerLeft.
 Test(gone, many_that_leave_at_once_free_their_slots) {
   constexpr std::size_t kCallers = 100;
-  TestWorldPlan plan;
+  TestClusterPlan plan;
   plan.slots = kCallers;
   // Nobody is answered: on a busy machine the upstreams would count as silent
   // before all have sent.
   plan.target_latency = Duration(60'000'000);
   plan.timeout = Duration(60'000'000);
-  TestWorld world(plan);
+  TestCluster world(plan);
   world.StartAll();
   HoldAll(world);
   std::vector<std::unique_ptr<RawClient>> callers;
@@ -237,15 +237,15 @@
   }
   cr_assert(world.Await([&] { return world.InFlight() == 0; }));
   cr_log_info("slot-seconds %.3f", world.SlotSeconds() - before);
-  cr_assert_eq(LeftWith(world, WorkLeft::kCancelled), kCallers);
+  cr_assert_eq(LeftWith(world, AbandonedWork::kCancelled), kCallers);
   cr_assert_eq(world.TotalRuns(), kCallers);
 }
 
 // Decided: the end of what a caller sends ends its work that may be repeated.
 // If it waits, it is told so. Checked to fail, the connection closed without
-// an answer, without exchange->CallerEnded in the session.
+// an answer, without exchange->NotifyCallerHalfClosed in the session.
 Test(gone, caller_that_half_closes_is_told_that_its_work_was_ended) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   HoldAll(world);
   RawClient caller(world.loop(), world.address(), world.CallerPort(0));
@@ -269,7 +269,7 @@
 // Decided: work that may not be repeated runs on, and its answer is given to
 // a caller that still waits. Checked to fail as the test above.
 Test(gone, submission_of_a_caller_that_half_closes_is_answered) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   HoldAll(world);
   RawClient caller(world.loop(), world.address(), world.CallerPort(0));
@@ -277,8 +277,9 @@
   cr_assert(world.Await([&] { return world.InFlight() == 1; }));
   caller.HalfClose();
   cr_assert(world.Await([&] { return Left(world) == 1; }));
-  cr_assert_eq(LeftWith(world, WorkLeft::kRunsOn), 1U);
-  world.ForEachUpstream([](UpstreamStandIn& u) { u.AnswerRun("held"); });
+  cr_assert_eq(LeftWith(world, AbandonedWork::kRunsOn), 1U);
+  world.ForEachUpstream(
+      [](UpstreamStandIn& u) { u.ReleaseAnswerOfRun("held"); });
   cr_assert(world.Await([&] { return caller.IsClosed(); }));
   cr_assert(caller.Has("HTTP/1.1 200"));
   cr_assert(caller.Has("end held"));
@@ -289,9 +290,9 @@
 // once.
 Test(gone, caller_that_half_closes_while_it_reads_gets_the_whole_answer) {
   constexpr std::size_t kBody = 32UL * 1024 * 1024;
-  TestWorldPlan plan;
-  plan.caller_limits.body_bytes = kBody;
-  TestWorld world(plan);
+  TestClusterPlan plan;
+  plan.caller_limits.max_body_bytes = kBody;
+  TestCluster world(plan);
   world.StartAll();
   RawClient caller(world.loop(), world.address(), world.CallerPort(0));
   caller.Send(PostText("big", kBody) + GetText("behind"));
--- a/src/pathcleat/lab/config_behind_test.cpp
+++ b/src/pathcleat/lab/config_behind_test.cpp
@@ -18,7 +18,7 @@
 // A host that tells of a newer configuration and answers no question.
 class Herald {
  public:
-  explicit Herald(TestWorld& world)
+  explicit Herald(TestCluster& world)
       : world_(world), socket_(world.loop(), udp::endpoint(udp::v4(), 0)) {}
 
   /// @param age since when it has the newer one.
@@ -43,11 +43,11 @@
   }
 
  private:
-  TestWorld& world_;
+  TestCluster& world_;
   udp::socket socket_;
 };
 
-void PutNewer(TestWorld& world) {
+void PutNewer(TestCluster& world) {
   world.config().version = kNewer;
   world.platform().PutConfig(world.config());
 }
@@ -56,7 +56,7 @@
 // after the version that binds them (HOME, issue 22): their hosts went on by
 // the older one, though every heartbeat told of the newer.
 Test(config_behind, host_long_behind_what_others_have_in_force_refuses) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   Herald herald(world);
   int run = 0;
@@ -79,7 +79,7 @@
 // once, it would be within the bound until that is forgotten. Checked to fail
 // with the age left out of FleetView::OnPeerVersions.
 Test(config_behind, version_long_in_force_elsewhere_is_binding_at_once) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   Herald herald(world);
   const Duration age{60'000'000};
@@ -95,9 +95,9 @@
   cr_assert(world.Await([&] { return world.host(0).IsReady(); }));
 }
 
-// Checked to fail with routes_since not set in FleetView::AdoptConfig.
+// Checked to fail with routes_applied_at not set in FleetView::AdoptConfig.
 Test(config_behind, heartbeats_tell_since_when_a_version_is_in_force) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   const auto age = [&] {
     return std::chrono::milliseconds(world.host(0).Versions().config_age_ms);
@@ -114,12 +114,14 @@
 
 // The newer version may have the route: "no such route" would be a guess.
 Test(config_behind, unknown_route_is_not_denied_while_others_know_more) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   Herald herald(world);
   HttpRequest request = world.GetRequest("r");
   request.target = "/added/later";
-  const auto status = [&] { return world.AskHost(0, request).response.status; };
+  const auto status = [&] {
+    return world.SendToHost(0, request).response.status;
+  };
   cr_assert_eq(status(), http_status::kNotFound);
   cr_assert(world.Await([&] {
     herald.Tell(0);
@@ -133,7 +135,7 @@
 // What nobody alive tells of any more holds nobody up: hosts cut off from the
 // rest serve on by what they know.
 Test(config_behind, host_that_hears_nobody_newer_serves_on) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   Herald herald(world);
   int run = 0;
--- a/src/pathcleat/lab/config_transfer_test.cpp
+++ b/src/pathcleat/lab/config_transfer_test.cpp
@@ -10,18 +10,18 @@
 
 constexpr int kHosts = 12;
 
-TestWorldPlan LargeDomain() {
-  TestWorldPlan plan;
+TestClusterPlan LargeDomain() {
+  TestClusterPlan plan;
   plan.hosts_in_domain = {kHosts};
   return plan;
 }
 
-void PutVersion(TestWorld& world, std::uint64_t version) {
+void PutVersion(TestCluster& world, std::uint64_t version) {
   world.config().version = version;
   world.platform().PutConfig(world.config());
 }
 
-bool AllAt(TestWorld& world, std::uint64_t version) {
+bool AllAt(TestCluster& world, std::uint64_t version) {
   for (std::size_t i = 0; i < kHosts; ++i) {
     if (world.host(i).state().routes.version() != version) {
       return false;
@@ -30,7 +30,7 @@
   return true;
 }
 
-std::optional<Event> LastEvent(TestWorld& world,
+std::optional<Event> LastEvent(TestCluster& world,
                                std::size_t host,
                                EventCode code) {
   std::optional<Event> last;
@@ -42,8 +42,8 @@
   return last;
 }
 
-bool Follows(TestWorld& world, std::size_t host) {
-  return world.host(host).Versions().store == StoreAccess::kFollowing;
+bool Follows(TestCluster& world, std::size_t host) {
+  return world.host(host).Versions().store == StoreAccess::kFollowingPeer;
 }
 
 template <class Value>
@@ -56,7 +56,7 @@
   return Value();
 }
 
-std::size_t AwaitFollower(TestWorld& world) {
+std::size_t AwaitFollower(TestCluster& world) {
   std::size_t follower = kHosts;
   cr_assert(world.Await([&] {
     for (std::size_t i = 0; i < kHosts; ++i) {
@@ -68,7 +68,7 @@
 }
 
 Test(config_transfer, log_tells_from_where_a_version_came) {
-  TestWorld world(LargeDomain());
+  TestCluster world(LargeDomain());
   world.StartAll();
   PutVersion(world, 2);
   cr_assert(world.Await([&] { return AllAt(world, 2); }));
@@ -93,10 +93,10 @@
   }
 }
 
-std::uint64_t OrdersSent(TestWorld& world) {
+std::uint64_t OrdersSent(TestCluster& world) {
   std::uint64_t sent = 0;
   for (std::size_t i = 0; i < kHosts; ++i) {
-    sent += world.host(i).state().peer_traffic.sent(PeerMessage::kOrders);
+    sent += world.host(i).state().peer_traffic.sent(PeerMessageKind::kOrders);
   }
   return sent;
 }
@@ -106,7 +106,7 @@
 Test(config_transfer, one_changed_route_costs_a_small_part_of_the_whole) {
   constexpr int kRoutes = 1'400;
   constexpr std::uint64_t kMostBytes = 64UL * 1024;
-  TestWorld world(LargeDomain());
+  TestCluster world(LargeDomain());
   world.StartAll();
   AddRoutes(world.config(), kRoutes);
   PutVersion(world, 2);
--- a/src/pathcleat/lab/crash_model.cpp
+++ b/src/pathcleat/lab/crash_model.cpp
@@ -32,14 +32,15 @@
                           d});
       }
     }
-    for (int i = 0; i < plan.repeaters; ++i) {
+    for (int i = 0; i < plan.repeating_callers; ++i) {
       const RequestDigest request =
           kFirstRepeater + static_cast<RequestDigest>(i);
       arrivals_.push_back(
-          {request, plan.repeat_every, now_ + UpTo(plan.repeat_every)});
+          {request, plan.repeat_interval, now_ + UpTo(plan.repeat_interval)});
     }
-    if (plan.fatal_every > Duration::zero()) {
-      arrivals_.push_back({kFatal, plan.fatal_every, now_ + plan.fatal_every});
+    if (plan.fatal_interval > Duration::zero()) {
+      arrivals_.push_back(
+          {kFatal, plan.fatal_interval, now_ + plan.fatal_interval});
     }
   }
 
@@ -91,29 +92,29 @@
   }
 
   void CrashByThemselves() {
-    if (plan_.crashing_part <= 0 || now_ < next_crash_) {
+    if (plan_.crashing_share <= 0 || now_ < next_crash_) {
       return;
     }
     if (next_crash_ != Time()) {
-      const auto count = static_cast<int>(plan_.crashing_part *
+      const auto count = static_cast<int>(plan_.crashing_share *
                                           static_cast<double>(plan_.upstreams));
       std::vector<std::size_t> crashing;
       for (int i = 0; i < count; ++i) {
         crashing.push_back(AnyOf(upstreams_.size()));
-        upstreams_[crashing.back()].back = now_ + plan_.back_after;
+        upstreams_[crashing.back()].back = now_ + plan_.restart_delay;
       }
       for (const std::size_t index : crashing) {
         Crash(index);
       }
     }
-    next_crash_ = now_ + plan_.crash_every;
+    next_crash_ = now_ + plan_.crash_interval;
   }
 
   void Crash(std::size_t index) {
     Upstream& upstream = upstreams_[index];
     const std::uint64_t id =
         (upstream.incarnation++ << 16U) + static_cast<std::uint64_t>(index) + 1;
-    upstream.back = now_ + plan_.back_after;
+    upstream.back = now_ + plan_.restart_delay;
     std::vector<Work> ended;
     std::erase_if(runs_, [&](const Work& run) {
       if (run.upstream == index) {
@@ -127,7 +128,7 @@
       hosts_[run.host].ledger->OnCrash(run.request, id, now_);
       Tell(run.host);
       if (run.attempt < kMostAttempts &&
-          (plan_.second_upstream || !suspected)) {
+          (plan_.retry_suspected || !suspected)) {
         Send(run.request, run.host, run.attempt + 1);
       }
     }
@@ -147,7 +148,7 @@
         runs_.push_back(run);
         ++result_.fatal_crashes;
         Crash(run.upstream);
-      } else if (plan_.answers_clear) {
+      } else if (plan_.answer_clears_request) {
         hosts_[run.host].ledger->OnAnswer(run.request, now_);
         Tell(run.host);
       }
@@ -165,11 +166,12 @@
 
   void Send(RequestDigest request, std::size_t host, int attempt) {
     CrashLedger& ledger = *hosts_[host].ledger;
-    const CrashVerdict verdict = ledger.Judge(request, now_);
+    const CrashDecision verdict = ledger.Judge(request, now_);
     if (request != kFatal && attempt == 1) {
       ++result_.repeats;
       result_.wrongly_refused += verdict.blocked ? 1 : 0;
-      result_.seen_twice += verdict.crashes + 1 >= kCrashesToBlock ? 1 : 0;
+      result_.with_two_crashes +=
+          verdict.crashes + 1 >= kCrashBlockThreshold ? 1 : 0;
     }
     if (verdict.blocked) {
       return;
@@ -185,7 +187,7 @@
     }
     const Duration takes =
         request == kFatal
-            ? plan_.fatal_crashes_after
+            ? plan_.fatal_crash_delay
             : Duration(static_cast<std::int64_t>(
                   std::exponential_distribution<double>(1.0)(random_) *
                   static_cast<double>(plan_.run_time.count())));
@@ -198,7 +200,7 @@
     Host& host = hosts_[from];
     const bool reports =
         from % static_cast<std::size_t>(plan_.hosts_in_domain) == 0;
-    const CrashReport near = host.ledger->ForDomain(reports, now_);
+    const CrashReport near = host.ledger->OwnCrashes(reports, now_);
     for (std::size_t to = 0; to < hosts_.size(); ++to) {
       if (to != from && hosts_[to].domain == host.domain) {
         Post(to, near);
@@ -207,7 +209,7 @@
     if (!reports) {
       return;
     }
-    const CrashReport far = host.ledger->ForOtherDomains(now_);
+    const CrashReport far = host.ledger->DomainCrashes(now_);
     for (int d = 0; d < plan_.domains; ++d) {
       if (d != host.domain) {
         const auto hosts = static_cast<std::size_t>(plan_.hosts_in_domain);
@@ -236,11 +238,11 @@
           }
         }
       }
-      if (host.ledger->OnCrashes(message.report, now_)) {
+      if (host.ledger->OnCrashReport(message.report, now_)) {
         Tell(message.to);
       }
-      result_.largest_state = std::max(result_.largest_state,
-                                       static_cast<int>(host.ledger->size()));
+      result_.max_tracked_requests = std::max(
+          result_.max_tracked_requests, static_cast<int>(host.ledger->size()));
     }
   }
 
@@ -270,7 +272,7 @@
 
 }  // namespace
 
-CrashModelResult PlayCrashes(const CrashModelPlan& plan) {
+CrashModelResult RunCrashModel(const CrashModelPlan& plan) {
   return Play(plan).Run();
 }
 
--- a/src/pathcleat/lab/crash_model_test.cpp
+++ b/src/pathcleat/lab/crash_model_test.cpp
@@ -18,9 +18,9 @@
 Test(crash_model, fatal_request_brings_down_three_upstreams_and_few_more) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     CrashModelPlan plan;
-    plan.fatal_every = milliseconds(250);
+    plan.fatal_interval = milliseconds(250);
     plan.seed = seed;
-    const CrashModelResult result = PlayCrashes(plan);
+    const CrashModelResult result = RunCrashModel(plan);
     cr_assert_geq(result.fatal_crashes, 3);
     cr_assert_leq(result.fatal_crashes, 6);
   }
@@ -32,9 +32,9 @@
 Test(crash_model, repeated_requests_are_not_refused_when_upstreams_crash) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     CrashModelPlan plan;
-    plan.crashing_part = 0.15;
+    plan.crashing_share = 0.15;
     plan.seed = seed;
-    const CrashModelResult result = PlayCrashes(plan);
+    const CrashModelResult result = RunCrashModel(plan);
     cr_assert_gt(result.repeats, 10'000);
     cr_assert_eq(result.wrongly_refused, 0);
   }
@@ -45,10 +45,10 @@
 Test(crash_model, others_are_not_refused_beside_a_fatal_request) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     CrashModelPlan plan;
-    plan.crashing_part = 0.15;
-    plan.fatal_every = milliseconds(100);
+    plan.crashing_share = 0.15;
+    plan.fatal_interval = milliseconds(100);
     plan.seed = seed;
-    cr_assert_eq(PlayCrashes(plan).wrongly_refused, 0);
+    cr_assert_eq(RunCrashModel(plan).wrongly_refused, 0);
   }
 }
 
--- a/src/pathcleat/lab/crashing_request_test.cpp
+++ b/src/pathcleat/lab/crashing_request_test.cpp
@@ -11,19 +11,19 @@
 constexpr std::size_t kHosts = 4;
 
 // Two failure domains with two hosts and eight upstreams each.
-TestWorldPlan Plan() {
-  TestWorldPlan plan;
+TestClusterPlan Plan() {
+  TestClusterPlan plan;
   plan.hosts_in_domain = {2, 2};
   plan.upstreams_in_domain = 8;
   return plan;
 }
 
-void MakeFatal(TestWorld& world) {
+void MakeFatal(TestCluster& world) {
   world.ForEachUpstream(
-      [](UpstreamStandIn& upstream) { upstream.CrashOn(kFatalTarget); });
+      [](UpstreamStandIn& upstream) { upstream.CrashOnTarget(kFatalTarget); });
 }
 
-int Crashed(TestWorld& world) {
+int Crashed(TestCluster& world) {
   int crashed = 0;
   world.ForEachUpstream([&crashed](UpstreamStandIn& upstream) {
     crashed += upstream.HasCrashed() ? 1 : 0;
@@ -32,7 +32,7 @@
 }
 
 // As the store does once they have been silent for a while.
-void TakeCrashedOffTheList(TestWorld& world) {
+void TakeCrashedOffTheList(TestCluster& world) {
   for (std::size_t i = 0; i < world.upstreams(); ++i) {
     if (world.upstream(i).HasCrashed()) {
       world.platform().RemoveUpstream(world.upstream_info(i).id);
@@ -51,10 +51,10 @@
 }
 
 // The same request each time but for its id.
-CallResult AskFatal(TestWorld& world, std::size_t host, int try_number) {
+CallResult AskFatal(TestCluster& world, std::size_t host, int try_number) {
   HttpRequest request = world.GetRequest("try-" + std::to_string(try_number));
   request.target = kFatalTarget;
-  return world.AskHost(host, request);
+  return world.SendToHost(host, request);
 }
 
 // Guards against hosts that pass a request on that has crashed upstreams
@@ -63,7 +63,7 @@
      is_refused_by_all_hosts_once_it_crashed_three_upstreams) {
   constexpr int kTries = 12;
   constexpr int kMostCrashed = 6;  // three, and one in each of three tries more
-  TestWorld world(Plan());
+  TestCluster world(Plan());
   world.StartAll();
   MakeFatal(world);
   CallResult last;
--- a/src/pathcleat/lab/deadline_test.cpp
+++ b/src/pathcleat/lab/deadline_test.cpp
@@ -16,9 +16,9 @@
 // it. Checked to fail with the test of time left taken out of
 // KeyGuard::Claim: the key was claimed in the store.
 Test(deadlines, nothing_is_done_for_a_caller_that_waits_no_longer) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
-  cr_assert(world.Await([&] { return world.host(0).state().store_reached; }));
+  cr_assert(world.Await([&] { return world.host(0).state().store_reachable; }));
   const std::string host =
       world.address() + ":" + std::to_string(world.CallerPort(0));
   const auto writes = world.platform().writes();
@@ -29,7 +29,7 @@
           world.PostRequest(id, "key" + id)}) {
       const CallResult result = world.Ask(host, WithDeadline(request, text));
       cr_assert_eq(result.response.status, http_status::kUnavailable);
-      cr_assert_str_eq(TestWorld::Outcome(result).c_str(), "not-run");
+      cr_assert_str_eq(TestCluster::OutcomeHeader(result).c_str(), "not-run");
     }
     cr_assert_eq(world.RunsOf(id), 0);
   }
@@ -39,7 +39,7 @@
 // Checked to fail, with 503, without kLongestDeadline: the largest number
 // became a time in the past.
 Test(deadlines, absurd_or_missing_ones_leave_the_time_of_the_route) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   const std::string host =
       world.address() + ":" + std::to_string(world.CallerPort(0));
--- a/src/pathcleat/lab/deployment_config.cpp
+++ b/src/pathcleat/lab/deployment_config.cpp
@@ -24,7 +24,7 @@
               const RequestKind& kind) {
   Route route;
   route.name = service.name + "/" + kind.name;
-  route.host = HostNameOf(deployment);
+  route.host = HostHeaderOf(deployment);
   route.path_prefix = PrefixOf(service, kind);
   route.splits = {{service.name, 1}};
   route.repeatable = kind.repeatable;
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-std::string HostNameOf(const Deployment& deployment) {
+std::string HostHeaderOf(const Deployment& deployment) {
   return deployment.name + ".example";
 }
 
@@ -57,7 +57,7 @@
   return config;
 }
 
-std::vector<UpstreamInfo> UpstreamsOf(const Deployment& deployment) {
+std::vector<UpstreamInfo> UpstreamInfosOf(const Deployment& deployment) {
   std::vector<UpstreamInfo> upstreams;
   for (const Upstream& upstream : deployment.upstreams) {
     UpstreamInfo info;
@@ -71,9 +71,9 @@
   return upstreams;
 }
 
-std::string SettingsTextOf(const Deployment& deployment, SeatIndex index) {
+std::string SettingsTextOf(const Deployment& deployment, HostIndex index) {
   using nlohmann::ordered_json;
-  const Seat& seat = deployment.At(index);
+  const EntryHost& seat = deployment.At(index);
   ordered_json domains = ordered_json::array();
   for (const FailureDomain& domain : deployment.domains) {
     domains.push_back(
--- a/src/pathcleat/lab/faults_test.cpp
+++ b/src/pathcleat/lab/faults_test.cpp
@@ -10,32 +10,32 @@
 namespace pathcleat {
 namespace {
 
-void SpoilAll(TestWorld& world, SpoiltAnswer how) {
+void SpoilAll(TestCluster& world, AnswerCorruption how) {
   world.ForEachUpstream([how](UpstreamStandIn& u) { u.Spoil(how); });
 }
 
 // Promise: a submission that may not be repeated runs at most once.
 // Checked to fail with the test of route_->repeatable in OnFailure taken out.
 Test(promise, broken_submission_is_unknown_and_never_sent_again) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
-  SpoilAll(world, SpoiltAnswer::kLost);
+  SpoilAll(world, AnswerCorruption::kLost);
   const CallResult post = world.Post(0, "r1");
   cr_assert_eq(post.response.status, http_status::kBadGateway);
-  cr_assert_str_eq(TestWorld::Outcome(post).c_str(), "unknown");
+  cr_assert_str_eq(TestCluster::OutcomeHeader(post).c_str(), "unknown");
   cr_assert_eq(world.RunsOf("r1"), 1);
 }
 
 // Promise: "not run" is true. A request that may be repeated and broke off at
 // every upstream has run, so it is not told otherwise. Checked to fail with
-// runs_.OnKnownNotRun called in OnFailure.
+// runs_.OnNotRun called in OnFailure.
 Test(promise, broken_lookup_that_no_upstream_answers_is_unknown) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
-  SpoilAll(world, SpoiltAnswer::kLost);
+  SpoilAll(world, AnswerCorruption::kLost);
   const CallResult first = world.Get(0, "r0");
   cr_assert_eq(first.response.status, http_status::kBadGateway);
-  cr_assert_str_eq(TestWorld::Outcome(first).c_str(), "unknown");
+  cr_assert_str_eq(TestCluster::OutcomeHeader(first).c_str(), "unknown");
   // Later ones may find no upstream left to try: only those have not run.
   for (int i = 1; i < 6; ++i) {
     const std::string id = "r" + std::to_string(i);
@@ -47,11 +47,11 @@
 
 // The same where the second upstream turns it away: the first one has run it.
 Test(promise, lookup_that_ran_once_is_unknown_though_others_turn_it_away) {
-  TestWorldPlan plan;
+  TestClusterPlan plan;
   plan.upstreams_in_domain = 2;
-  TestWorld world(plan);
+  TestCluster world(plan);
   world.StartAll();
-  world.upstream(0).Spoil(SpoiltAnswer::kLost);
+  world.upstream(0).Spoil(AnswerCorruption::kLost);
   world.upstream(1).TurnAway(true);
   for (int i = 0; i < 6; ++i) {
     const std::string id = "r" + std::to_string(i);
@@ -62,9 +62,9 @@
 }
 
 Test(faults, broken_lookup_is_tried_at_another_upstream) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
-  world.upstream(0).Spoil(SpoiltAnswer::kLost);
+  world.upstream(0).Spoil(AnswerCorruption::kLost);
   for (int i = 0; i < 8; ++i) {
     cr_assert_eq(world.Get(0, "r" + std::to_string(i)).response.status,
                  http_status::kOk);
@@ -73,9 +73,9 @@
 
 // Promise: never part of another's answer. Checked to fail without Matcher.
 Test(promise, answer_of_another_request_is_never_passed_on) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
-  SpoilAll(world, SpoiltAnswer::kStrangerId);
+  SpoilAll(world, AnswerCorruption::kWrongRequestId);
   const CallResult post = world.Post(0, "r1");
   cr_assert_neq(post.response.status, http_status::kOk);
   cr_assert_eq(post.response.body.find("run r1"), std::string::npos);
@@ -83,15 +83,15 @@
 
 // Checked to fail without IsWhole.
 Test(promise, success_without_signature_is_never_passed_on) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
-  SpoilAll(world, SpoiltAnswer::kNoSignature);
+  SpoilAll(world, AnswerCorruption::kNoSignature);
   cr_assert_eq(world.Post(0, "r1").response.status, http_status::kBadGateway);
   cr_assert_eq(world.RunsOf("r1"), 1);
 }
 
 Test(faults, submission_that_an_upstream_did_not_run_goes_to_another) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   world.upstream(0).TurnAway(true);
   for (int i = 0; i < 6; ++i) {
@@ -103,18 +103,18 @@
 
 // Promise: told "not run" means not run.
 Test(promise, refusal_means_that_nothing_ran_and_says_when_to_come_back) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   world.ForEachUpstream([](UpstreamStandIn& u) { u.TurnAway(true); });
   const CallResult post = world.Post(0, "r1");
   cr_assert_eq(post.response.status, http_status::kUnavailable);
-  cr_assert_str_eq(TestWorld::Outcome(post).c_str(), "not-run");
+  cr_assert_str_eq(TestCluster::OutcomeHeader(post).c_str(), "not-run");
   cr_assert(FindHeader(post.response.headers, "Retry-After").has_value());
   cr_assert_eq(world.RunsOf("r1"), 0);
 }
 
 Test(faults, address_taken_over_by_another_upstream_runs_nothing) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   // The list still names the one that is gone, at the other's address.
   UpstreamInfo gone = world.upstream_info(0);
@@ -130,7 +130,7 @@
 }
 
 Test(faults, crashed_upstream_is_left_for_a_living_one) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   world.upstream(0).Crash();
   for (int i = 0; i < 6; ++i) {
@@ -140,44 +140,45 @@
 }
 
 Test(faults, route_timeout_is_answered_at_once) {
-  TestWorldPlan plan;
+  TestClusterPlan plan;
   plan.timeout = Duration(300'000);
-  TestWorld world(plan);
+  TestCluster world(plan);
   world.StartAll();
   world.ForEachUpstream([](UpstreamStandIn& u) { u.HoldAnswers(); });
   const CallResult post = world.Post(0, "r1");
   cr_assert_eq(post.response.status, http_status::kGatewayTimeout);
-  cr_assert_str_eq(TestWorld::Outcome(post).c_str(), "unknown");
+  cr_assert_str_eq(TestCluster::OutcomeHeader(post).c_str(), "unknown");
 }
 
 // Promise: a leaving upstream gets nothing new.
 // Checked to fail with info.leaving taken out of UpstreamTable::IsOpen.
 Test(promise, leaving_and_drained_upstreams_get_nothing_new) {
-  TestWorldPlan plan;
+  TestClusterPlan plan;
   plan.hosts_in_domain = {1, 1};
-  TestWorld world(plan);
+  TestCluster world(plan);
   world.StartAll();
   UpstreamInfo leaving = world.upstream_info(0);
   leaving.leaving = true;
   world.platform().PutUpstream(leaving);
   cr_assert(world.Await(
       [&] { return world.HasEvent(0, EventCode::kUpstreamLeaving); }));
-  cr_assert_eq(world.Command(0, "drain upstream upstream-0-1").response.status,
-               http_status::kOk);
+  cr_assert_eq(
+      world.RunCommand(0, "drain upstream upstream-0-1").response.status,
+      http_status::kOk);
   for (int i = 0; i < 10; ++i) {
     cr_assert_eq(world.Get(0, "d" + std::to_string(i)).response.status,
                  http_status::kOk);
   }
   cr_assert_eq(world.upstream(0).ledger().runs, 0);
   cr_assert_eq(world.upstream(1).ledger().runs, 0);
-  world.platform().SetEvacuated("domain-1", true);
+  world.platform().SetDomainDrained("domain-1", true);
   cr_assert(world.Await(
       [&] { return world.HasEvent(0, EventCode::kDomainDrained); }));
   const int before = world.TotalRuns();
   cr_assert_eq(world.Post(0, "nowhere").response.status,
                http_status::kUnavailable);
   cr_assert_eq(world.TotalRuns(), before);
-  world.platform().SetEvacuated("domain-1", false);
+  world.platform().SetDomainDrained("domain-1", false);
   cr_assert(world.Await([&] {
     return world.host(0).state().upstreams.drained_domains().empty();
   }));
@@ -187,7 +188,7 @@
 // Promise: an accepted configuration never reverts.
 // Checked to fail with the comparison in RouteTable::Adopt taken out.
 Test(promise, older_configuration_is_never_taken) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   RoutingConfig newer = world.config();
   newer.version = 7;
@@ -205,7 +206,7 @@
 
 // Promise: a submission with a key runs at most once, wherever it is repeated.
 Test(promise, repeats_at_other_hosts_run_a_key_once) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   const CallResult first = world.Post(0, "k.1", "key-1");
   const CallResult second = world.Post(1, "k.2", "key-1");
@@ -224,21 +225,21 @@
 }
 
 Test(faults, store_down_refuses_keyed_work_as_not_run_and_serves_the_rest) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   platform::StandInFaults away;
-  away.refuse_with = http_status::kUnavailable;
+  away.forced_status = http_status::kUnavailable;
   world.platform().SetFaults(away);
   const CallResult keyed = world.Post(0, "k", "key-1");
   cr_assert_eq(keyed.response.status, http_status::kUnavailable);
-  cr_assert_str_eq(TestWorld::Outcome(keyed).c_str(), "not-run");
+  cr_assert_str_eq(TestCluster::OutcomeHeader(keyed).c_str(), "not-run");
   cr_assert_eq(world.RunsOf("k"), 0);
   cr_assert_eq(world.Post(0, "plain").response.status, http_status::kOk);
   cr_assert_eq(world.Get(0, "read").response.status, http_status::kOk);
 }
 
 Test(promise, racing_commands_have_one_winner_in_force_everywhere) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   std::vector<std::string> answers;
   const auto submit = [&](std::size_t host, const std::string& text) {
@@ -290,12 +291,12 @@
 // among those that it wants to move. Checked to fail with the comparison in
 // ShiftGate::TryMove taken out.
 Test(promise, shift_moves_no_more_than_its_cap) {
-  TestWorldPlan plan;
+  TestClusterPlan plan;
   plan.hosts_in_domain = {1, 1};
-  TestWorld world(plan);
+  TestCluster world(plan);
   world.StartAll();
   const CallResult answer =
-      world.Command(0, "shift s from region-0 to region-1 cap 30% over 1s");
+      world.RunCommand(0, "shift s from region-0 to region-1 cap 30% over 1s");
   cr_assert_eq(answer.response.status, http_status::kOk, "%s",
                answer.response.body.c_str());
   const std::string endpoint =
@@ -317,10 +318,11 @@
 }
 
 Test(faults, wrong_peer_key_and_wrong_token_are_refused_and_logged) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
-  cr_assert_eq(world.CommandWith(0, "show hosts", "wrong").response.status,
-               http_status::kUnauthorized);
+  cr_assert_eq(
+      world.RunCommandWithToken(0, "show hosts", "wrong").response.status,
+      http_status::kUnauthorized);
   cr_assert(world.HasEvent(0, EventCode::kOperatorRejected));
   boost::asio::ip::udp::socket stranger(world.loop(),
                                         boost::asio::ip::udp::v4());
@@ -333,17 +335,17 @@
 }
 
 Test(faults, every_query_is_answered) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   world.Get(0, "r1");
   for (const char* text :
        {"help", "show hosts", "show upstreams", "show shifts", "show config",
         "show metrics", "where s from 10.0.0.1"}) {
-    const CallResult answer = world.Command(0, text);
+    const CallResult answer = world.RunCommand(0, text);
     cr_assert_eq(answer.response.status, http_status::kOk, "%s", text);
     cr_assert_gt(answer.response.body.size(), 5U, "%s", text);
   }
-  cr_assert_eq(world.Command(0, "show nonsense").response.status,
+  cr_assert_eq(world.RunCommand(0, "show nonsense").response.status,
                http_status::kBadRequest);
 }
 
--- a/src/pathcleat/lab/foreign_entries_test.cpp
+++ b/src/pathcleat/lab/foreign_entries_test.cpp
@@ -53,7 +53,7 @@
   }
 }
 
-bool Lists(TestWorld& world, const std::string& id) {
+bool Lists(TestCluster& world, const std::string& id) {
   for (const UpstreamPtr& upstream : world.host(0).state().upstreams.All()) {
     if (upstream->info.id == id) {
       return true;
@@ -64,7 +64,7 @@
 
 // Checked to fail with the removal in FleetView::OnUpstreams switched off.
 Test(foreign_entries, take_an_upstream_away_and_leave_the_others) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   const std::string id = world.upstream_info(0).id;
   cr_assert(Lists(world, id));
@@ -78,7 +78,7 @@
 }
 
 Test(foreign_entries, failure_domain_that_nobody_named) {
-  TestWorld world;
+  TestCluster world;
   UpstreamInfo stray = world.upstream_info(0);
   stray.id = "stray";
   stray.domain = "elsewhere";
@@ -95,14 +95,14 @@
   info.id = "i";
   info.service = "s";
   info.domain = "d";
-  info.born = 1;
+  info.started_ms = 1;
   table.Put(info, Time());
   const UpstreamPtr before = table.Of("s").front();
   before->keys.Touch(kKey);
   before->load.OnSent();
   cr_assert_not(table.Put(info, Time()));
   cr_assert(table.Of("s").front()->keys.Contains(kKey));
-  info.born = 2;
+  info.started_ms = 2;
   cr_assert(table.Put(info, Time()));
   cr_assert_eq(table.Of("s").size(), 1U);
   const UpstreamPtr after = table.Of("s").front();
--- a/src/pathcleat/lab/heartbeat_slopes.cpp
+++ b/src/pathcleat/lab/heartbeat_slopes.cpp
@@ -28,8 +28,8 @@
   HostTable table(HeartbeatOf(-1).host, Duration(2'500'000));
   const double began = CpuMicros();
   for (int i = 0; i < hosts; ++i) {
-    const std::string bytes = Seal(EncodeHeartbeat(HeartbeatOf(i)), kKey);
-    const auto message = Unseal(bytes, kKey);
+    const std::string bytes = AppendMac(EncodeHeartbeat(HeartbeatOf(i)), kKey);
+    const auto message = VerifyMac(bytes, kKey);
     const auto heartbeat = DecodeHeartbeat(*message);
     table.OnHeard(heartbeat->host, heartbeat->versions, BootClock::now());
   }
@@ -38,8 +38,8 @@
 
 }  // namespace
 
-std::vector<Slope> HeartbeatSlopes() {
-  Slope time;
+std::vector<CostCurve> MeasureHeartbeatCosts() {
+  CostCurve time;
   time.name = "heartbeats sent and taken once, us";
   time.size_unit = "other hosts";
   for (const int size : {10, 50, 100, 200}) {
@@ -48,17 +48,17 @@
     for (int run = 0; run < kRuns; ++run) {
       runs.push_back(RoundMicros(size));
     }
-    time.points.push_back(PointOf(size, runs));
+    time.points.push_back(MakeCostPoint(size, runs));
   }
-  Slope bytes;
+  CostCurve bytes;
   bytes.name = "heartbeats sent once, bytes without headers";
   bytes.size_unit = "other hosts";
   for (const int size : {10, 100}) {
-    const double one =
-        static_cast<double>(Seal(EncodeHeartbeat(HeartbeatOf(1)), kKey).size());
-    bytes.points.push_back(PointOf(size, {one * size}));
+    const double one = static_cast<double>(
+        AppendMac(EncodeHeartbeat(HeartbeatOf(1)), kKey).size());
+    bytes.points.push_back(MakeCostPoint(size, {one * size}));
   }
-  return {Fitted(time), Fitted(bytes)};
+  return {FitLine(time), FitLine(bytes)};
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/lab/leaving_upstream_test.cpp
+++ b/src/pathcleat/lab/leaving_upstream_test.cpp
@@ -23,8 +23,8 @@
                                          world.CallerPort(0));
   }
 
-  static TestWorldPlan Plan() {
-    TestWorldPlan plan;
+  static TestClusterPlan Plan() {
+    TestClusterPlan plan;
     plan.hosts_in_domain = {1};
     return plan;
   }
@@ -63,7 +63,7 @@
 
   GatewayState& state() { return world.host(0).state(); }
 
-  TestWorld world;
+  TestCluster world;
   std::unique_ptr<RawClient> caller;
 };
 
@@ -89,7 +89,7 @@
 Test(promise, drained_upstream_gets_nothing_over_a_connection_that_opens) {
   OpeningWorld opening;
   const UpstreamPtr chosen = opening.SendAndAwaitChoice(kPost);
-  opening.state().upstreams.SetDrains({chosen->info.id}, {});
+  opening.state().upstreams.SetOperatorDrains({chosen->info.id}, {});
   opening.ExpectAnswerFromAnother(chosen);
 }
 
@@ -99,7 +99,7 @@
   OpeningWorld opening;
   const UpstreamPtr chosen = opening.SendAndAwaitChoice(kGet);
   const Time now = BootClock::now();
-  while (chosen->share.TryTake(now)) {
+  while (chosen->share.TryAcquire(now)) {
   }
   UpstreamInfo cold = chosen->info;
   cold.cold_for = Duration(60'000'000);
--- a/src/pathcleat/lab/limit_cases.cpp
+++ b/src/pathcleat/lab/limit_cases.cpp
@@ -39,61 +39,63 @@
   };
   cases[5].plan.limit_per_second = 10;
   cases[5].plan.requests_per_second = 480;
-  cases[6].plan.restarts_one_of = 3;
+  cases[6].plan.restart_one_in = 3;
   cases[7].plan.cut_from = Duration(10'000'000);
   cases[8].plan.cut_from = Duration(10'000'000);
   return cases;
 }
 
-const char* ToString(LimitWay way) {
+const char* ToString(LimitStrategy way) {
   switch (way) {
-    case LimitWay::kNone:
+    case LimitStrategy::kNone:
       return "none";
-    case LimitWay::kOwnPart:
+    case LimitStrategy::kEqualShare:
       return "own part";
-    case LimitWay::kUsage:
+    case LimitStrategy::kUsage:
       return "usage told";
-    case LimitWay::kFewSenders:
+    case LimitStrategy::kFewSenders:
       return "few senders";
   }
   return "none";
 }
 
-std::string Row(LimitModelPlan plan, LimitWay way, int seeds) {
+std::string Row(LimitModelPlan plan, LimitStrategy way, int seeds) {
   plan.way = way;
   LimitModelResult sum;
   LimitModelResult worst;
   for (int seed = 1; seed <= seeds; ++seed) {
     plan.seed = static_cast<std::uint64_t>(seed);
-    const LimitModelResult result = PlayLimits(plan);
-    worst.worst_of_allowed =
-        std::max(worst.worst_of_allowed, result.worst_of_allowed);
-    worst.worst_of_told = std::max(worst.worst_of_told, result.worst_of_told);
-    worst.known_over_after =
-        std::max(worst.known_over_after, result.known_over_after);
+    const LimitModelResult result = RunLimitModel(plan);
+    worst.max_window_ratio =
+        std::max(worst.max_window_ratio, result.max_window_ratio);
+    worst.max_informed_window_ratio = std::max(
+        worst.max_informed_window_ratio, result.max_informed_window_ratio);
+    worst.end_delay_seconds =
+        std::max(worst.end_delay_seconds, result.end_delay_seconds);
     sum.used += result.used / seeds;
     sum.refused += result.refused / seeds;
-    sum.bytes_per_host += result.bytes_per_host / seeds;
+    sum.bytes_per_host_per_second += result.bytes_per_host_per_second / seeds;
   }
   std::ostringstream row;
   row << std::fixed << std::setprecision(2) << " | " << ToString(way) << " | "
-      << worst.worst_of_allowed << " | " << worst.worst_of_told << " | "
-      << sum.used << " | " << sum.refused << " | " << std::setprecision(1)
-      << worst.known_over_after << " | " << std::setprecision(0)
-      << sum.bytes_per_host << " |\n";
+      << worst.max_window_ratio << " | " << worst.max_informed_window_ratio
+      << " | " << sum.used << " | " << sum.refused << " | "
+      << std::setprecision(1) << worst.end_delay_seconds << " | "
+      << std::setprecision(0) << sum.bytes_per_host_per_second << " |\n";
   return row.str();
 }
 
 }  // namespace
 
-std::string CompareLimitWays(int seeds) {
+std::string CompareLimitStrategies(int seeds) {
   std::string table =
       "| fleet | way | fullest 4 s over what they may hold | of hosts that "
       "were told | part of the limits used | refused | end known after, s | "
       "bytes a host and second |\n|---|---|---|---|---|---|---|---|\n";
   for (const LimitCase& one : Cases()) {
-    for (const LimitWay way : {LimitWay::kNone, LimitWay::kOwnPart,
-                               LimitWay::kUsage, LimitWay::kFewSenders}) {
+    for (const LimitStrategy way :
+         {LimitStrategy::kNone, LimitStrategy::kEqualShare,
+          LimitStrategy::kUsage, LimitStrategy::kFewSenders}) {
       table += std::string("| ") + one.name + Row(one.plan, way, seeds);
     }
   }
--- a/src/pathcleat/lab/limit_model.cpp
+++ b/src/pathcleat/lab/limit_model.cpp
@@ -97,7 +97,7 @@
         *host.table, host.name, "domain-" + std::to_string(host.domain));
     host.exchange->SetOnChange(
         [this](UpstreamState& upstream, LimitChange change) {
-          if (change == LimitChange::kNamed) {
+          if (change == LimitChange::kStarted) {
             upstream.share.SetRate(0, now_);
           }
         });
@@ -124,14 +124,15 @@
   }
 
   bool IsNeeding(std::size_t upstream, Time at) const {
-    return upstream < Count(plan_.limited) && at >= begun_ + plan_.needs_from &&
-           at < begun_ + plan_.needs_until;
+    return upstream < Count(plan_.limited) &&
+           at >= begun_ + plan_.limited_from &&
+           at < begun_ + plan_.limited_until;
   }
 
   bool IsCut(Time since) const {
     return plan_.cut_from > Duration::zero() &&
            since >= begun_ + plan_.cut_from &&
-           now_ < begun_ + plan_.needs_until;
+           now_ < begun_ + plan_.limited_until;
   }
   bool Hears(const Host& one, const Host& other) const {
     const int half = plan_.domains / 2;
@@ -143,7 +144,7 @@
 
   double RateOf(const Host& host, const UpstreamState& upstream) const {
     const double limit = upstream.limit.PerSecond(now_);
-    if (plan_.way == LimitWay::kOwnPart) {
+    if (plan_.way == LimitStrategy::kEqualShare) {
       return limit / static_cast<double>(hosts_.size());
     }
     RateSenders senders(StableHash(host.name), "r");
@@ -152,7 +153,7 @@
         senders.Add(StableHash(other.name), "r");
       }
     }
-    senders.SetKnown(static_cast<int>(hosts_.size()));
+    senders.SetFleetSize(static_cast<int>(hosts_.size()));
     return senders.Rate(
         {limit, kLimitSlack + kLimitOverage * limit * Seconds(kLimitWindow)},
         upstream.hash, "r");
@@ -174,13 +175,13 @@
 
   bool MayTake(std::size_t host, std::size_t index) {
     UpstreamState& state = *hosts_[host].upstreams[index];
-    if (plan_.way == LimitWay::kNone || !state.limit.IsInForce(now_)) {
+    if (plan_.way == LimitStrategy::kNone || !state.limit.IsInForce(now_)) {
       return true;
     }
-    if (plan_.way == LimitWay::kUsage) {
+    if (plan_.way == LimitStrategy::kUsage) {
       return HasUsageLeft(upstreams_[index], state, host);
     }
-    return state.share.TryTake(now_);
+    return state.share.TryAcquire(now_);
   }
 
   // As UpstreamPicker does it.
@@ -188,9 +189,9 @@
     const auto asked =
         std::find_if(order.begin(), order.end(), [&](std::size_t index) {
           const UpstreamState& state = *hosts_[host].upstreams[index];
-          return state.limit.IsToBeAsked(now_) && state.share.CanTake(now_);
+          return state.limit.ShouldProbe(now_) && state.share.CanAcquire(now_);
         });
-    if (plan_.way == LimitWay::kFewSenders && asked != order.end()) {
+    if (plan_.way == LimitStrategy::kFewSenders && asked != order.end()) {
       std::iter_swap(order.begin(), asked);
     }
   }
@@ -248,7 +249,7 @@
       Host& host = hosts_[run.host];
       const UpstreamPtr& upstream = host.upstreams[run.upstream];
       if (!run.named) {
-        host.exchange->OnNotNamed(upstream, run.sent, now_);
+        host.exchange->OnNoLimitReported(upstream, run.sent, now_);
         continue;
       }
       host.told[run.upstream] = std::min(host.told[run.upstream], now_);
@@ -257,7 +258,7 @@
         seen.first_named = now_;
       }
       const bool first = !upstream->limit.IsInForce(now_);
-      host.exchange->OnNamed(upstream, plan_.limit_per_second, now_);
+      host.exchange->OnLimitReported(upstream, plan_.limit_per_second, now_);
       if (first) {
         Tell(run.host);
       }
@@ -298,7 +299,7 @@
       const Message message = std::move(messages_.front());
       messages_.pop_front();
       Host& host = hosts_[message.to];
-      host.exchange->OnLimits(message.report, now_);
+      host.exchange->OnLimitReport(message.report, now_);
       if (!message.report.pass_on) {
         continue;
       }
@@ -318,7 +319,7 @@
       if (now_ >= host.next_tick) {
         host.next_tick += kTick;
         host.exchange->Tick(now_);
-        for (const UpstreamPtr& upstream : host.table->MaybeBounded(now_)) {
+        for (const UpstreamPtr& upstream : host.table->MaybeRateBounded(now_)) {
           upstream->share.SetRate(RateOf(host, *upstream), now_);
         }
       }
@@ -330,19 +331,19 @@
   }
 
   void Restart() {
-    const Time middle = begun_ + (plan_.needs_from + plan_.needs_until) / 2;
-    if (plan_.restarts_one_of == 0 || now_ < middle ||
+    const Time middle = begun_ + (plan_.limited_from + plan_.limited_until) / 2;
+    if (plan_.restart_one_in == 0 || now_ < middle ||
         std::exchange(restarted_, true)) {
       return;
     }
     for (std::size_t i = 0; i < hosts_.size();
-         i += Count(plan_.restarts_one_of)) {
+         i += Count(plan_.restart_one_in)) {
       Start(hosts_[i]);
     }
   }
 
   void NoteKnownOver() {
-    const Time over = begun_ + plan_.needs_until;
+    const Time over = begun_ + plan_.limited_until;
     for (const Host& host : hosts_) {
       if (now_ > over && !host.exchange->in_force().empty()) {
         known_over_ = now_ - over;
@@ -352,7 +353,7 @@
 
   LimitModelResult Result() const {
     const double limit = plan_.limit_per_second;
-    const Time over = begun_ + plan_.needs_until;
+    const Time over = begun_ + plan_.limited_until;
     LimitModelResult result;
     double used = 0;
     for (std::size_t i = 0; i < Count(plan_.limited); ++i) {
@@ -361,18 +362,20 @@
       if (upstream.first_named == Time() || from >= over) {
         continue;
       }
-      const LimitUse use = UseOf(upstream.arrivals, {limit, from, over});
-      result.worst_of_allowed =
-          std::max(result.worst_of_allowed, use.fullest_of_allowed);
-      result.worst_of_told =
-          std::max(result.worst_of_told, use.fullest_of_told);
+      const LimitUse use =
+          MeasureLimitUse(upstream.arrivals, {limit, from, over});
+      result.max_window_ratio =
+          std::max(result.max_window_ratio, use.max_window_ratio);
+      result.max_informed_window_ratio = std::max(
+          result.max_informed_window_ratio, use.max_informed_window_ratio);
       used += use.used;
     }
     result.used = used / plan_.limited;
     result.refused = refused_ / requests_;
-    result.known_over_after = Seconds(known_over_);
-    result.bytes_per_host = bytes_ / static_cast<double>(hosts_.size()) /
-                            Seconds(plan_.needs_until - plan_.needs_from);
+    result.end_delay_seconds = Seconds(known_over_);
+    result.bytes_per_host_per_second =
+        bytes_ / static_cast<double>(hosts_.size()) /
+        Seconds(plan_.limited_until - plan_.limited_from);
     return result;
   }
 
@@ -393,7 +396,7 @@
 
 }  // namespace
 
-LimitModelResult PlayLimits(const LimitModelPlan& plan) {
+LimitModelResult RunLimitModel(const LimitModelPlan& plan) {
   return LimitPlay(plan).Run();
 }
 
--- a/src/pathcleat/lab/limit_model_test.cpp
+++ b/src/pathcleat/lab/limit_model_test.cpp
@@ -22,8 +22,8 @@
     for (const double limit : {0.5, 1.7, 10.0}) {
       LimitModelPlan plan = Sized(hosts_in_domain, 24);
       plan.limit_per_second = limit;
-      const LimitModelResult result = PlayLimits(plan);
-      cr_assert_leq(result.worst_of_allowed, 1.0);
+      const LimitModelResult result = RunLimitModel(plan);
+      cr_assert_leq(result.max_window_ratio, 1.0);
     }
   }
 }
@@ -33,24 +33,24 @@
 Test(limit_model, limits_are_used) {
   LimitModelPlan plan = Sized(2, 24);
   plan.limited = 24;
-  const LimitModelResult result = PlayLimits(plan);
+  const LimitModelResult result = RunLimitModel(plan);
   cr_assert_geq(result.used, 0.8);
-  cr_assert_leq(result.worst_of_allowed, 1.0);
+  cr_assert_leq(result.max_window_ratio, 1.0);
 }
 
 // Guards against limits that outlive the need where only few hosts hear of its
 // end.
 Test(limit_model, end_of_need_is_known_to_all_hosts_soon) {
   for (const int hosts_in_domain : {2, 50}) {
-    const LimitModelResult result = PlayLimits(Sized(hosts_in_domain, 24));
-    cr_assert_leq(result.known_over_after, 10.0);
+    const LimitModelResult result = RunLimitModel(Sized(hosts_in_domain, 24));
+    cr_assert_leq(result.end_delay_seconds, 10.0);
   }
 }
 
 Test(limit_model, limits_hold_while_hosts_start_again) {
   LimitModelPlan plan = Sized(12, 24);
-  plan.restarts_one_of = 3;
-  cr_assert_leq(PlayLimits(plan).worst_of_told, 1.0);
+  plan.restart_one_in = 3;
+  cr_assert_leq(RunLimitModel(plan).max_informed_window_ratio, 1.0);
 }
 
 // Guards against two parts of a fleet that each take a limit whole.
@@ -58,17 +58,17 @@
   for (const int hosts_in_domain : {2, 13}) {
     LimitModelPlan plan = Sized(hosts_in_domain, 24);
     plan.cut_from = Duration(10'000'000);
-    cr_assert_leq(PlayLimits(plan).worst_of_allowed, 1.0);
+    cr_assert_leq(RunLimitModel(plan).max_window_ratio, 1.0);
   }
 }
 
 // Checked to tell the ways apart: each fails what the few senders keep.
 Test(limit_model, other_ways_break_the_bound) {
   LimitModelPlan plan = Sized(50, 24);
-  plan.way = LimitWay::kNone;
-  cr_assert_gt(PlayLimits(plan).worst_of_allowed, 1.0);
-  plan.way = LimitWay::kOwnPart;
-  cr_assert_gt(PlayLimits(plan).worst_of_allowed, 1.0);
+  plan.way = LimitStrategy::kNone;
+  cr_assert_gt(RunLimitModel(plan).max_window_ratio, 1.0);
+  plan.way = LimitStrategy::kEqualShare;
+  cr_assert_gt(RunLimitModel(plan).max_window_ratio, 1.0);
 }
 
 }  // namespace
--- a/src/pathcleat/lab/limit_windows.hpp
+++ b/src/pathcleat/lab/limit_windows.hpp
@@ -36,13 +36,13 @@
 
 /// @brief How a limit was used.
 struct LimitUse {
-  double fullest_of_allowed = 0;  ///< fullest window over what it may hold
-  double fullest_of_told = 0;     ///< the same, of hosts that were told
-  double used = 0;                ///< part of the limit
+  double max_window_ratio = 0;  ///< fullest window over what it may hold
+  double max_informed_window_ratio = 0;  ///< the same, of hosts that were told
+  double used = 0;                       ///< part of the limit
 };
 
 /// @brief The most arrivals in one window.
-inline double MostInWindow(const std::vector<Time>& arrivals) {
+inline double MaxInWindow(const std::vector<Time>& arrivals) {
   std::size_t most = 0;
   std::size_t first = 0;
   for (std::size_t last = 0; last < arrivals.size(); ++last) {
@@ -55,8 +55,8 @@
 }
 
 /// @brief Judges the arrivals at one upstream.
-inline LimitUse UseOf(const std::vector<LimitArrival>& arrivals,
-                      const LimitSpan& span) {
+inline LimitUse MeasureLimitUse(const std::vector<LimitArrival>& arrivals,
+                                const LimitSpan& span) {
   std::vector<Time> all;
   std::vector<Time> told;
   for (const LimitArrival& arrival : arrivals) {
@@ -71,7 +71,7 @@
   const double allowed =
       (1 + kLimitOverage) * span.per_second * Seconds(kLimitWindow) +
       kLimitSlack;
-  return {MostInWindow(all) / allowed, MostInWindow(told) / allowed,
+  return {MaxInWindow(all) / allowed, MaxInWindow(told) / allowed,
           static_cast<double>(all.size()) /
               (span.per_second * Seconds(span.until - span.from))};
 }
--- a/src/pathcleat/lab/limited_upstream_test.cpp
+++ b/src/pathcleat/lab/limited_upstream_test.cpp
@@ -17,14 +17,14 @@
 constexpr Duration kToldWithin{1'000'000};
 
 // Two failure domains with two hosts and two upstreams each.
-TestWorldPlan Plan() {
-  TestWorldPlan plan;
+TestClusterPlan Plan() {
+  TestClusterPlan plan;
   plan.hosts_in_domain = {2, 2};
   return plan;
 }
 
 // Callers ask each host in turn for a while.
-void Ask(TestWorld& world, Duration lasts) {
+void Ask(TestCluster& world, Duration lasts) {
   const Time end = BootClock::now() + lasts;
   for (int i = 0; BootClock::now() < end; ++i) {
     world.Get(static_cast<std::size_t>(i) % kHosts, "r" + std::to_string(i));
@@ -32,7 +32,7 @@
 }
 
 // The most arrivals in one window, of those after a time.
-double MostInWindow(const std::vector<Time>& arrivals, Time after) {
+double MaxInWindow(const std::vector<Time>& arrivals, Time after) {
   std::ptrdiff_t most = 0;
   for (auto first = std::lower_bound(arrivals.begin(), arrivals.end(), after);
        first != arrivals.end(); ++first) {
@@ -45,14 +45,14 @@
 // Guards against hosts that send on as before to an upstream that names a
 // limit: it got all that it would have got without.
 Test(limited_upstream, gets_no_more_than_its_limit_from_all_hosts_together) {
-  TestWorld world(Plan());
+  TestCluster world(Plan());
   world.StartAll();
   UpstreamStandIn& limited = world.upstream(0);
   limited.NameLimit("2.0");
   const Time begun = BootClock::now();
   Ask(world, kToldWithin + kWindow + kWindow / 2);
   const auto& arrivals = limited.ledger().arrivals;
-  cr_assert_leq(MostInWindow(arrivals, begun + kToldWithin), kMostInWindow);
+  cr_assert_leq(MaxInWindow(arrivals, begun + kToldWithin), kMostInWindow);
   // It still serves what it can.
   const auto served = std::count_if(
       arrivals.begin(), arrivals.end(),
@@ -60,16 +60,16 @@
   cr_assert_geq(served, 4);
 }
 
-bool Knows(TestWorld& world, std::size_t host, const std::string& upstream) {
+bool Knows(TestCluster& world, std::size_t host, const std::string& upstream) {
   return world.host(host).state().limits.in_force().contains(upstream);
 }
 
 // Guards against hosts that learn of a limit, and of its end, by their own
 // requests alone: those that are no senders send none.
 Test(limited_upstream, hosts_that_get_no_answer_are_told_of_it_and_of_its_end) {
-  TestWorldPlan plan = Plan();
+  TestClusterPlan plan = Plan();
   plan.upstreams_in_domain = 1;
-  TestWorld world(plan);
+  TestCluster world(plan);
   world.StartAll();
   UpstreamStandIn& limited = world.upstream(0);
   limited.NameLimit("3");
@@ -89,7 +89,7 @@
   };
   ask_first_host_until([&] { return all_know(true); });
   cr_assert(world.HasEvent(kHosts - 1, EventCode::kUpstreamLimited));
-  const std::string shown = world.Command(0, "show upstreams").response.body;
+  const std::string shown = world.RunCommand(0, "show upstreams").response.body;
   cr_assert(shown.find("takes 3 requests a second") != std::string::npos);
   limited.NameLimit("");
   ask_first_host_until([&] { return all_know(false); });
@@ -99,9 +99,9 @@
 // Guards against a limit that is none and stops all sending, or is logged with
 // each answer.
 Test(limited_upstream, unreadable_limit_is_told_once_and_binds_nothing) {
-  TestWorldPlan plan;
+  TestClusterPlan plan;
   plan.hosts_in_domain = {1};
-  TestWorld world(plan);
+  TestCluster world(plan);
   world.StartAll();
   world.ForEachUpstream([](UpstreamStandIn& u) { u.NameLimit("-1"); });
   for (int i = 0; i < 20; ++i) {
@@ -119,9 +119,9 @@
 // Guards against requests that wait, or are sent all the same, where all
 // upstreams have named how little they take.
 Test(limited_upstream, beyond_all_limits_requests_are_refused_at_once) {
-  TestWorldPlan plan;
+  TestClusterPlan plan;
   plan.hosts_in_domain = {1};
-  TestWorld world(plan);
+  TestCluster world(plan);
   world.StartAll();
   world.ForEachUpstream([](UpstreamStandIn& u) { u.NameLimit("1"); });
   int refused = 0;
--- a/src/pathcleat/lab/load_audit.cpp
+++ b/src/pathcleat/lab/load_audit.cpp
@@ -18,12 +18,12 @@
   audit.over_slots = ledger["over_slots"].get<int>();
   audit.turned_away = ledger["turned_away"].get<int>();
   for (const auto& [key, runs] : ledger["runs_by_key"].items()) {
-    audit.doubled += runs.get<int>() > 1 ? 1 : 0;
+    audit.duplicate_runs += runs.get<int>() > 1 ? 1 : 0;
   }
   const auto& runs_by_id = ledger["runs_by_id"];
   for (const LoadRecord& record : load.records()) {
     const bool ran = runs_by_id.contains(record.run_id);
-    audit.not_run_but_ran += record.told_not_run && ran ? 1 : 0;
+    audit.false_not_run += record.told_not_run && ran ? 1 : 0;
   }
   for (const auto& [kind, counts] : load.counts()) {
     audit.cut += counts.cut;
@@ -39,13 +39,13 @@
   for (const auto& [kind, counts] : load.counts()) {
     text << kind << ": sent " << counts.sent << ", answered " << counts.answered
          << ", not-run " << counts.not_run << ", unknown " << counts.unknown
-         << ", broken " << counts.broken << ", p50 "
+         << ", broken " << counts.connection_lost << ", p50 "
          << Quantile(counts.latency_ms, kMedian) << " ms, p99 "
          << Quantile(counts.latency_ms, kTail) << " ms, refused p99 "
          << Quantile(counts.refusal_ms, kTail) << " ms\n";
   }
-  text << "doubled " << audit.doubled << ", told not-run but run "
-       << audit.not_run_but_ran << ", over slots " << audit.over_slots
+  text << "doubled " << audit.duplicate_runs << ", told not-run but run "
+       << audit.false_not_run << ", over slots " << audit.over_slots
        << ", turned away by upstreams " << audit.turned_away << ", cut answers "
        << audit.cut << "\n";
   return text.str();
--- a/src/pathcleat/lab/load_generator.cpp
+++ b/src/pathcleat/lab/load_generator.cpp
@@ -46,11 +46,11 @@
     : loop_(loop), plan_(plan), random_(plan.seed) {
   for (int i = 0; i < plan.callers; ++i) {
     const auto region =
-        static_cast<std::size_t>(i) % plan.caller_prefixes.size();
-    callers_.push_back(
-        {plan.caller_prefixes[region] + "." + std::to_string(i % 250) + ".1",
-         plan.hosts,
-         {}});
+        static_cast<std::size_t>(i) % plan.caller_address_prefixes.size();
+    callers_.push_back({plan.caller_address_prefixes[region] + "." +
+                            std::to_string(i % 250) + ".1",
+                        plan.hosts,
+                        {}});
   }
 }
 
@@ -124,7 +124,7 @@
       ParseTcpEndpoint(hosts[request->host_turn % hosts.size()]);
   auto client = std::make_shared<HttpClient>(
       loop_, endpoint.value_or(boost::asio::ip::tcp::endpoint()), HttpLimits());
-  client->BindTo(request->caller->address);
+  client->BindLocalAddress(request->caller->address);
   return client;
 }
 
@@ -134,7 +134,7 @@
   const auto endpoint = ParseTcpEndpoint(locators[turn % locators.size()]);
   auto client = std::make_shared<HttpClient>(
       loop_, endpoint.value_or(boost::asio::ip::tcp::endpoint()), HttpLimits());
-  client->BindTo(request->caller->address);
+  client->BindLocalAddress(request->caller->address);
   return client;
 }
 
@@ -172,7 +172,7 @@
   request->record.told_not_run = false;
   HttpRequest http{request->kind->method,
                    request->kind->path,
-                   {{"Host", plan_.host_name},
+                   {{"Host", plan_.host_header},
                     {"Connection", "close"},
                     {"X-Run-Id", request->record.run_id}},
                    request->body};
@@ -202,7 +202,7 @@
       Repeat(request, kRepeatAfter);
       return;
     }
-    ++counts.broken;
+    ++counts.connection_lost;
     Finish(request);
     return;
   }
--- a/src/pathcleat/lab/metrics_test.cpp
+++ b/src/pathcleat/lab/metrics_test.cpp
@@ -14,7 +14,7 @@
 }
 
 Test(metrics, page_counts_requests_refusals_and_calls_to_the_store) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   world.Get(0, "r1");
   world.Get(0, "r2");
@@ -39,7 +39,7 @@
 
 // Each sample belongs to a family that was named before it, and to one only.
 Test(metrics, page_names_each_family_once_before_its_samples) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   world.Get(0, "r1");
   std::istringstream page(world.Metrics(0).response.body);
--- a/src/pathcleat/lab/model_queue.hpp
+++ b/src/pathcleat/lab/model_queue.hpp
@@ -18,7 +18,7 @@
 
 /// @brief How a piece of work at a model's upstream ended.
 /// @ingroup lab
-enum class ModelEnd {
+enum class ModelWorkOutcome {
   kRan,
   kNotRun,  ///< turned away, or its deadline passed in the queue
   kLost,    ///< the upstream went while it was there
@@ -31,21 +31,23 @@
   Duration run{0};        ///< mean, of a key not lately served
   double warm_share = 1;  ///< of it, where the key was lately served
   Time deadline;
-  std::function<void(ModelEnd end)> done;
+  std::function<void(ModelWorkOutcome end)> done;
 };
 
 /// @brief An upstream in virtual time: slots, a short queue, keys at which it
 /// is quick.
 /// @ingroup lab
-class ModelQueue {
+class SimulatedUpstream {
  public:
-  struct Shape {
+  struct Options {
     int slots = 1;
     int queue = 0;
     std::size_t keys_remembered = 0;
   };
 
-  ModelQueue(Agenda& agenda, std::mt19937_64& random, const Shape& shape)
+  SimulatedUpstream(VirtualScheduler& agenda,
+                    std::mt19937_64& random,
+                    const Options& shape)
       : agenda_(agenda),
         random_(random),
         shape_(shape),
@@ -57,7 +59,7 @@
       return;
     }
     if (static_cast<int>(waiting_.size()) >= shape_.queue) {
-      work.done(ModelEnd::kNotRun);
+      work.done(ModelWorkOutcome::kNotRun);
       return;
     }
     waiting_.push_back(work);
@@ -78,7 +80,7 @@
     waiting_.clear();
     keys_.Clear();
     for (const ModelWork& work : lost) {
-      work.done(ModelEnd::kLost);
+      work.done(ModelWorkOutcome::kLost);
     }
   }
 
@@ -108,21 +110,21 @@
     }
     const ModelWork work = std::move(found->second);
     running_.erase(found);
-    work.done(ModelEnd::kRan);
+    work.done(ModelWorkOutcome::kRan);
     while (!waiting_.empty() && HasFreeSlot()) {
       const ModelWork next = waiting_.front();
       waiting_.pop_front();
       if (agenda_.now() >= next.deadline) {
-        next.done(ModelEnd::kNotRun);
+        next.done(ModelWorkOutcome::kNotRun);
       } else {
         Begin(next);
       }
     }
   }
 
-  Agenda& agenda_;
+  VirtualScheduler& agenda_;
   std::mt19937_64& random_;
-  Shape shape_;
+  Options shape_;
   RecentKeys keys_;
   std::deque<ModelWork> waiting_;
   std::map<std::uint64_t, ModelWork> running_;
--- a/src/pathcleat/lab/patience_test.cpp
+++ b/src/pathcleat/lab/patience_test.cpp
@@ -16,10 +16,10 @@
 // nobody else to ask, the answer is waited for. Checked to fail (502) with the
 // attempt ended by its own time-out.
 Test(faults, slow_answer_is_waited_for_where_no_other_upstream_is) {
-  TestWorldPlan plan;
+  TestClusterPlan plan;
   plan.upstreams_in_domain = 1;
   plan.timeout = Duration(60'000'000);
-  TestWorld world(plan);
+  TestCluster world(plan);
   world.StartAll();
   for (int i = 0; i < 40; ++i) {
     world.Get(0, "warm" + std::to_string(i));
@@ -32,7 +32,7 @@
   constexpr Duration kBeyondPatience{1'500'000};
   cr_assert(
       world.Await([&] { return BootClock::now() - sent > kBeyondPatience; }));
-  world.upstream(0).AnswerRun("held");
+  world.upstream(0).ReleaseAnswerOfRun("held");
   cr_assert(world.Await([&] { return client.Has("end held"); }));
 }
 
@@ -40,10 +40,10 @@
 // not thrown away. Checked to fail, with two runs, with HasAnsweredSince
 // taken out of Call.
 Test(faults, busy_upstream_keeps_what_it_has_begun) {
-  TestWorldPlan plan;
+  TestClusterPlan plan;
   plan.slots = 8;
   plan.timeout = Duration(60'000'000);
-  TestWorld world(plan);
+  TestCluster world(plan);
   world.StartAll();
   for (int i = 0; i < 40; ++i) {
     world.Get(0, "warm" + std::to_string(i));
@@ -60,11 +60,13 @@
     const std::string id = "other" + std::to_string(i);
     other.Send(GetText(id));
     cr_assert(world.Await([&] { return world.RunsOf(id) > 0; }));
-    world.ForEachUpstream([&id](UpstreamStandIn& u) { u.AnswerRun(id); });
+    world.ForEachUpstream(
+        [&id](UpstreamStandIn& u) { u.ReleaseAnswerOfRun(id); });
     cr_assert(world.Await([&] { return other.Has("end " + id); }));
   }
   cr_assert_eq(world.RunsOf("held"), 1);
-  world.ForEachUpstream([](UpstreamStandIn& u) { u.AnswerRun("held"); });
+  world.ForEachUpstream(
+      [](UpstreamStandIn& u) { u.ReleaseAnswerOfRun("held"); });
   cr_assert(world.Await([&] { return client.Has("end held"); }));
 }
 
--- a/src/pathcleat/lab/planned_stop_test.cpp
+++ b/src/pathcleat/lab/planned_stop_test.cpp
@@ -15,7 +15,7 @@
 // Promise: a planned stop cuts no request in flight.
 // Checked to fail with ServerSession::Finish closing at once.
 Test(promise, planned_stop_cuts_nothing_in_flight) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   world.ForEachUpstream([](UpstreamStandIn& u) { u.HoldAnswers(); });
   RawClient client(world.loop(), world.address(), world.CallerPort(0));
@@ -23,7 +23,8 @@
   cr_assert(world.Await([&] { return world.InFlight() == 1; }));
   bool stopped = false;
   world.host(0).Stop([&stopped] { stopped = true; });
-  cr_assert_eq(world.Ready(0).response.status, http_status::kUnavailable);
+  cr_assert_eq(world.QueryReadiness(0).response.status,
+               http_status::kUnavailable);
   // It is named to nobody any more, and still serves who comes.
   cr_assert(world.Await([&] {
     return world.Locate(1, "").response.body.find(
@@ -50,8 +51,8 @@
   }));
   cr_assert_not(stopped);
   world.ForEachUpstream([](UpstreamStandIn& u) {
-    u.AnswerRun("held");
-    u.AnswerRun("late");
+    u.ReleaseAnswerOfRun("held");
+    u.ReleaseAnswerOfRun("late");
   });
   cr_assert(world.Await([&] { return stopped; }));
   cr_assert(world.Await(
@@ -62,10 +63,10 @@
 // (LOST on grown race results, trouble-3). Checked to fail, with two runs,
 // without the test of leaving in MayGoElsewhere.
 Test(promise, planned_stop_leaves_work_at_its_upstream) {
-  TestWorldPlan plan;
+  TestClusterPlan plan;
   plan.timeout = Duration(60'000'000);
   plan.stop_grace = Duration(3'500'000);
-  TestWorld world(plan);
+  TestCluster world(plan);
   world.StartAll();
   for (int i = 0; i < 40; ++i) {
     world.Get(0, "warm" + std::to_string(i));
@@ -82,17 +83,17 @@
 
 // One host and one upstream with one slot, which a request from before the
 // stop holds to the end: what comes later waits in the upstream's queue.
-TestWorldPlan BusyUpstreamPlan() {
-  TestWorldPlan plan;
+TestClusterPlan BusyUpstreamPlan() {
+  TestClusterPlan plan;
   plan.hosts_in_domain = {1};
   plan.upstreams_in_domain = 1;
   plan.slots = 1;
   plan.timeout = Duration(60'000'000);
-  plan.upstreams_keep_deadlines = true;
+  plan.upstreams_enforce_deadlines = true;
   return plan;
 }
 
-void WarmUp(TestWorld& world) {
+void WarmUp(TestCluster& world) {
   world.StartAll();
   for (int i = 0; i < 40; ++i) {
     world.Get(0, "warm" + std::to_string(i));
@@ -105,7 +106,7 @@
 // host must end is told, in time, that it was not run. Checked to fail (504)
 // with Call::Left giving the time to the deadline alone.
 Test(promise, planned_stop_answers_what_waits_at_an_upstream) {
-  TestWorld world(BusyUpstreamPlan());
+  TestCluster world(BusyUpstreamPlan());
   WarmUp(world);
   RawClient held(world.loop(), world.address(), world.CallerPort(0));
   held.Send(GetText("held"));
@@ -131,14 +132,14 @@
 // its upstream does. Checked to fail (nothing received) with OnHostEnds not
 // called in Gateway::AwaitQuiet.
 Test(promise, planned_stop_answers_what_its_upstream_never_does) {
-  TestWorldPlan plan;
+  TestClusterPlan plan;
   plan.hosts_in_domain = {1};
   plan.timeout = Duration(60'000'000);
   // On a busy machine the upstreams, which answer nobody, would else count as
   // silent before the last request is sent, and the stop be too far gone.
   plan.target_latency = Duration(2'000'000);
   plan.stop_grace = Duration(8'000'000);
-  TestWorld world(plan);
+  TestCluster world(plan);
   world.StartAll();
   world.ForEachUpstream([](UpstreamStandIn& u) { u.HoldAnswers(); });
   RawClient get(world.loop(), world.address(), world.CallerPort(0));
@@ -165,10 +166,10 @@
 // Checked to fail without may_begin in Call::ChooseNow, and without
 // MayClaim in Call::ClaimKey (it is claimed).
 Test(promise, planned_stop_refuses_what_it_would_not_see_to_its_end) {
-  TestWorldPlan plan;
+  TestClusterPlan plan;
   plan.timeout = Duration(60'000'000);
   plan.stop_grace = Duration(1'200'000);
-  TestWorld world(plan);
+  TestCluster world(plan);
   // Two hosts that have heard each other have written all that hosts write.
   world.StartAll();
   const std::uint64_t writes = world.platform().writes();
@@ -204,12 +205,12 @@
 // when the store has it. Checked to fail without keys.pending() in
 // Gateway::AwaitQuiet.
 Test(promise, planned_stop_waits_for_the_answer_of_a_key_to_be_kept) {
-  TestWorldPlan plan;
+  TestClusterPlan plan;
   plan.hosts_in_domain = {1};
   plan.timeout = Duration(60'000'000);
   // The host takes callers no more from the stop's begin on.
   plan.stop_grace = Duration(1'500'000);
-  TestWorld world(plan);
+  TestCluster world(plan);
   world.StartAll();
   world.ForEachUpstream([](UpstreamStandIn& u) { u.HoldAnswers(); });
   RawClient client(world.loop(), world.address(), world.CallerPort(0));
@@ -221,7 +222,8 @@
   bool stopped = false;
   world.host(0).Stop([&stopped] { stopped = true; });
   world.Settle();
-  world.ForEachUpstream([](UpstreamStandIn& u) { u.AnswerRun("post"); });
+  world.ForEachUpstream(
+      [](UpstreamStandIn& u) { u.ReleaseAnswerOfRun("post"); });
   cr_assert(world.Await([&] { return client.Has("end post"); }));
   client.Close();
   cr_assert(world.Await([&] { return stopped; }));
@@ -231,7 +233,7 @@
 // What is sent ahead of a last answer is never begun: its caller sees the
 // connection end after that answer.
 Test(promise, planned_stop_runs_nothing_behind_a_last_answer) {
-  TestWorld world(BusyUpstreamPlan());
+  TestCluster world(BusyUpstreamPlan());
   WarmUp(world);
   RawClient client(world.loop(), world.address(), world.CallerPort(0));
   client.Send(GetText("first"));
@@ -240,7 +242,7 @@
   world.host(0).Stop([&stopped] { stopped = true; });
   client.Send(GetText("second"));
   world.Settle();
-  world.upstream(0).AnswerRun("first");
+  world.upstream(0).ReleaseAnswerOfRun("first");
   cr_assert(world.Await([&] { return client.IsClosed(); }));
   cr_assert(client.Has("end first"));
   cr_assert(client.Has("Connection: close"));
--- a/src/pathcleat/lab/quota_model.cpp
+++ b/src/pathcleat/lab/quota_model.cpp
@@ -66,7 +66,7 @@
     }
   }
 
-  QuotaOutcome Play() {
+  QuotaModelResult Play() {
     const Time end = start_ + FromSeconds(plan_.seconds);
     for (now_ = start_; now_ < end; now_ += kStep) {
       Change();
@@ -74,7 +74,7 @@
       Report();
       Arrive();
     }
-    return Outcome();
+    return OutcomeHeader();
   }
 
  private:
@@ -89,11 +89,12 @@
 
   double At() const { return Seconds(now_ - start_); }
   bool IsRush() const {
-    return At() >= trace_.rush_from &&
-           At() < trace_.rush_from + trace_.rush_for;
+    return At() >= trace_.peak_from &&
+           At() < trace_.peak_from + trace_.peak_seconds;
   }
   bool IsCut() const {
-    return At() >= trace_.cut_from && At() < trace_.cut_from + trace_.cut_for;
+    return At() >= trace_.cut_from &&
+           At() < trace_.cut_from + trace_.partition_seconds;
   }
   bool AreApart(int a, int b) const {
     const int half = plan_.domains / 2;
@@ -122,8 +123,8 @@
   }
 
   // A host that starts in a cut has never heard the other half.
-  LimitSharers SharersOf(int index) const {
-    LimitSharers sharers;
+  QuotaHosts SharersOf(int index) const {
+    QuotaHosts sharers;
     sharers.known = static_cast<int>(hosts_.size());
     sharers.hears_most = !IsCut();
     const bool cut_at_start =
@@ -139,20 +140,20 @@
     const auto is_now = [this](double at) {
       return at > 0 && now_ == start_ + FromSeconds(at);
     };
-    const auto killed = static_cast<int>(trace_.kill_share *
+    const auto killed = static_cast<int>(trace_.killed_share *
                                          static_cast<double>(hosts_.size()));
     for (int i = 0; i < killed && is_now(trace_.kill_at); ++i) {
       hosts_[i].down = true;
     }
-    for (int i = 0; i < killed && is_now(trace_.kill_at + trace_.kill_down);
+    for (int i = 0; i < killed && is_now(trace_.kill_at + trace_.down_seconds);
          ++i) {
       hosts_[i].down = false;
       Restart(i);
       Greet(i);
     }
-    if (is_now(trace_.lower_at)) {
-      account_.limit.per_second *= trace_.lower_to;
-      account_.limit.burst *= trace_.lower_to;
+    if (is_now(trace_.limit_change_at)) {
+      account_.limit.per_second *= trace_.limit_factor;
+      account_.limit.burst *= trace_.limit_factor;
       for (Host& host : hosts_) {
         host.quotas->Adopt({account_});
       }
@@ -167,7 +168,7 @@
         continue;
       }
       Post(i, index, hosts_[i].quotas->OwnUsage(now_), kNear);
-      for (const UsageReport& known : hosts_[i].quotas->KnownUsage()) {
+      for (const UsageReport& known : hosts_[i].quotas->UsageSnapshot()) {
         Post(i, index, known, kNear);
       }
     }
@@ -192,7 +193,7 @@
       if (hosts_[to].down) {
         continue;
       }
-      hosts_[to].quotas->OnUsage(report, now_);
+      hosts_[to].quotas->OnUsageReport(report, now_);
       if (report.pass_on) {
         UsageReport passed = report;
         passed.pass_on = false;
@@ -238,11 +239,11 @@
 
   int DrawHost() {
     const int count = static_cast<int>(hosts_.size());
-    if (IsRush() && trace_.rush_hosts > 0) {
-      return DrawBelow(std::min(count, trace_.rush_hosts));
+    if (IsRush() && trace_.peak_hosts > 0) {
+      return DrawBelow(std::min(count, trace_.peak_hosts));
     }
-    const bool moved =
-        trace_.move_at > 0 && At() >= trace_.move_at && Draw() < 1.0 / 3;
+    const bool moved = trace_.callers_move_at > 0 &&
+                       At() >= trace_.callers_move_at && Draw() < 1.0 / 3;
     return moved ? DrawBelow(plan_.hosts_in_domain) : DrawBelow(count);
   }
 
@@ -264,11 +265,11 @@
       case QuotaPolicy::kAdaptive:
         return hosts_[index].quotas->Take(account_, now_).allowed;
       case QuotaPolicy::kEven:
-        return hosts_[index].even->TryTake(now_);
+        return hosts_[index].even->TryAcquire(now_);
       case QuotaPolicy::kOwner:
         // The owner is in the second half; what it is not asked is refused.
         return !AreApart(index, static_cast<int>(hosts_.size()) - 1) &&
-               owner_.TryTake(now_);
+               owner_.TryAcquire(now_);
     }
     return false;
   }
@@ -283,13 +284,13 @@
     }
   }
 
-  QuotaOutcome Outcome() const {
-    QuotaOutcome outcome;
+  QuotaModelResult OutcomeHeader() const {
+    QuotaModelResult outcome;
     // A lower limit binds a window after it was told; windows before it are
     // judged by the old one.
     const Time lowered =
-        trace_.lower_at > 0
-            ? start_ + FromSeconds(trace_.lower_at) + plan_.bounds.window
+        trace_.limit_change_at > 0
+            ? start_ + FromSeconds(trace_.limit_change_at) + plan_.bounds.window
             : Time::max();
     std::vector<Time> before;
     std::vector<Time> after;
@@ -297,22 +298,23 @@
       (time < lowered ? before : after).push_back(time);
     }
     const Duration window = plan_.bounds.window;
-    outcome.worst_window =
+    outcome.max_window_ratio =
         std::max(static_cast<double>(MostIn(before, window)) /
                      Allowed(trace_.limit, plan_.bounds),
                  static_cast<double>(MostIn(after, window)) /
                      Allowed(account_.limit, plan_.bounds));
-    outcome.refused_below = below_ == 0 ? 0
-                                        : static_cast<double>(refused_below_) /
-                                              static_cast<double>(below_);
-    outcome.served_of_limit = ServedInRush();
-    outcome.told_bytes = told_bytes_ / plan_.seconds;
+    outcome.refused_share_below_limit =
+        below_ == 0
+            ? 0
+            : static_cast<double>(refused_below_) / static_cast<double>(below_);
+    outcome.peak_served_share = ServedInRush();
+    outcome.report_bytes_per_second = told_bytes_ / plan_.seconds;
     return outcome;
   }
 
   double ServedInRush() const {
-    const double half = trace_.rush_for / 2;
-    const Time from = start_ + FromSeconds(trace_.rush_from + half);
+    const double half = trace_.peak_seconds / 2;
+    const Time from = start_ + FromSeconds(trace_.peak_from + half);
     const Time until = from + FromSeconds(half);
     const auto count =
         std::count_if(taken_.begin(), taken_.end(),
@@ -339,9 +341,9 @@
 
 }  // namespace
 
-QuotaOutcome PlayQuota(QuotaPolicy policy,
-                       const QuotaTrace& trace,
-                       const QuotaModelPlan& plan) {
+QuotaModelResult RunQuotaModel(QuotaPolicy policy,
+                               const QuotaTrace& trace,
+                               const QuotaModelPlan& plan) {
   return QuotaModel(policy, trace, plan).Play();
 }
 
--- a/src/pathcleat/lab/quota_model_test.cpp
+++ b/src/pathcleat/lab/quota_model_test.cpp
@@ -26,41 +26,41 @@
   return trace;
 }
 
-QuotaOutcome Play(const QuotaTrace& trace, std::uint64_t seed = 1) {
-  return PlayQuota(QuotaPolicy::kAdaptive, trace, PlanOf(seed));
+QuotaModelResult Play(const QuotaTrace& trace, std::uint64_t seed = 1) {
+  return RunQuotaModel(QuotaPolicy::kAdaptive, trace, PlanOf(seed));
 }
 
 // Equal parts for each host refuse 0.2 to 0.4 of them.
 Test(quota_model, account_below_its_limit_is_let_pass) {
   for (const double usual : {3.0, 20.0, 250.0}) {
-    const QuotaOutcome outcome = Play(TraceOf(usual));
-    cr_assert_lt(outcome.refused_below, kMostRefused, "usual %.0f: %.4f", usual,
-                 outcome.refused_below);
+    const QuotaModelResult outcome = Play(TraceOf(usual));
+    cr_assert_lt(outcome.refused_share_below_limit, kMostRefused,
+                 "usual %.0f: %.4f", usual, outcome.refused_share_below_limit);
   }
 }
 
 // A third of the callers go to another failure domain at once.
 Test(quota_model, callers_that_move_take_their_part_along) {
   QuotaTrace trace = TraceOf(250);
-  trace.move_at = 10;
-  cr_assert_lt(Play(trace).refused_below, kMostRefused);
+  trace.callers_move_at = 10;
+  cr_assert_lt(Play(trace).refused_share_below_limit, kMostRefused);
 }
 
 Test(quota_model, rush_of_a_large_account_is_served_up_to_its_limit) {
   QuotaTrace trace = TraceOf(250);
   trace.rush = 4.2;
-  const QuotaOutcome outcome = Play(trace);
-  cr_assert_leq(outcome.worst_window, kWhole);
-  cr_assert_gt(outcome.served_of_limit, 0.9);
+  const QuotaModelResult outcome = Play(trace);
+  cr_assert_leq(outcome.max_window_ratio, kWhole);
+  cr_assert_gt(outcome.peak_served_share, 0.9);
 }
 
 Test(quota_model, rush_at_two_hosts_is_served_up_to_its_limit) {
   QuotaTrace trace = TraceOf(250);
   trace.rush = 4.2;
-  trace.rush_hosts = 2;
-  const QuotaOutcome outcome = Play(trace);
-  cr_assert_leq(outcome.worst_window, kWhole);
-  cr_assert_gt(outcome.served_of_limit, 0.8);
+  trace.peak_hosts = 2;
+  const QuotaModelResult outcome = Play(trace);
+  cr_assert_leq(outcome.max_window_ratio, kWhole);
+  cr_assert_gt(outcome.peak_served_share, 0.8);
 }
 
 // Each half would else take the whole limit. Checked to fail (1.6) with the
@@ -70,10 +70,10 @@
     QuotaTrace trace = TraceOf(usual);
     trace.rush = 7.5;
     trace.cut_from = 5;
-    trace.cut_for = 12;
-    const QuotaOutcome outcome = Play(trace);
-    cr_assert_leq(outcome.worst_window, kWhole, "usual %.0f: %.3f", usual,
-                  outcome.worst_window);
+    trace.partition_seconds = 12;
+    const QuotaModelResult outcome = Play(trace);
+    cr_assert_leq(outcome.max_window_ratio, kWhole, "usual %.0f: %.3f", usual,
+                  outcome.max_window_ratio);
   }
 }
 
@@ -81,15 +81,15 @@
   QuotaTrace trace = TraceOf(250);
   trace.rush = 4.2;
   trace.kill_at = 10;
-  trace.kill_share = 0.6;
-  cr_assert_leq(Play(trace).worst_window, kWhole);
+  trace.killed_share = 0.6;
+  cr_assert_leq(Play(trace).max_window_ratio, kWhole);
 }
 
 Test(quota_model, lower_limit_binds_within_a_window) {
   QuotaTrace trace = TraceOf(250);
-  trace.lower_at = 10;
-  trace.lower_to = 0.1;
-  cr_assert_leq(Play(trace).worst_window, kWhole);
+  trace.limit_change_at = 10;
+  trace.limit_factor = 0.1;
+  cr_assert_leq(Play(trace).max_window_ratio, kWhole);
 }
 
 // Over sizes, rushes, cuts, deaths and lost datagrams. Checked to fail with
@@ -101,18 +101,18 @@
         QuotaTrace trace =
             TraceOf(static_cast<double>(*rc::gen::inRange(1, 300)));
         trace.rush = *rc::gen::element(1.0, 2.0, 2.9, 4.2);
-        trace.rush_hosts = *rc::gen::element(0, 0, 2, 11);
+        trace.peak_hosts = *rc::gen::element(0, 0, 2, 11);
         trace.cut_from = *rc::gen::element(0.0, 5.0, 7.0);
-        trace.cut_for = trace.cut_from > 0 ? 8 : 0;
+        trace.partition_seconds = trace.cut_from > 0 ? 8 : 0;
         trace.kill_at = *rc::gen::element(0.0, 7.0, 10.0);
-        trace.kill_share = *rc::gen::element(0.1, 0.6);
+        trace.killed_share = *rc::gen::element(0.1, 0.6);
         QuotaModelPlan plan = PlanOf(*rc::gen::inRange<std::uint64_t>(1, 999));
         plan.hosts_in_domain = *rc::gen::inRange(1, 12);
         plan.loss = *rc::gen::element(0.0, 0.05);
         plan.seconds = 18;
-        const QuotaOutcome outcome =
-            PlayQuota(QuotaPolicy::kAdaptive, trace, plan);
-        RC_ASSERT(outcome.worst_window <= kWhole);
+        const QuotaModelResult outcome =
+            RunQuotaModel(QuotaPolicy::kAdaptive, trace, plan);
+        RC_ASSERT(outcome.max_window_ratio <= kWhole);
       },
       30));
 }
--- a/src/pathcleat/lab/quota_traces.cpp
+++ b/src/pathcleat/lab/quota_traces.cpp
@@ -26,7 +26,7 @@
 
 // Limits are 1.6 times the usual, the burst a second's worth, and an account
 // that rushes sends 7.5 times its usual for 6.5 s.
-std::vector<QuotaTrace> QuotaTraces() {
+std::vector<QuotaTrace> QuotaScenarios() {
   constexpr double kHeadroom = 1.6;
   constexpr double kRush = 7.5;
   std::vector<QuotaTrace> traces;
@@ -40,26 +40,26 @@
   add("large, calm", 250);
   add("middle, calm", 20);
   add("small, calm", 3);
-  add("large, callers move", 250).move_at = 10;
+  add("large, callers move", 250).callers_move_at = 10;
   add("large, rush", 250).rush = kRush;
   add("middle, rush", 20).rush = kRush;
   add("small, rush", 3).rush = kRush;
   add("large, twice", 250).rush = 2;
   add("large, rush at two hosts", 250).rush = kRush;
-  traces.back().rush_hosts = 2;
+  traces.back().peak_hosts = 2;
   add("large, rush in a cut", 250).rush = kRush;
   traces.back().cut_from = 5;
-  traces.back().cut_for = 12;
+  traces.back().partition_seconds = 12;
   add("middle, rush in a cut", 20).rush = kRush;
   traces.back().cut_from = 5;
-  traces.back().cut_for = 12;
+  traces.back().partition_seconds = 12;
   add("large, 60% killed in a rush", 250).rush = kRush;
   traces.back().kill_at = 10;
-  traces.back().kill_share = 0.6;
+  traces.back().killed_share = 0.6;
   add("large, all killed, calm", 250).kill_at = 10;
-  traces.back().kill_share = 0.98;
-  add("large, limit to a tenth", 250).lower_at = 10;
-  traces.back().lower_to = 0.1;
+  traces.back().killed_share = 0.98;
+  add("large, limit to a tenth", 250).limit_change_at = 10;
+  traces.back().limit_factor = 0.1;
   return traces;
 }
 
@@ -67,18 +67,19 @@
   std::ostringstream text;
   text << "trace                         policy    worst window  refused below"
           "  served in rush  bytes/s\n";
-  for (const QuotaTrace& trace : QuotaTraces()) {
+  for (const QuotaTrace& trace : QuotaScenarios()) {
     for (const QuotaPolicy policy :
          {QuotaPolicy::kAdaptive, QuotaPolicy::kEven, QuotaPolicy::kOwner}) {
       QuotaModelPlan plan;
       plan.seed = seed;
-      const QuotaOutcome outcome = PlayQuota(policy, trace, plan);
+      const QuotaModelResult outcome = RunQuotaModel(policy, trace, plan);
       std::array<char, 160> line{};
-      std::snprintf(
-          line.data(), line.size(),
-          "%-29s %-9s %12.3f  %13.4f  %14.3f  %7.0f\n", trace.name.c_str(),
-          NameOf(policy), outcome.worst_window, outcome.refused_below,
-          trace.rush > 1 ? outcome.served_of_limit : 0, outcome.told_bytes);
+      std::snprintf(line.data(), line.size(),
+                    "%-29s %-9s %12.3f  %13.4f  %14.3f  %7.0f\n",
+                    trace.name.c_str(), NameOf(policy),
+                    outcome.max_window_ratio, outcome.refused_share_below_limit,
+                    trace.rush > 1 ? outcome.peak_served_share : 0,
+                    outcome.report_bytes_per_second);
       text << line.data();
     }
   }
--- a/src/pathcleat/lab/ready_test.cpp
+++ b/src/pathcleat/lab/ready_test.cpp
@@ -19,7 +19,7 @@
 // host is ready.
 Test(ready, host_that_has_just_started_answers_a_burst) {
   constexpr int kCallers = 60;
-  TestWorld world;
+  TestCluster world;
   world.StartHost(0);
   cr_assert(world.Await([&] { return world.host(0).IsReady(); }));
   std::vector<std::unique_ptr<RawClient>> callers;
@@ -37,7 +37,7 @@
 
 // Checked to fail with CanAccept out of Gateway::IsReady.
 Test(ready, host_without_descriptors_is_not_ready) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   world.ForEachUpstream([](UpstreamStandIn& u) { u.HoldAnswers(); });
   RawClient held(world.loop(), world.address(), world.CallerPort(0));
@@ -50,7 +50,7 @@
       {boost::asio::ip::make_address(world.address()), world.CallerPort(0)});
   cr_assert(world.Await([&] { return !world.host(0).IsReady(); }));
   constexpr std::size_t kEnough = 20;
-  none.GiveBack(kEnough);
+  none.Release(kEnough);
   cr_assert(world.Await([&] { return world.host(0).IsReady(); }));
 }
 
--- a/src/pathcleat/lab/refusal_test.cpp
+++ b/src/pathcleat/lab/refusal_test.cpp
@@ -25,7 +25,7 @@
 
 // Checked to fail with the constant of 250 ms in Call::RetryOrGiveUp.
 Test(refusals, nobody_is_told_to_come_later_than_it_heeds) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   world.ForEachUpstream([](UpstreamStandIn& u) { u.TurnAway(true); });
   const std::string host =
@@ -42,11 +42,11 @@
 // A host that knows no configuration yet. Checked to fail with the constant
 // of 0.3 s in Gateway::HandleCaller.
 Test(refusals, host_without_configuration_tells_the_last_useful_moment) {
-  TestWorldPlan plan;
+  TestClusterPlan plan;
   plan.hosts_in_domain = {1};
-  TestWorld world(plan);
+  TestCluster world(plan);
   platform::StandInFaults away;
-  away.refuse_with = http_status::kUnavailable;
+  away.forced_status = http_status::kUnavailable;
   world.platform().SetFaults(away);
   world.StartHost(0);
   const std::string host =
@@ -57,19 +57,20 @@
   cr_assert_eq(result.response.status, http_status::kUnavailable);
   cr_assert_eq(RetryAfterMs(result), kDeadlineMs / kHeededPart);
   // Its readiness is asked for by schedule: nothing to tell.
-  cr_assert(!FindHeader(world.Ready(0).response.headers, "Retry-After"));
+  cr_assert(
+      !FindHeader(world.QueryReadiness(0).response.headers, "Retry-After"));
 }
 
 // All hosts of a fleet start while there is no configuration: each named the
 // others, and callers went round at once, without end. Checked to fail with
 // Alive() > 1 in Gateway::ReturnUnloaded.
 Test(refusals, hosts_that_all_lack_a_configuration_do_not_name_each_other) {
-  TestWorld world;
+  TestCluster world;
   world.platform().PutRaw("op", "config", "none yet");
   world.StartHost(0);
   world.StartHost(1);
   cr_assert(world.Await([&] {
-    return world.host(0).state().hosts.Alive(BootClock::now()) == 2;
+    return world.host(0).state().hosts.AliveCount(BootClock::now()) == 2;
   }));
   const std::string host =
       world.address() + ":" + std::to_string(world.CallerPort(0));
@@ -85,10 +86,10 @@
 
 // Checked to fail with the constant of 1 s in KeyGuard: callers cut it.
 Test(refusals, keyed_work_without_a_store_returns_while_it_can_be_served) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   platform::StandInFaults away;
-  away.refuse_with = http_status::kUnavailable;
+  away.forced_status = http_status::kUnavailable;
   world.platform().SetFaults(away);
   const std::string host =
       world.address() + ":" + std::to_string(world.CallerPort(0));
--- a/src/pathcleat/lab/relay_test.cpp
+++ b/src/pathcleat/lab/relay_test.cpp
@@ -12,19 +12,19 @@
 constexpr int kHosts = 12;
 constexpr int kWatchers = 8;
 
-TestWorldPlan LargeDomain() {
-  TestWorldPlan plan;
+TestClusterPlan LargeDomain() {
+  TestClusterPlan plan;
   plan.hosts_in_domain = {kHosts};
   return plan;
 }
 
-void PutVersion(TestWorld& world, std::uint64_t version) {
+void PutVersion(TestCluster& world, std::uint64_t version) {
   RoutingConfig config = world.config();
   config.version = version;
   world.platform().PutConfig(config);
 }
 
-bool AllAt(TestWorld& world, std::uint64_t version) {
+bool AllAt(TestCluster& world, std::uint64_t version) {
   for (std::size_t i = 0; i < kHosts; ++i) {
     if (world.host(i).state().routes.version() != version) {
       return false;
@@ -33,7 +33,7 @@
   return true;
 }
 
-int Watching(TestWorld& world) {
+int Watching(TestCluster& world) {
   int watching = 0;
   for (std::size_t i = 0; i < kHosts; ++i) {
     const auto store = world.host(i).Versions().store;
@@ -44,7 +44,7 @@
 
 // Calls that the store has answered: a watch from the start of the world, left
 // for a relay's, may still be there to be cut.
-std::uint64_t AnswersOfStore(const TestWorld& world, std::size_t host) {
+std::uint64_t AnswersOfStore(const TestCluster& world, std::size_t host) {
   std::uint64_t answers = 0;
   for (const auto& [call, count] : world.StoreCallsOf(host).calls) {
     answers += call.second == StoreOutcome::kUnknown ? 0 : count;
@@ -55,7 +55,7 @@
 // At 80 hosts each with watches of its own the store's calls cost 0.16 to 0.50
 // of a day's worth. Checked to fail with ChooseRelay always kStore.
 Test(relay, changes_reach_all_hosts_with_the_calls_of_a_few) {
-  TestWorld world(LargeDomain());
+  TestCluster world(LargeDomain());
   world.StartAll();
   std::uint64_t version = 2;
   PutVersion(world, version);
@@ -74,11 +74,11 @@
 }
 
 Test(relay, hosts_that_the_store_turns_away_follow_the_rest) {
-  TestWorld world(LargeDomain());
+  TestCluster world(LargeDomain());
   world.StartAll();
   platform::StandInFaults away;
   for (std::size_t i = 0; i + 2 < kHosts; ++i) {
-    away.turned_away.insert(TestWorld::StoreSideAddress(i));
+    away.turned_away.insert(TestCluster::StoreClientAddress(i));
   }
   world.platform().SetFaults(away);
   for (std::uint64_t version = 2; version < 5; ++version) {
@@ -104,20 +104,20 @@
 // away, and these read everything from the store themselves, 1 MB each over
 // links of 10 Mbit/s.
 Test(relay, watches_that_the_store_cuts_send_no_follower_there) {
-  TestWorld world(LargeDomain());
+  TestCluster world(LargeDomain());
   world.StartAll();
   PutVersion(world, 2);
   cr_assert(world.Await(
       [&] { return AllAt(world, 2) && Watching(world) == kWatchers; }));
   std::map<std::size_t, std::uint64_t> answers_to_followers;
   for (std::size_t i = 0; i < kHosts; ++i) {
-    if (world.host(i).Versions().store == StoreAccess::kFollowing) {
+    if (world.host(i).Versions().store == StoreAccess::kFollowingPeer) {
       answers_to_followers[i] = AnswersOfStore(world, i);
     }
   }
   cr_assert_eq(answers_to_followers.size(), kHosts - kWatchers);
   for (std::uint64_t version = 3; version < 6; ++version) {
-    world.platform().CutFeeds();
+    world.platform().CloseFeeds();
     world.platform().ForgetHistory();
     PutVersion(world, version);
     cr_assert(world.Await(
@@ -129,9 +129,9 @@
 }
 
 // The store refuses everything, and a host has noticed.
-void TakeStoreAway(TestWorld& world) {
+void TakeStoreAway(TestCluster& world) {
   platform::StandInFaults busy;
-  busy.refuse_with = http_status::kUnavailable;
+  busy.forced_status = http_status::kUnavailable;
   world.platform().SetFaults(busy);
   PutVersion(world, 2);
   cr_assert(
@@ -139,7 +139,7 @@
 }
 
 // The store is away, and its list of upstreams runs out meanwhile.
-void LoseList(TestWorld& world) {
+void LoseList(TestCluster& world) {
   TakeStoreAway(world);
   for (std::size_t i = 0; i < world.upstreams(); ++i) {
     world.platform().RemoveUpstream(world.upstream_info(i).id);
@@ -148,14 +148,14 @@
   cr_assert(world.Await([&] {
     const auto all = world.host(0).state().upstreams.All();
     return std::any_of(all.begin(), all.end(), [](const UpstreamPtr& upstream) {
-      return upstream->lapse_ends.has_value();
+      return upstream->lapse_deadline.has_value();
     });
   }));
 }
 
 // Checked to fail with the entries removed at once.
 Test(relay, upstreams_whose_entries_lapsed_are_used_until_they_are_back) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   LoseList(world);
   cr_assert_eq(world.Get(0, "r1").response.status, http_status::kOk);
@@ -165,7 +165,7 @@
   cr_assert(world.Await([&] {
     const auto all = world.host(0).state().upstreams.All();
     return std::none_of(all.begin(), all.end(), [](const UpstreamPtr& u) {
-      return u->lapse_ends.has_value();
+      return u->lapse_deadline.has_value();
     });
   }));
   cr_assert_eq(world.host(0).state().upstreams.size(), world.upstreams());
@@ -173,7 +173,7 @@
 }
 
 Test(relay, upstreams_that_do_not_come_back_are_gone) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   LoseList(world);
   cr_assert(
@@ -184,9 +184,9 @@
 // A host that kept one upstream of many for its entry to come back sent it a
 // request 60 ms too late (DRAIN at Heathermoor, hunt-243b-23).
 Test(relay, single_upstream_that_left_while_the_store_was_away_is_gone) {
-  TestWorldPlan plan;
+  TestClusterPlan plan;
   plan.upstreams_in_domain = 6;
-  TestWorld world(plan);
+  TestCluster world(plan);
   world.StartAll();
   TakeStoreAway(world);
   world.platform().RemoveUpstream(world.upstream_info(0).id);
@@ -194,7 +194,7 @@
   bool lapsed = false;
   cr_assert(world.Await([&] {
     for (const UpstreamPtr& upstream : world.host(0).state().upstreams.All()) {
-      lapsed = lapsed || upstream->lapse_ends.has_value();
+      lapsed = lapsed || upstream->lapse_deadline.has_value();
     }
     return world.HasEvent(0, EventCode::kUpstreamGone);
   }));
--- a/src/pathcleat/lab/return_cases.cpp
+++ b/src/pathcleat/lab/return_cases.cpp
@@ -14,24 +14,24 @@
 
 struct ReturnCase {
   std::string name;
-  ReturnPlan plan;
+  CallerRetryPlan plan;
 };
 
 // The short kind is warm, the urgent one cold and long: each of its requests
 // has a key of its own. They are weighed by their slot time.
-ReturnPlan OverloadPlan(double load) {
-  ReturnPlan plan = UrgentAndShort();
+CallerRetryPlan OverloadPlan(double load) {
+  CallerRetryPlan plan = UrgentAndShortPlan();
   plan.per_second *= load;
   return plan;
 }
 
 std::vector<ReturnCase> ReturnCases() {
-  ReturnPlan burst;
+  CallerRetryPlan burst;
   burst.per_second = 400;
   burst.trouble.load = 1.7;
-  ReturnPlan loss;
+  CallerRetryPlan loss;
   loss.per_second = 400;
-  loss.trouble.domain_lost = true;
+  loss.trouble.domain_fails = true;
   loss.trouble.cold_per_second = 4;
   return {{"burst of 1.7 for 3 s", burst},
           {"a domain lost for 3 s, cold after", loss},
@@ -47,15 +47,15 @@
 
 }  // namespace
 
-ReturnPlan UrgentAndShort() {
-  ReturnPlan plan;
-  ReturnKind urgent;
+CallerRetryPlan UrgentAndShortPlan() {
+  CallerRetryPlan plan;
+  CallerRetryKind urgent;
   urgent.name = "urgent";
   urgent.target_latency = Duration(500'000);
   urgent.deadline = Duration(3'000'000);
   urgent.run = Duration(400'000);
   urgent.keys = 0;
-  ReturnKind brief;
+  CallerRetryKind brief;
   brief.name = "short";
   brief.priority = 2;
   brief.weight = 3;
@@ -65,27 +65,27 @@
   return plan;
 }
 
-std::string MeasureReturns(int seeds) {
+std::string MeasureCallerRetries(int seeds) {
   std::string text =
       "| case | kind | served | earned | told to return | of them served at "
       "the first return | refused again |\n|---|---|---|---|---|---|---|\n";
   for (const ReturnCase& one : ReturnCases()) {
-    for (const ReturnKind& kind : one.plan.kinds) {
+    for (const CallerRetryKind& kind : one.plan.kinds) {
       std::vector<double> served;
       std::vector<double> earned;
       std::vector<double> told;
       std::vector<double> first_return;
       std::vector<double> again;
       for (int seed = 1; seed <= seeds; ++seed) {
-        ReturnPlan plan = one.plan;
+        CallerRetryPlan plan = one.plan;
         plan.seed = static_cast<std::uint64_t>(seed);
-        const ReturnCounts counts = RunReturnModel(plan)[kind.name];
+        const CallerRetryCounts counts = RunCallerRetryModel(plan)[kind.name];
         const double offered = std::max(1, counts.offered);
         served.push_back(counts.ServedShare());
-        earned.push_back(counts.EarnedShare());
-        told.push_back(counts.told_to_return / offered);
-        first_return.push_back(counts.FirstReturnShare());
-        again.push_back(counts.refused_again / offered);
+        earned.push_back(counts.CreditShare());
+        told.push_back(counts.told_to_retry / offered);
+        first_return.push_back(counts.FirstRetryShare());
+        again.push_back(counts.retries_refused / offered);
       }
       text += "| " + one.name + " | " + kind.name + Cell(served) +
               Cell(earned) + Cell(told) + Cell(first_return) + Cell(again) +
--- a/src/pathcleat/lab/return_model.cpp
+++ b/src/pathcleat/lab/return_model.cpp
@@ -24,9 +24,9 @@
 
 // One caller's request, over all its tries.
 struct Asked {
-  const ReturnKind* kind = nullptr;
+  const CallerRetryKind* kind = nullptr;
   const Route* route = nullptr;
-  ReturnCounts* counts = nullptr;  ///< null: not counted
+  CallerRetryCounts* counts = nullptr;  ///< null: not counted
   std::uint64_t key = 0;
   Time began;
   int returns = 0;  ///< times that it has come back
@@ -46,9 +46,9 @@
 
 class ReturnModel {
  public:
-  explicit ReturnModel(const ReturnPlan& plan)
+  explicit ReturnModel(const CallerRetryPlan& plan)
       : plan_(plan), random_(plan.seed) {
-    for (const ReturnKind& kind : plan_.kinds) {
+    for (const CallerRetryKind& kind : plan_.kinds) {
       Route route;
       route.name = kind.name;
       route.repeatable = true;
@@ -64,10 +64,10 @@
     MakeFleet();
   }
 
-  std::map<std::string, ReturnCounts> Run() {
+  std::map<std::string, CallerRetryCounts> Run() {
     ScheduleArrival();
     const Time at = start_ + plan_.trouble.at;
-    if (plan_.trouble.domain_lost) {
+    if (plan_.trouble.domain_fails) {
       agenda_.At(at, [this] { LoseDomain(); });
       agenda_.At(at + plan_.trouble.length, [this] { ReturnDomain(); });
     }
@@ -95,10 +95,11 @@
         info.domain = DomainName(d);
         info.slots = plan_.slots;
         list_.push_back(info);
-        upstreams_[info.id] = std::make_unique<ModelQueue>(
+        upstreams_[info.id] = std::make_unique<SimulatedUpstream>(
             agenda_, random_,
-            ModelQueue::Shape{plan_.slots, plan_.queue,
-                              static_cast<std::size_t>(plan_.keys_remembered)});
+            SimulatedUpstream::Options{
+                plan_.slots, plan_.queue,
+                static_cast<std::size_t>(plan_.keys_remembered)});
       }
     }
     for (const auto& host : hosts_) {
@@ -121,12 +122,12 @@
 
   // They come back under new names, as upstreams that start do.
   void ReturnDomain() {
-    const ReturnTrouble& trouble = plan_.trouble;
+    const CallerRetryFault& trouble = plan_.trouble;
     for (UpstreamInfo info : list_) {
       if (info.domain != DomainName(0)) {
         continue;
       }
-      ModelQueue* queue = upstreams_[info.id].get();
+      SimulatedUpstream* queue = upstreams_[info.id].get();
       info.id += "-again";
       again_[info.id] = queue;
       info.cold_for =
@@ -171,7 +172,7 @@
     std::discrete_distribution<std::size_t> draw(weights_.begin(),
                                                  weights_.end());
     const std::size_t index = draw(random_);
-    const ReturnKind& kind = plan_.kinds[index];
+    const CallerRetryKind& kind = plan_.kinds[index];
     std::uniform_int_distribution<int> draw_key(0, std::max(1, kind.keys) - 1);
     auto asked = std::make_shared<Asked>();
     asked->kind = &kind;
@@ -196,7 +197,7 @@
     request.service = kService;
     request.key = asked->key;
     request.sticky = true;
-    request.caller_deadline = asked->Deadline() - agenda_.now();
+    request.caller_timeout = asked->Deadline() - agenda_.now();
     Attempt(host, asked, request);
   }
 
@@ -220,21 +221,21 @@
     pick.upstream->load.OnSent();
     pick.upstream->keys.Touch(asked->key);
     if (pick.upstream->IsCold(sent)) {
-      pick.upstream->share.TryTake(sent);
+      pick.upstream->share.TryAcquire(sent);
     }
     request.excluded.insert(pick.upstream->info.id);
-    ModelQueue* queue = QueueOf(pick.upstream->info.id);
+    SimulatedUpstream* queue = QueueOf(pick.upstream->info.id);
     ModelWork work;
     work.key = asked->key;
     work.run = asked->kind->run;
     work.warm_share = asked->kind->warm_share;
     work.deadline = asked->Deadline();
-    work.done = [=, this, &host](ModelEnd end) {
+    work.done = [=, this, &host](ModelWorkOutcome end) {
       const LoadReport report = queue->Report();
       agenda_.After(one_way, [=, this, &host] {
         pick.upstream->load.OnReport(report, agenda_.now());
         pick.upstream->load.OnEnded();
-        if (end != ModelEnd::kRan) {
+        if (end != ModelWorkOutcome::kRan) {
           TryElsewhere(host, asked, request);
           return;
         }
@@ -264,15 +265,15 @@
 
   void Refuse(const AskedPtr& asked, Duration told) {
     if (asked->counts != nullptr) {
-      (asked->returns == 0 ? asked->counts->told_to_return
-                           : asked->counts->refused_again) += 1;
+      (asked->returns == 0 ? asked->counts->told_to_retry
+                           : asked->counts->retries_refused) += 1;
     }
     if (asked->returns >= plan_.returns) {
       return;
     }
     const Duration left = asked->Deadline() - agenda_.now();
     const Duration heeded(static_cast<Duration::rep>(
-        static_cast<double>(left.count()) * plan_.heeded_share));
+        static_cast<double>(left.count()) * plan_.max_wait_share));
     ++asked->returns;
     agenda_.After(std::min(told > Duration::zero() ? told : kToldElse, heeded),
                   [this, asked] { Try(asked); });
@@ -285,7 +286,7 @@
   }
 
   void Finish(const AskedPtr& asked) {
-    ReturnCounts* counts = asked->counts;
+    CallerRetryCounts* counts = asked->counts;
     if (counts == nullptr) {
       return;
     }
@@ -295,31 +296,32 @@
     }
     const Duration took = agenda_.now() - asked->began;
     (took <= asked->kind->target_latency ? counts->in_time : counts->late) += 1;
-    counts->served_at_first_return += asked->returns == 1 ? 1 : 0;
+    counts->served_at_first_retry += asked->returns == 1 ? 1 : 0;
   }
 
-  ModelQueue* QueueOf(const std::string& id) {
+  SimulatedUpstream* QueueOf(const std::string& id) {
     const auto again = again_.find(id);
     return again == again_.end() ? upstreams_[id].get() : again->second;
   }
 
-  ReturnPlan plan_;
+  CallerRetryPlan plan_;
   std::mt19937_64 random_;
-  Agenda agenda_;
+  VirtualScheduler agenda_;
   Time start_ = agenda_.now();
   std::vector<Route> routes_;
   std::vector<double> weights_;
   std::vector<UpstreamInfo> list_;
-  std::map<std::string, std::unique_ptr<ModelQueue>> upstreams_;
-  std::map<std::string, ModelQueue*> again_;
+  std::map<std::string, std::unique_ptr<SimulatedUpstream>> upstreams_;
+  std::map<std::string, SimulatedUpstream*> again_;
   std::vector<std::unique_ptr<ReturnHost>> hosts_;
-  std::map<std::string, ReturnCounts> counts_;
+  std::map<std::string, CallerRetryCounts> counts_;
   std::uint64_t lone_keys_ = 0;
 };
 
 }  // namespace
 
-std::map<std::string, ReturnCounts> RunReturnModel(const ReturnPlan& plan) {
+std::map<std::string, CallerRetryCounts> RunCallerRetryModel(
+    const CallerRetryPlan& plan) {
   return ReturnModel(plan).Run();
 }
 
--- a/src/pathcleat/lab/rollout_path_test.cpp
+++ b/src/pathcleat/lab/rollout_path_test.cpp
@@ -50,11 +50,11 @@
     return Status() == status;
   }
 
-  TestWorld world;
+  TestCluster world;
 
  private:
-  static TestWorldPlan PlanOf() {
-    TestWorldPlan plan;
+  static TestClusterPlan PlanOf() {
+    TestClusterPlan plan;
     plan.hosts_in_domain = {kHosts};
     plan.upstreams_in_domain = 4;
     return plan;
@@ -86,8 +86,8 @@
 Test(rollout_path, version_that_loses_answers_is_taken_back) {
   constexpr int kMostBad = 50;
   RolloutWorld rollout;
-  rollout.world.upstream(2).Spoil(SpoiltAnswer::kLost);
-  rollout.world.upstream(3).Spoil(SpoiltAnswer::kLost);
+  rollout.world.upstream(2).Spoil(AnswerCorruption::kLost);
+  rollout.world.upstream(3).Spoil(AnswerCorruption::kLost);
   cr_assert(rollout.AskUntil("rolled_back"));
   const int fresh_runs = rollout.RunsOf(true);
   cr_assert_leq(fresh_runs, kMostBad);
@@ -102,9 +102,9 @@
 Test(rollout_path, operators_take_a_version_back_and_see_it) {
   RolloutWorld rollout;
   cr_assert(rollout.AskUntil("running"));
-  const auto shown = rollout.world.Command(0, "show rollouts").response.body;
+  const auto shown = rollout.world.RunCommand(0, "show rollouts").response.body;
   cr_assert(shown.starts_with("s to v2: running"));
-  cr_assert_eq(rollout.world.Command(0, "roll back s").response.status,
+  cr_assert_eq(rollout.world.RunCommand(0, "roll back s").response.status,
                http_status::kOk);
   cr_assert(rollout.AskUntil("rolled_back"));
 }
@@ -120,11 +120,11 @@
 Test(promise, finished_rollout_stays_so_for_hosts_that_start_again) {
   RolloutWorld rollout;
   cr_assert(rollout.AskUntil("running"));
-  rollout.world.Command(0, "roll back s");
+  rollout.world.RunCommand(0, "roll back s");
   cr_assert(rollout.AskUntil("rolled_back"));
   const int fresh_runs = rollout.RunsOf(true);
   rollout.world.StartHost(0);
-  cr_assert(rollout.world.Await([&] { return rollout.world.AllReady(); }));
+  cr_assert(rollout.world.Await([&] { return rollout.world.AreAllReady(); }));
   for (int i = 0; i < 20; ++i) {
     rollout.world.Get(0, "after-" + std::to_string(i));
   }
--- a/src/pathcleat/lab/routing_model.cpp
+++ b/src/pathcleat/lab/routing_model.cpp
@@ -32,7 +32,9 @@
 
 class ModelUpstream {
  public:
-  ModelUpstream(Agenda& agenda, const ModelPlan& plan, std::mt19937_64& random)
+  ModelUpstream(VirtualScheduler& agenda,
+                const RoutingModelPlan& plan,
+                std::mt19937_64& random)
       : agenda_(agenda),
         plan_(plan),
         random_(random),
@@ -60,8 +62,8 @@
     ++running_;
     std::normal_distribution<double> spread(1.0, 0.15);
     const double share = keys_.Contains(request.key) ? plan_.warm_share : 1.0;
-    const double run = static_cast<double>(plan_.cold_run.count()) * share *
-                       std::max(0.3, spread(random_));
+    const double run = static_cast<double>(plan_.mean_cold_run_time.count()) *
+                       share * std::max(0.3, spread(random_));
     agenda_.After(Duration(static_cast<Duration::rep>(run)), [this, request] {
       keys_.Touch(request.key);
       --running_;
@@ -74,8 +76,8 @@
     });
   }
 
-  Agenda& agenda_;
-  const ModelPlan& plan_;
+  VirtualScheduler& agenda_;
+  const RoutingModelPlan& plan_;
   std::mt19937_64& random_;
   RecentKeys keys_;
   std::deque<ModelRequest> waiting_;
@@ -84,10 +86,11 @@
 
 // One entry host: its own tables, as in the shipped program.
 struct ModelHost {
-  ModelHost(const ModelPlan& plan, int region)
+  ModelHost(const RoutingModelPlan& plan, int region)
       : table(Regions(plan)), picker(Settings(region), table) {}
 
-  static std::map<std::string, std::string> Regions(const ModelPlan& plan) {
+  static std::map<std::string, std::string> Regions(
+      const RoutingModelPlan& plan) {
     std::map<std::string, std::string> regions;
     for (int r = 0; r < plan.regions; ++r) {
       regions[RegionName(r)] = RegionName(r);
@@ -107,13 +110,14 @@
 
 class Model {
  public:
-  explicit Model(const ModelPlan& plan) : plan_(plan), random_(plan.seed) {
+  explicit Model(const RoutingModelPlan& plan)
+      : plan_(plan), random_(plan.seed) {
     route_.name = "route";
     route_.repeatable = true;
     route_.sticky = true;
     route_.target_latency = plan.target_latency;
     route_.timeout = plan.timeout;
-    if (plan.policy == ModelPolicy::kSharedQueue) {
+    if (plan.policy == RoutingModelPolicy::kSharedQueue) {
       shared_plan_ = plan;
       shared_plan_.slots = plan.slots * plan.upstreams_in_region * plan.regions;
       shared_plan_.queue = 1'000'000;
@@ -125,12 +129,12 @@
     }
   }
 
-  ModelResult Run() {
+  RoutingModelResult Run() {
     ScheduleArrival();
     agenda_.Run();
     result_.p50_ms = Quantile(latency_ms_, 0.5);
     result_.p99_ms = Quantile(latency_ms_, 0.99);
-    result_.away_share =
+    result_.other_region_share =
         result_.offered == 0 ? 0 : static_cast<double>(away_) / result_.offered;
     return result_;
   }
@@ -173,8 +177,8 @@
   }
 
   void Arrive() {
-    std::discrete_distribution<int> draw_region(plan_.region_share.begin(),
-                                                plan_.region_share.end());
+    std::discrete_distribution<int> draw_region(plan_.region_shares.begin(),
+                                                plan_.region_shares.end());
     std::uniform_int_distribution<int> draw_key(0, plan_.keys - 1);
     ModelRequest request;
     request.region = draw_region(random_);
@@ -182,7 +186,7 @@
     request.arrived = agenda_.now();
     const bool counts = agenda_.now() - start_ >= plan_.warm_up;
     result_.offered += counts ? 1 : 0;
-    if (plan_.policy == ModelPolicy::kSharedQueue) {
+    if (plan_.policy == RoutingModelPolicy::kSharedQueue) {
       request.done = [this, request, counts](bool) {
         Finish(request, counts, false);
       };
@@ -200,9 +204,9 @@
     wanted.route = &route_;
     wanted.service = kService;
     wanted.key = request.key;
-    wanted.sticky = plan_.policy == ModelPolicy::kPicker;
+    wanted.sticky = plan_.policy == RoutingModelPolicy::kPicker;
     wanted.time_left = plan_.timeout;
-    if (plan_.policy != ModelPolicy::kRandomNear) {
+    if (plan_.policy != RoutingModelPolicy::kRandomInRegion) {
       return host.picker.Choose(wanted, agenda_.now());
     }
     std::uniform_int_distribution<std::size_t> draw(
@@ -267,15 +271,15 @@
     latency_ms_.push_back(ToMilliseconds(took));
   }
 
-  ModelPlan plan_;
-  ModelPlan shared_plan_;
+  RoutingModelPlan plan_;
+  RoutingModelPlan shared_plan_;
   std::mt19937_64 random_;
-  Agenda agenda_;
+  VirtualScheduler agenda_;
   Time start_ = agenda_.now();
   Route route_;
   std::map<std::string, std::unique_ptr<ModelUpstream>> upstreams_;
   std::vector<std::unique_ptr<ModelHost>> hosts_;
-  ModelResult result_;
+  RoutingModelResult result_;
   std::vector<double> latency_ms_;
   int away_ = 0;
 };
@@ -286,21 +290,21 @@
 
 }  // namespace
 
-const char* ToString(ModelPolicy policy) {
+const char* ToString(RoutingModelPolicy policy) {
   switch (policy) {
-    case ModelPolicy::kPicker:
+    case RoutingModelPolicy::kPicker:
       return "picker";
-    case ModelPolicy::kPickerNoKey:
+    case RoutingModelPolicy::kPickerNoKey:
       return "picker without keys";
-    case ModelPolicy::kRandomNear:
+    case RoutingModelPolicy::kRandomInRegion:
       return "random in the region";
-    case ModelPolicy::kSharedQueue:
+    case RoutingModelPolicy::kSharedQueue:
       return "shared queue (ideal)";
   }
   return "picker";
 }
 
-ModelResult RunModel(const ModelPlan& plan) {
+RoutingModelResult RunRoutingModel(const RoutingModelPlan& plan) {
   return Model(plan).Run();
 }
 
@@ -309,9 +313,10 @@
       "| policy | requests/s | in target | p50 ms | p99 ms | refused | turned "
       "away | run away from home |\n|---|---|---|---|---|---|---|---|\n";
   for (const double rate : {100.0, 200.0, 300.0, 400.0}) {
-    for (const ModelPolicy policy :
-         {ModelPolicy::kPicker, ModelPolicy::kPickerNoKey,
-          ModelPolicy::kRandomNear, ModelPolicy::kSharedQueue}) {
+    for (const RoutingModelPolicy policy :
+         {RoutingModelPolicy::kPicker, RoutingModelPolicy::kPickerNoKey,
+          RoutingModelPolicy::kRandomInRegion,
+          RoutingModelPolicy::kSharedQueue}) {
       std::vector<double> in_target;
       std::vector<double> p50;
       std::vector<double> p99;
@@ -319,18 +324,18 @@
       std::vector<double> turned;
       std::vector<double> away;
       for (int seed = 1; seed <= seeds; ++seed) {
-        ModelPlan plan;
+        RoutingModelPlan plan;
         plan.policy = policy;
         plan.per_second = rate;
         plan.seed = static_cast<std::uint64_t>(seed);
-        const ModelResult result = RunModel(plan);
+        const RoutingModelResult result = RunRoutingModel(plan);
         const double offered = std::max(1, result.offered);
         in_target.push_back(result.InTargetShare());
         p50.push_back(result.p50_ms);
         p99.push_back(result.p99_ms);
         refused.push_back(result.refused / offered);
         turned.push_back(result.turned_away / offered);
-        away.push_back(result.away_share);
+        away.push_back(result.other_region_share);
       }
       const auto cell = [](const std::vector<double>& values) {
         std::string number = std::to_string(Median(values));
--- a/src/pathcleat/lab/routing_slopes.cpp
+++ b/src/pathcleat/lab/routing_slopes.cpp
@@ -44,14 +44,14 @@
 
 }  // namespace
 
-std::vector<Slope> RoutingSlopes() {
-  Slope slope;
+std::vector<CostCurve> MeasureRoutingCosts() {
+  CostCurve slope;
   slope.name = "choice of an upstream, ns";
   slope.size_unit = "upstreams of the service";
   for (const int size : {10, 50, 100, 200, 400}) {
-    slope.points.push_back(PointOf(size, ChoiceNanos(size)));
+    slope.points.push_back(MakeCostPoint(size, ChoiceNanos(size)));
   }
-  return {Fitted(slope)};
+  return {FitLine(slope)};
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/lab/silence_test.cpp
+++ b/src/pathcleat/lab/silence_test.cpp
@@ -15,12 +15,12 @@
 
 // All hosts reach the store by one way.
 struct StoreWorld {
-  TestWorld world;
+  TestCluster world;
   PassThrough way{world.loop(), world.address(),
                   *ParseTcpEndpoint(world.store_address())};
 
-  explicit StoreWorld(const TestWorldPlan& plan) : world(plan) {
-    world.ReachStoreAt(way.address());
+  explicit StoreWorld(const TestClusterPlan& plan) : world(plan) {
+    world.SetStoreAddress(way.address());
     world.StartAll();
     cr_assert(world.Await([this] {
       return world.host(0).Versions().store == StoreAccess::kWatching;
@@ -43,13 +43,13 @@
 // HttpClient::OnConnected, and (the store is said to be down) with SendAgain
 // never called.
 Test(silence, watches_of_the_store_are_opened_anew_in_time) {
-  TestWorldPlan plan;
+  TestClusterPlan plan;
   plan.hosts_in_domain = {2, 2};
   StoreWorld silent(plan);
-  TestWorld& world = silent.world;
-  const int lost = silent.way.passing();
+  TestCluster& world = silent.world;
+  const int lost = silent.way.forwarding_count();
   const int before = silent.way.accepted();
-  silent.way.Silence(Hush::kNetwork);
+  silent.way.SilenceConnections(SilenceMode::kDropPackets);
   RoutingConfig newer = world.config();
   newer.version = 2;
   world.platform().PutConfig(newer);
@@ -79,12 +79,12 @@
 // only the first is waited for. Checked to fail (more than one wait) with
 // DropUnheard emptied.
 Test(silence, kept_connections_to_the_store_are_not_trusted_after_one_fails) {
-  TestWorldPlan plan;
+  TestClusterPlan plan;
   plan.hosts_in_domain = {1};
   plan.slots = 8;
   plan.timeout = Duration(20'000'000);
   StoreWorld silent(plan);
-  TestWorld& world = silent.world;
+  TestCluster& world = silent.world;
   constexpr int kKept = 6;
   std::vector<std::unique_ptr<RawClient>> clients;
   for (int i = 0; i < kKept; ++i) {
@@ -101,8 +101,8 @@
            world.host(0).state().requests == 0 &&
            world.host(0).state().keys.pending() == 0;
   }));
-  cr_assert_geq(silent.way.passing(), kKept);
-  silent.way.Silence(Hush::kPeer);
+  cr_assert_geq(silent.way.forwarding_count(), kKept);
+  silent.way.SilenceConnections(SilenceMode::kPeer);
   const std::uint64_t before = silent.Calls(0, StoreOutcome::kUnknown);
   const CallResult post = world.Post(0, "after", "after");
   cr_assert_eq(post.response.status, http_status::kOk);
@@ -114,7 +114,7 @@
 
 // One host, which reaches each upstream by a way of its own.
 struct UpstreamWorld {
-  TestWorld world;
+  TestCluster world;
   std::vector<std::unique_ptr<PassThrough>> ways;
   std::vector<std::unique_ptr<RawClient>> callers;
 
@@ -129,8 +129,8 @@
     world.StartAll();
   }
 
-  static TestWorldPlan PlanFor(int upstreams) {
-    TestWorldPlan plan;
+  static TestClusterPlan PlanFor(int upstreams) {
+    TestClusterPlan plan;
     plan.hosts_in_domain = {1};
     plan.upstreams_in_domain = upstreams;
     plan.slots = 8;
@@ -164,7 +164,8 @@
     cr_assert(world.Await([&] { return world.InFlight() == connections; }));
     for (int i = 0; i < connections; ++i) {
       const std::string id = "keep" + std::to_string(i);
-      world.ForEachUpstream([&id](UpstreamStandIn& u) { u.AnswerRun(id); });
+      world.ForEachUpstream(
+          [&id](UpstreamStandIn& u) { u.ReleaseAnswerOfRun(id); });
       cr_assert(world.Await([&] { return callers.at(i)->Has("end " + id); }));
     }
     world.ForEachUpstream([](UpstreamStandIn& u) { u.HoldAnswers(false); });
@@ -172,7 +173,7 @@
 
   void SilenceAll() {
     for (const auto& way : ways) {
-      way->Silence(Hush::kNetwork);
+      way->SilenceConnections(SilenceMode::kDropPackets);
     }
   }
 
@@ -196,12 +197,12 @@
 // All kept connections to all upstreams fall silent at one moment. Each
 // upstream's is met once at most, what may be repeated is answered over new
 // ones, and these are opened as requests come and not in advance. Checked to
-// fail with FindSilent returning false.
+// fail with DetectSilence returning false.
 Test(silence, kept_connections_to_upstreams_are_left_for_new_ones) {
   constexpr int kKept = 16;  // all slots of both
   constexpr int kAfter = 12;
   UpstreamWorld silent(2);
-  TestWorld& world = silent.world;
+  TestCluster& world = silent.world;
   silent.Keep(kKept);
   const int before = silent.Opened();
   silent.SilenceAll();
@@ -220,10 +221,10 @@
 
 // An upstream that answers others over new connections is alive, but what went
 // into silence will never be answered. Checked to fail (502 after TCP's limit)
-// with FindSilent returning false.
+// with DetectSilence returning false.
 Test(silence, request_sent_into_silence_is_not_taken_for_a_busy_upstream) {
   UpstreamWorld silent(1);
-  TestWorld& world = silent.world;
+  TestCluster& world = silent.world;
   silent.Keep(1);
   silent.SilenceAll();
   RawClient& caller = silent.Caller(UpstreamWorld::GetText("lost"));
@@ -237,11 +238,11 @@
 }
 
 // What may not be repeated is unknown and never sent again, and holds nothing
-// else back. Checked to fail (503 for the others) with FindSilent returning
+// else back. Checked to fail (503 for the others) with DetectSilence returning
 // false.
 Test(silence, submission_sent_into_silence_is_unknown_and_holds_nothing_back) {
   UpstreamWorld silent(1);
-  TestWorld& world = silent.world;
+  TestCluster& world = silent.world;
   silent.Keep(1);
   silent.SilenceAll();
   RawClient& caller = silent.Caller(UpstreamWorld::PostText("lost"));
--- a/src/pathcleat/lab/silent_outage_test.cpp
+++ b/src/pathcleat/lab/silent_outage_test.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::size_t kHosts = 4;
 
-bool AllHave(TestWorld& world, std::uint64_t version) {
+bool AllHave(TestCluster& world, std::uint64_t version) {
   for (std::size_t i = 0; i < kHosts; ++i) {
     if (world.host(i).state().routes.version() != version) {
       return false;
@@ -21,15 +21,15 @@
 // Guards against a watch that is begun while the store is silent and trusted
 // for its whole length: all hosts missed every change for 20 s.
 Test(silent_outage, hosts_hear_of_changes_once_the_store_answers_again) {
-  TestWorldPlan plan;
+  TestClusterPlan plan;
   plan.hosts_in_domain = {2, 2};
-  TestWorld world(plan);
+  TestCluster world(plan);
   world.StartAll();
   platform::StandInFaults silent;
   silent.silent = true;
   world.platform().SetFaults(silent);
   const std::uint64_t before = world.platform().calls();
-  world.platform().CutFeeds();
+  world.platform().CloseFeeds();
   // Each host watches two topics.
   cr_assert(world.Await(
       [&] { return world.platform().calls() >= before + 2 * kHosts; }));
--- a/src/pathcleat/lab/slope.cpp
+++ b/src/pathcleat/lab/slope.cpp
@@ -7,15 +7,15 @@
 
 namespace pathcleat {
 
-SlopePoint PointOf(double size, std::vector<double> runs) {
+CostPoint MakeCostPoint(double size, std::vector<double> runs) {
   std::sort(runs.begin(), runs.end());
   return {size, runs[runs.size() / 2], runs.front(), runs.back()};
 }
 
-Slope Fitted(Slope slope) {
+CostCurve FitLine(CostCurve slope) {
   double sum_x = 0;
   double sum_y = 0;
-  for (const SlopePoint& point : slope.points) {
+  for (const CostPoint& point : slope.points) {
     sum_x += point.size;
     sum_y += point.median;
   }
@@ -24,36 +24,36 @@
   const double mean_y = sum_y / count;
   double covariance = 0;
   double variance = 0;
-  for (const SlopePoint& point : slope.points) {
+  for (const CostPoint& point : slope.points) {
     covariance += (point.size - mean_x) * (point.median - mean_y);
     variance += (point.size - mean_x) * (point.size - mean_x);
   }
   slope.per_unit = variance == 0 ? 0 : covariance / variance;
   slope.fixed = mean_y - slope.per_unit * mean_x;
-  for (const SlopePoint& point : slope.points) {
+  for (const CostPoint& point : slope.points) {
     const double line = slope.fixed + slope.per_unit * point.size;
     const double miss =
         std::abs(point.median - line) / std::max(1e-12, std::abs(point.median));
-    slope.worst_miss = std::max(slope.worst_miss, miss);
+    slope.max_relative_error = std::max(slope.max_relative_error, miss);
   }
   return slope;
 }
 
-std::string ToText(const std::vector<Slope>& slopes) {
+std::string ToText(const std::vector<CostCurve>& slopes) {
   constexpr int kDigits = 4;
   constexpr double kPercent = 100;
   std::ostringstream text;
   text.precision(kDigits);
   text << "| cost | size | median (low-high) at each size | per unit | fixed | "
           "worst miss of the line |\n|---|---|---|---|---|---|\n";
-  for (const Slope& slope : slopes) {
+  for (const CostCurve& slope : slopes) {
     text << "| " << slope.name << " | " << slope.size_unit << " | ";
-    for (const SlopePoint& point : slope.points) {
+    for (const CostPoint& point : slope.points) {
       text << point.size << ": " << point.median << " (" << point.low << "-"
            << point.high << "); ";
     }
     text << "| " << slope.per_unit << " | " << slope.fixed << " | "
-         << std::round(slope.worst_miss * kPercent) << "% |\n";
+         << std::round(slope.max_relative_error * kPercent) << "% |\n";
   }
   return text.str();
 }
--- a/src/pathcleat/lab/store_faults_test.cpp
+++ b/src/pathcleat/lab/store_faults_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 Test(faults, unreadable_rows_are_named_and_change_nothing) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   world.platform().PutRaw("op", "config", "{\"Version\": \"nine");
   world.platform().PutRaw("servers", "upstream-bad", "[]");
@@ -19,10 +19,10 @@
 }
 
 Test(faults, changes_arrive_after_history_was_lost_and_store_was_away) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   platform::StandInFaults away;
-  away.refuse_with = http_status::kUnavailable;
+  away.forced_status = http_status::kUnavailable;
   world.platform().SetFaults(away);
   world.platform().ForgetHistory();
   RoutingConfig newer = world.config();
@@ -41,10 +41,10 @@
 // The platform turns one host away and serves the others: what they learn
 // reaches it. Checked to fail with snapshots_.Fetch taken out.
 Test(faults, host_turned_away_by_the_platform_follows_its_peers) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   platform::StandInFaults away;
-  away.turned_away = {TestWorld::StoreSideAddress(1)};
+  away.turned_away = {TestCluster::StoreClientAddress(1)};
   world.platform().SetFaults(away);
   RoutingConfig newer = world.config();
   newer.version = 2;
@@ -52,7 +52,7 @@
   UpstreamInfo leaving = world.upstream_info(0);
   leaving.leaving = true;
   world.platform().PutUpstream(leaving);
-  world.platform().SetEvacuated("domain-0", true);
+  world.platform().SetDomainDrained("domain-0", true);
   // The watches that wait at the platform may still have told one change.
   cr_assert(world.Await([&] {
     const GatewayState& state = world.host(1).state();
@@ -65,14 +65,15 @@
 }
 
 Test(faults, host_without_configuration_says_503_and_is_not_ready) {
-  TestWorld world;
+  TestCluster world;
   platform::StandInFaults away;
   away.silent = true;
   world.platform().SetFaults(away);
   world.StartHost(0);
   const CallResult get = world.Get(0, "r1");
   cr_assert_eq(get.response.status, http_status::kUnavailable);
-  cr_assert_eq(world.Ready(0).response.status, http_status::kUnavailable);
+  cr_assert_eq(world.QueryReadiness(0).response.status,
+               http_status::kUnavailable);
   world.platform().SetFaults({});
   cr_assert(world.Await([&] { return world.host(0).IsReady(); }));
   cr_assert_eq(world.Get(0, "r2").response.status, http_status::kOk);
--- a/src/pathcleat/lab/suspended_machine_test.cpp
+++ b/src/pathcleat/lab/suspended_machine_test.cpp
@@ -13,17 +13,17 @@
   explicit SuspendedWorld(Duration timeout) : world(PlanOf(timeout)) {
     world.StartAll();
   }
-  static TestWorldPlan PlanOf(Duration timeout) {
-    TestWorldPlan plan;
+  static TestClusterPlan PlanOf(Duration timeout) {
+    TestClusterPlan plan;
     plan.hosts_in_domain = {2, 2};
     plan.timeout = timeout;
     return plan;
   }
-  TestWorld world;
+  TestCluster world;
 };
 
 // Sends a request and waits until an upstream has it, which keeps its answer.
-void SendHeld(TestWorld& world, RawClient& caller) {
+void SendHeld(TestCluster& world, RawClient& caller) {
   world.ForEachUpstream([](UpstreamStandIn& u) { u.HoldAnswers(); });
   caller.Send(
       "POST /s/write/entry HTTP/1.1\r\nHost: test.example\r\n"
@@ -35,10 +35,10 @@
 // deadline was away when the machine was suspended.
 Test(suspended_machine, requests_past_their_deadline_end_on_waking) {
   SuspendedWorld suspended(Duration(60'000'000));
-  TestWorld& world = suspended.world;
+  TestCluster& world = suspended.world;
   RawClient caller(world.loop(), world.address(), world.CallerPort(0));
   SendHeld(world, caller);
-  LeapBootClock(std::chrono::minutes(2));
+  AdvanceBootClock(std::chrono::minutes(2));
   cr_assert(world.Await([&caller] { return caller.Has("504"); }));
   cr_assert(world.HasEvent(0, EventCode::kHostStoodStill));
 }
@@ -47,11 +47,11 @@
 // thrown away on waking.
 Test(suspended_machine, answer_that_is_there_on_waking_is_delivered) {
   SuspendedWorld suspended(Duration(60'000'000));
-  TestWorld& world = suspended.world;
+  TestCluster& world = suspended.world;
   RawClient caller(world.loop(), world.address(), world.CallerPort(0));
   SendHeld(world, caller);
-  LeapBootClock(std::chrono::minutes(2));
-  world.ForEachUpstream([](UpstreamStandIn& u) { u.AnswerRun("r"); });
+  AdvanceBootClock(std::chrono::minutes(2));
+  world.ForEachUpstream([](UpstreamStandIn& u) { u.ReleaseAnswerOfRun("r"); });
   cr_assert(world.Await([&caller] { return caller.Has("end r"); }));
 }
 
@@ -59,8 +59,8 @@
 // watches that were lost meanwhile.
 Test(suspended_machine, hosts_know_each_other_and_hear_of_changes_on_waking) {
   SuspendedWorld suspended(Duration(5'000'000));
-  TestWorld& world = suspended.world;
-  LeapBootClock(std::chrono::minutes(2));
+  TestCluster& world = suspended.world;
+  AdvanceBootClock(std::chrono::minutes(2));
   RoutingConfig newer = world.config();
   newer.version = 2;
   world.platform().PutConfig(newer);
@@ -71,7 +71,7 @@
         return false;
       }
     }
-    return world.AllReady();
+    return world.AreAllReady();
   }));
   for (std::size_t i = 0; i < kHosts; ++i) {
     cr_assert_not(world.HasEvent(i, EventCode::kPeerSilent));
--- a/src/pathcleat/lab/truthful_test.cpp
+++ b/src/pathcleat/lab/truthful_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 using std::chrono::milliseconds;
-using Kind = UpstreamAct::Kind;
+using Kind = UpstreamAction::Kind;
 
 // What befalls the request besides, so long after it was taken.
 enum class Event { kNothing, kHalfClose, kStop };
@@ -20,7 +20,7 @@
 struct Order {
   bool repeatable = true;
   milliseconds deadline{0};
-  std::vector<UpstreamAct> acts;  ///< by arrival, at whichever upstream
+  std::vector<UpstreamAction> acts;  ///< by arrival, at whichever upstream
   Event event = Event::kNothing;
   milliseconds event_after{0};
 };
@@ -30,7 +30,7 @@
       << order.deadline.count() << " ms, event "
       << static_cast<int>(order.event) << " after " << order.event_after.count()
       << " ms; acts";
-  for (const UpstreamAct& act : order.acts) {
+  for (const UpstreamAction& act : order.acts) {
     out << " " << static_cast<int>(act.kind) << "@" << act.delay.count();
   }
 }
@@ -42,13 +42,13 @@
                           milliseconds(1'050), milliseconds(1'900));
 }
 
-rc::Gen<UpstreamAct> Acts() {
+rc::Gen<UpstreamAction> Acts() {
   const auto kinds = rc::gen::weightedElement<Kind>({{2, Kind::kAnswer},
-                                                     {2, Kind::kBreak},
-                                                     {3, Kind::kTurnAway},
-                                                     {3, Kind::kSilent}});
+                                                     {2, Kind::kDisconnect},
+                                                     {3, Kind::kReject},
+                                                     {3, Kind::kNeverAnswer}});
   return rc::gen::map(rc::gen::pair(kinds, Delays()), [](const auto& drawn) {
-    return UpstreamAct{drawn.first, drawn.second};
+    return UpstreamAction{drawn.first, drawn.second};
   });
 }
 
@@ -57,7 +57,7 @@
   order.repeatable = *rc::gen::weightedElement<bool>({{3, true}, {1, false}});
   order.deadline = *rc::gen::element(milliseconds(200), milliseconds(2'000),
                                      milliseconds(2'100));
-  order.acts = *rc::gen::container<std::vector<UpstreamAct>>(3, Acts());
+  order.acts = *rc::gen::container<std::vector<UpstreamAction>>(3, Acts());
   order.event = *rc::gen::weightedElement<Event>(
       {{4, Event::kNothing}, {2, Event::kHalfClose}, {1, Event::kStop}});
   order.event_after = *Delays();
@@ -76,13 +76,13 @@
 // Plays one order in a world of its own.
 // @return the status that the caller got.
 int Play(const Order& order) {
-  TestWorldPlan plan;
+  TestClusterPlan plan;
   plan.hosts_in_domain = {1};
-  TestWorld world(plan);
+  TestCluster world(plan);
   world.StartAll();
   std::size_t arrivals = 0;
   world.ForEachUpstream([&](UpstreamStandIn& upstream) {
-    upstream.Direct([&] { return order.acts.at(arrivals++); });
+    upstream.SetActionChooser([&] { return order.acts.at(arrivals++); });
   });
   RawClient caller(world.loop(), world.address(), world.CallerPort(0));
   caller.Send(TextOf(order));
@@ -114,7 +114,7 @@
 
 // Promise: "not run" is true, over orders of answers, breaks, refusals and
 // silence at upstreams, the caller's end, its deadline, a planned stop and
-// patience. Checked to fail with runs_.OnKnownNotRun called in OnFailure.
+// patience. Checked to fail with runs_.OnNotRun called in OnFailure.
 Test(promise, refusals_are_true_in_whatever_order_things_happen) {
   std::map<int, int> statuses;
   cr_assert(Holds(
@@ -128,7 +128,7 @@
 }
 
 // The same where the first upstream is silent and left for another. Checked to
-// fail with runs_.OnKnownNotRun called in OnPatienceOver.
+// fail with runs_.OnNotRun called in OnPatienceOver.
 Test(promise, refusals_are_true_after_a_silent_upstream_was_left) {
   cr_assert(Holds(
       "no promise after patience",
@@ -136,7 +136,8 @@
         Order order;
         order.deadline =
             *rc::gen::element(milliseconds(2'000), milliseconds(2'200));
-        order.acts = *rc::gen::container<std::vector<UpstreamAct>>(3, Acts());
+        order.acts =
+            *rc::gen::container<std::vector<UpstreamAction>>(3, Acts());
         order.acts[0] = {Kind::kAnswer, milliseconds(1'500)};
         RC_ASSERT(Play(order) != http_status::kUnavailable);
       },
@@ -145,14 +146,14 @@
 
 // The order seen from outside: a silent upstream is left, runs the request to
 // a good end, and nobody else takes it. Checked to fail, with 503, with
-// runs_.OnKnownNotRun called in OnPatienceOver.
+// runs_.OnNotRun called in OnPatienceOver.
 Test(promise, lookup_that_left_a_silent_upstream_is_unknown) {
   Order order;
   // A host that is late by more than what is left after its patience stays.
   order.deadline = milliseconds(5'000);
-  order.acts = {{Kind::kSilent, milliseconds(0)},
-                {Kind::kTurnAway, milliseconds(0)},
-                {Kind::kTurnAway, milliseconds(0)}};
+  order.acts = {{Kind::kNeverAnswer, milliseconds(0)},
+                {Kind::kReject, milliseconds(0)},
+                {Kind::kReject, milliseconds(0)}};
   cr_assert(Holds(
       "502 after patience",
       [&order] { RC_ASSERT(Play(order) == http_status::kBadGateway); }, 1));
--- a/src/pathcleat/lab/upstream_farm.cpp
+++ b/src/pathcleat/lab/upstream_farm.cpp
@@ -12,7 +12,7 @@
                            const HeaderNames& headers,
                            std::chrono::microseconds mean_service_time)
     : deployment_(deployment),
-      control_(loop, [this](const ExchangePtr& e) { Handle(e); }) {
+      control_(loop, [this](const HttpExchangePtr& e) { Handle(e); }) {
   std::uint64_t seed = 1;
   for (const Upstream& upstream : deployment.upstreams) {
     UpstreamStandInOptions options;
@@ -38,7 +38,7 @@
   return control_.Listen(address, port);
 }
 
-void UpstreamFarm::Handle(const ExchangePtr& exchange) {
+void UpstreamFarm::Handle(const HttpExchangePtr& exchange) {
   if (exchange->request().target == "/ledger") {
     exchange->Respond(JsonResponse(http_status::kOk, LedgerJson()));
     return;
--- a/src/pathcleat/lab/upstream_stand_in.cpp
+++ b/src/pathcleat/lab/upstream_stand_in.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t kFillBytes = 2'000;
 constexpr int kMisdirected = 421;
 
-std::string Field(const ExchangePtr& exchange, const std::string& name) {
+std::string Field(const HttpExchangePtr& exchange, const std::string& name) {
   return FindHeader(exchange->request().headers, name).value_or("");
 }
 
@@ -37,10 +37,10 @@
       options_(options),
       server_(std::make_unique<HttpServer>(
           loop,
-          [this](const ExchangePtr& e) { Handle(e); })),
+          [this](const HttpExchangePtr& e) { Handle(e); })),
       random_(options.seed) {
   HttpLimits limits;
-  limits.body_bytes = 64ULL * 1024 * 1024;
+  limits.max_body_bytes = 64ULL * 1024 * 1024;
   server_->SetLimits(limits);
 }
 
@@ -65,7 +65,7 @@
   }
 }
 
-void UpstreamStandIn::Handle(const ExchangePtr& exchange) {
+void UpstreamStandIn::Handle(const HttpExchangePtr& exchange) {
   if (exchange->request().target == "/health") {
     HttpResponse response = TextResponse(http_status::kOk, "well\n");
     response.headers.push_back({options_.headers.upstream_id, options_.id});
@@ -88,19 +88,20 @@
     RefuseNotRun(exchange, http_status::kUnavailable);
     return;
   }
-  if (options_.keeps_deadlines) {
+  if (options_.enforces_deadlines) {
     WatchDeadline(exchange);
   }
   Run(exchange);
 }
 
-void UpstreamStandIn::Act(const ExchangePtr& exchange, const UpstreamAct& act) {
-  if (act.kind != UpstreamAct::Kind::kTurnAway) {
+void UpstreamStandIn::Act(const HttpExchangePtr& exchange,
+                          const UpstreamAction& act) {
+  if (act.kind != UpstreamAction::Kind::kReject) {
     const bool held = std::exchange(hold_, true);
     Begin(exchange);
     hold_ = held;
   }
-  if (act.kind == UpstreamAct::Kind::kSilent) {
+  if (act.kind == UpstreamAction::Kind::kNeverAnswer) {
     return;
   }
   auto timer = std::make_shared<boost::asio::steady_timer>(loop_, act.delay);
@@ -112,12 +113,12 @@
   });
 }
 
-void UpstreamStandIn::EndAct(const ExchangePtr& exchange,
-                             UpstreamAct::Kind kind) {
+void UpstreamStandIn::EndAct(const HttpExchangePtr& exchange,
+                             UpstreamAction::Kind kind) {
   std::erase(held_, exchange);
-  if (kind == UpstreamAct::Kind::kTurnAway) {
+  if (kind == UpstreamAction::Kind::kReject) {
     RefuseNotRun(exchange, http_status::kUnavailable);
-  } else if (kind == UpstreamAct::Kind::kBreak) {
+  } else if (kind == UpstreamAction::Kind::kDisconnect) {
     exchange->Drop();
     End();
   } else {
@@ -125,8 +126,8 @@
   }
 }
 
-void UpstreamStandIn::WatchDeadline(const ExchangePtr& exchange) {
-  const auto told = CallerDeadline(options_.headers, exchange->request());
+void UpstreamStandIn::WatchDeadline(const HttpExchangePtr& exchange) {
+  const auto told = CallerTimeout(options_.headers, exchange->request());
   if (!told) {
     return;
   }
@@ -136,7 +137,7 @@
   });
 }
 
-void UpstreamStandIn::OnDeadline(const ExchangePtr& exchange) {
+void UpstreamStandIn::OnDeadline(const HttpExchangePtr& exchange) {
   if (!exchange->IsOpen()) {
     return;
   }
@@ -154,12 +155,13 @@
   End();
 }
 
-bool UpstreamStandIn::IsForAnother(const ExchangePtr& exchange) const {
+bool UpstreamStandIn::IsForAnother(const HttpExchangePtr& exchange) const {
   const std::string wanted = Field(exchange, options_.headers.expect_upstream);
   return !wanted.empty() && wanted != options_.id;
 }
 
-void UpstreamStandIn::RefuseNotRun(const ExchangePtr& exchange, int status) {
+void UpstreamStandIn::RefuseNotRun(const HttpExchangePtr& exchange,
+                                   int status) {
   ++ledger_.turned_away;
   HttpResponse response = TextResponse(status, "not run\n");
   response.headers.push_back({options_.headers.not_run, "1"});
@@ -167,7 +169,7 @@
   exchange->Respond(std::move(response));
 }
 
-void UpstreamStandIn::Run(const ExchangePtr& exchange) {
+void UpstreamStandIn::Run(const HttpExchangePtr& exchange) {
   if (in_flight_ >= options_.slots) {
     queue_.push_back(exchange);
     return;
@@ -175,7 +177,7 @@
   Begin(exchange);
 }
 
-void UpstreamStandIn::Begin(const ExchangePtr& exchange) {
+void UpstreamStandIn::Begin(const HttpExchangePtr& exchange) {
   ++ledger_.runs;
   ++ledger_.runs_by_id[Field(exchange, "X-Run-Id")];
   const std::string key = Field(exchange, "Idempotency-Key");
@@ -218,7 +220,7 @@
   CountSlots();
   --in_flight_;
   while (!queue_.empty() && in_flight_ < options_.slots) {
-    const ExchangePtr next = queue_.front();
+    const HttpExchangePtr next = queue_.front();
     queue_.erase(queue_.begin());
     if (next->IsOpen()) {
       Begin(next);
@@ -226,23 +228,23 @@
   }
 }
 
-void UpstreamStandIn::AnswerHeld(std::size_t index) {
-  const ExchangePtr exchange = held_.at(index);
+void UpstreamStandIn::ReleaseAnswer(std::size_t index) {
+  const HttpExchangePtr exchange = held_.at(index);
   held_.erase(held_.begin() + static_cast<std::ptrdiff_t>(index));
   Answer(exchange);
 }
 
-void UpstreamStandIn::AnswerRun(const std::string& run_id) {
+void UpstreamStandIn::ReleaseAnswerOfRun(const std::string& run_id) {
   const auto found = std::find_if(
-      held_.begin(), held_.end(), [&run_id](const ExchangePtr& exchange) {
+      held_.begin(), held_.end(), [&run_id](const HttpExchangePtr& exchange) {
         return Field(exchange, "X-Run-Id") == run_id;
       });
   if (found != held_.end()) {
-    AnswerHeld(static_cast<std::size_t>(found - held_.begin()));
+    ReleaseAnswer(static_cast<std::size_t>(found - held_.begin()));
   }
 }
 
-void UpstreamStandIn::Answer(const ExchangePtr& exchange) {
+void UpstreamStandIn::Answer(const HttpExchangePtr& exchange) {
   if (!exchange->IsOpen()) {
     return;
   }
@@ -252,13 +254,13 @@
                                        request.target, request.body));
   const HeaderNames& names = options_.headers;
   const std::string id = Field(exchange, names.request_id);
-  const bool stranger = spoilt_ == SpoiltAnswer::kStrangerId;
+  const bool stranger = spoilt_ == AnswerCorruption::kWrongRequestId;
   response.headers.push_back({names.request_id, stranger ? "stranger" : id});
   AddState(response);
-  if (!names.signature.empty() && spoilt_ != SpoiltAnswer::kNoSignature) {
+  if (!names.signature.empty() && spoilt_ != AnswerCorruption::kNoSignature) {
     response.headers.push_back({names.signature, "signed." + id});
   }
-  if (spoilt_ == SpoiltAnswer::kLost) {
+  if (spoilt_ == AnswerCorruption::kLost) {
     exchange->Drop();
   } else {
     exchange->Respond(std::move(response));
--- a/src/pathcleat/lab/whole_path_test.cpp
+++ b/src/pathcleat/lab/whole_path_test.cpp
@@ -16,7 +16,7 @@
 }
 
 Test(whole_path, get_and_post_answer_byte_for_byte) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   const CallResult get = world.Get(0, "r1");
   cr_assert_eq(get.response.status, http_status::kOk);
@@ -28,11 +28,11 @@
   const CallResult post = world.Post(1, "r2", "", body);
   cr_assert_eq(post.response.status, http_status::kOk);
   cr_assert(post.response.body == ExpectedAnswer("r2", "/s/write/entry", body));
-  cr_assert_str_eq(TestWorld::Outcome(post).c_str(), "answered");
+  cr_assert_str_eq(TestCluster::OutcomeHeader(post).c_str(), "answered");
 }
 
 Test(whole_path, chunked_body_arrives_whole) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   RawClient client(world.loop(), world.address(), world.CallerPort(0));
   client.Send(
@@ -48,14 +48,14 @@
 // Checked to fail with the tests of exchange_ taken out of Parse and
 // ParseStep, which keep a session at one request at a time.
 Test(promise, pipelined_requests_are_answered_in_the_order_asked) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   world.ForEachUpstream([](UpstreamStandIn& u) { u.HoldAnswers(); });
   RawClient client(world.loop(), world.address(), world.CallerPort(0));
   client.Send(GetText("first") + GetText("second"));
   const auto answer = [&world](const std::string& run_id) {
     world.ForEachUpstream(
-        [&run_id](UpstreamStandIn& u) { u.AnswerRun(run_id); });
+        [&run_id](UpstreamStandIn& u) { u.ReleaseAnswerOfRun(run_id); });
   };
   cr_assert(world.Await([&] {
     answer("second");
@@ -67,7 +67,7 @@
 }
 
 Test(whole_path, caller_that_leaves_early_frees_the_slot_and_harms_nobody) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   world.ForEachUpstream([](UpstreamStandIn& u) { u.HoldAnswers(); });
   {
@@ -80,7 +80,8 @@
   RawClient next(world.loop(), world.address(), world.CallerPort(0));
   next.Send(GetText("next"));
   cr_assert(world.Await([&] { return world.InFlight() == 1; }));
-  world.ForEachUpstream([](UpstreamStandIn& u) { u.AnswerRun("next"); });
+  world.ForEachUpstream(
+      [](UpstreamStandIn& u) { u.ReleaseAnswerOfRun("next"); });
   cr_assert(world.Await([&] { return next.Has("end next"); }));
   cr_assert(!next.Has("left"));
 }
@@ -88,7 +89,7 @@
 // A submission whose caller leaves runs to its end: nobody could tell how far
 // it had come.
 Test(whole_path, submission_goes_on_when_its_caller_leaves) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   world.ForEachUpstream([](UpstreamStandIn& u) { u.HoldAnswers(); });
   {
@@ -104,7 +105,7 @@
 }
 
 Test(whole_path, body_over_the_limit_is_refused_without_being_held) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   RawClient announced(world.loop(), world.address(), world.CallerPort(0));
   announced.Send(
@@ -125,9 +126,9 @@
 }
 
 Test(whole_path, half_sent_requests_are_given_up) {
-  TestWorldPlan plan;
-  plan.caller_limits.read_time = std::chrono::milliseconds(300);
-  TestWorld world(plan);
+  TestClusterPlan plan;
+  plan.caller_limits.read_timeout = std::chrono::milliseconds(300);
+  TestCluster world(plan);
   world.StartAll();
   std::vector<std::unique_ptr<RawClient>> clients;
   constexpr int kHalfSent = 300;
@@ -144,7 +145,7 @@
 }
 
 Test(whole_path, bad_input_gets_its_own_status) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   const auto status = [&](const std::string& bytes, const char* expected) {
     RawClient client(world.loop(), world.address(), world.CallerPort(0));
@@ -185,7 +186,7 @@
       {"bare line feed", "X: y\nContent-Length: 4\r\n"},
       {"zero byte", std::string("X: a\0b\r\n", 9)},
   };
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   for (const Doubt& doubt : doubts) {
     RawClient client(world.loop(), world.address(), world.CallerPort(0));
@@ -200,7 +201,7 @@
 }
 
 Test(whole_path, doubtful_chunks_are_rejected) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   for (const std::string chunk :
        {"zz\r\nabc\r\n", "fffffffffffffffff\r\nabc\r\n", "-1\r\nabc\r\n",
@@ -217,9 +218,9 @@
 }
 
 Test(whole_path, locate_names_living_hosts_near_ones_first) {
-  TestWorldPlan plan;
+  TestClusterPlan plan;
   plan.hosts_in_domain = {2, 1};
-  TestWorld world(plan);
+  TestCluster world(plan);
   world.StartAll();
   const auto near = world.Locate(0, "?region=region-0&failure_domain=domain-0");
   cr_assert_eq(near.response.status, http_status::kOk);
@@ -237,11 +238,11 @@
 }
 
 Test(whole_path, why_tells_the_steps_of_a_request) {
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   const CallResult get = world.Get(0, "r1");
   const auto id = FindHeader(get.response.headers, "Pathcleat-Request-Id");
-  const CallResult why = world.Command(0, "why " + id.value_or(""));
+  const CallResult why = world.RunCommand(0, "why " + id.value_or(""));
   const std::string& text = why.response.body;
   cr_assert_neq(text.find("route=read service=s"), std::string::npos);
   cr_assert_neq(text.find("request-sent upstream=upstream-0-"),
@@ -252,10 +253,10 @@
 
 // All hosts rank upstreams alike, so that a key is served where it was.
 Test(whole_path, requests_of_one_key_go_to_one_upstream_from_all_hosts) {
-  TestWorldPlan plan;
+  TestClusterPlan plan;
   plan.hosts_in_domain = {3};
   plan.upstreams_in_domain = 4;
-  TestWorld world(plan);
+  TestCluster world(plan);
   world.StartAll();
   for (std::size_t i = 0; i < 12; ++i) {
     HttpRequest request = world.GetRequest("k" + std::to_string(i));
--- a/src/pathcleat/lab/why_test.cpp
+++ b/src/pathcleat/lab/why_test.cpp
@@ -33,12 +33,12 @@
   }
   ~CollectedLogs() { log4cplus::Logger::getRoot().removeAppender(appender); }
 
-  RequestStory StoryOf(const std::string& run_id) const {
+  RequestDiagnosis StoryOf(const std::string& run_id) const {
     std::istringstream stream(collector->text);
-    LogLines log;
+    MergedLog log;
     ReadLog(stream, log);
     SortByTime(log);
-    return TellStory(log, "id-" + run_id);
+    return DiagnoseRequest(log, "id-" + run_id);
   }
 
   Collector* collector = new Collector;  // owned by appender
@@ -51,10 +51,10 @@
 
 Test(why, refused_under_overload) {
   const CollectedLogs logs;
-  TestWorldPlan plan;
+  TestClusterPlan plan;
   plan.upstreams_in_domain = 1;
   plan.slots = 1;
-  TestWorld world(plan);
+  TestCluster world(plan);
   world.StartAll();
   world.ForEachUpstream([](UpstreamStandIn& u) { u.HoldAnswers(); });
   constexpr int kRequests = 40;
@@ -81,22 +81,22 @@
       });
   cr_assert(refused != results.end());
   const auto index = refused - results.begin();
-  const RequestStory story = logs.StoryOf("r" + std::to_string(index));
+  const RequestDiagnosis story = logs.StoryOf("r" + std::to_string(index));
   cr_assert(story.causes[0].cause == RequestCause::kOverload);
-  cr_assert(Has(story.causes[0].sentence, "the best of 1 upstreams"));
+  cr_assert(Has(story.causes[0].explanation, "the best of 1 upstreams"));
   cr_assert(Has(story.lines.front().name, "request-taken"));
 }
 
 Test(why, answer_lost_so_outcome_unknown) {
   const CollectedLogs logs;
-  TestWorld world;
+  TestCluster world;
   world.StartAll();
   world.ForEachUpstream(
-      [](UpstreamStandIn& u) { u.Spoil(SpoiltAnswer::kLost); });
+      [](UpstreamStandIn& u) { u.Spoil(AnswerCorruption::kLost); });
   cr_assert_eq(world.Post(0, "r1").response.status, http_status::kBadGateway);
-  const RequestStory story = logs.StoryOf("r1");
+  const RequestDiagnosis story = logs.StoryOf("r1");
   cr_assert(story.causes[0].cause == RequestCause::kLostAnswer);
-  cr_assert(Has(story.causes[0].sentence, "sent to upstream-0-"));
+  cr_assert(Has(story.causes[0].explanation, "sent to upstream-0-"));
 }
 
 // Host 0 is cut off: the store turns it away and no host hears it.
@@ -107,7 +107,7 @@
     cr_assert(world.Await(
         [this] { return world.host(0).IsReady() && world.host(1).IsReady(); }));
     platform::StandInFaults away;
-    away.turned_away = {TestWorld::StoreSideAddress(0)};
+    away.turned_away = {TestCluster::StoreClientAddress(0)};
     world.platform().SetFaults(away);
     // What waits at the store already may still be told of one change.
     PutVersion(2);
@@ -118,9 +118,9 @@
     }));
   }
 
-  static TestWorldPlan Plan() {
-    TestWorldPlan plan;
-    plan.lone_hosts = {0};
+  static TestClusterPlan Plan() {
+    TestClusterPlan plan;
+    plan.isolated_hosts = {0};
     plan.upstreams_in_domain = 1;
     return plan;
   }
@@ -131,39 +131,40 @@
     world.platform().PutConfig(config);
   }
 
-  TestWorld world;
+  TestCluster world;
 };
 
 Test(why, handled_by_an_old_configuration) {
   const CollectedLogs logs;
   CutOffWorld cut_off;
-  TestWorld& world = cut_off.world;
+  TestCluster& world = cut_off.world;
   cut_off.PutVersion(3);
   cr_assert(
       world.Await([&] { return world.host(1).state().routes.version() == 3; }));
   world.ForEachUpstream(
-      [](UpstreamStandIn& u) { u.Spoil(SpoiltAnswer::kLost); });
+      [](UpstreamStandIn& u) { u.Spoil(AnswerCorruption::kLost); });
   world.Post(0, "r1");
-  const RequestStory story = logs.StoryOf("r1");
-  cr_assert(story.causes[0].cause == RequestCause::kOldConfig);
-  cr_assert(Has(story.causes[0].sentence, "3 had been in force at host-0-1"));
+  const RequestDiagnosis story = logs.StoryOf("r1");
+  cr_assert(story.causes[0].cause == RequestCause::kStaleConfig);
+  cr_assert(
+      Has(story.causes[0].explanation, "3 had been in force at host-0-1"));
 }
 
 Test(why, sent_to_a_leaving_upstream) {
   const CollectedLogs logs;
   CutOffWorld cut_off;
-  TestWorld& world = cut_off.world;
+  TestCluster& world = cut_off.world;
   UpstreamInfo leaving = world.upstream_info(0);
   leaving.leaving = true;
   world.platform().PutUpstream(leaving);
   cr_assert(world.Await(
       [&] { return world.HasEvent(1, EventCode::kUpstreamLeaving); }));
   world.ForEachUpstream(
-      [](UpstreamStandIn& u) { u.Spoil(SpoiltAnswer::kLost); });
+      [](UpstreamStandIn& u) { u.Spoil(AnswerCorruption::kLost); });
   world.Post(0, "r1");
-  const RequestStory story = logs.StoryOf("r1");
+  const RequestDiagnosis story = logs.StoryOf("r1");
   cr_assert(story.causes[0].cause == RequestCause::kLeavingUpstream);
-  cr_assert(Has(story.causes[0].sentence, "host-0-1 had known"));
+  cr_assert(Has(story.causes[0].explanation, "host-0-1 had known"));
 }
 
 }  // namespace
--- a/src/pathcleat/query/command.cpp
+++ b/src/pathcleat/query/command.cpp
@@ -46,7 +46,7 @@
 
 class Parser {
  public:
-  Parser(const KnownNames& names, std::string_view text)
+  Parser(const ValidNames& names, std::string_view text)
       : names_(names), words_(SplitWords(text)) {}
 
   Result<OperatorCommand> Parse() {
@@ -194,7 +194,7 @@
       --next_;
       return Expected("a client block such as 10.1.0.0/16");
     }
-    AssignBlock assign;
+    AssignClientBlock assign;
     assign.first_address = subnet.network().to_uint();
     assign.prefix_length = static_cast<std::uint8_t>(subnet.prefix_length());
     BOOST_LEAF_CHECK(Keyword("to"));
@@ -286,7 +286,7 @@
                      "; found " + found});
   }
 
-  const KnownNames& names_;
+  const ValidNames& names_;
   std::vector<std::string> words_;
   std::size_t next_ = 0;
 };
@@ -297,7 +297,7 @@
   return kHelp;
 }
 
-Result<OperatorCommand> ParseCommand(const KnownNames& names,
+Result<OperatorCommand> ParseCommand(const ValidNames& names,
                                      std::string_view text) {
   return Parser(names, text).Parse();
 }
--- a/src/pathcleat/query/command_test.cpp
+++ b/src/pathcleat/query/command_test.cpp
@@ -6,12 +6,12 @@
 namespace pathcleat {
 namespace {
 
-KnownNames SmallNames() {
+ValidNames SmallNames() {
   return {{"booking"}, {"north", "south"}, {"core-1"}};
 }
 
 std::string FaultOf(const std::string& text) {
-  const KnownNames names = SmallNames();
+  const ValidNames names = SmallNames();
   return TryOr(
       [&]() -> Result<std::string> {
         BOOST_LEAF_CHECK(ParseCommand(names, text));
@@ -21,7 +21,7 @@
 }
 
 Test(command, shift_is_read_with_cap_and_time) {
-  const KnownNames names = SmallNames();
+  const ValidNames names = SmallNames();
   const auto command =
       ParseCommand(names, "shift booking from north to south cap 30% over 10m");
   cr_assert(command.has_value());
--- a/src/pathcleat/query/log_line.cpp
+++ b/src/pathcleat/query/log_line.cpp
@@ -63,7 +63,7 @@
   return NumberOf<std::int64_t>(Field(field));
 }
 
-void ReadLog(std::istream& stream, LogLines& into) {
+void ReadLog(std::istream& stream, MergedLog& into) {
   for (std::string text; std::getline(stream, text);) {
     if (auto line = ParseLine(text)) {
       into.lines.push_back(std::move(*line));
@@ -73,7 +73,7 @@
   }
 }
 
-void SortByTime(LogLines& lines) {
+void SortByTime(MergedLog& lines) {
   std::stable_sort(
       lines.lines.begin(), lines.lines.end(),
       [](const LogLine& a, const LogLine& b) { return a.time < b.time; });
--- a/src/pathcleat/query/request_story.cpp
+++ b/src/pathcleat/query/request_story.cpp
@@ -28,9 +28,9 @@
 }
 
 // A newer configuration was in force elsewhere when the request was taken.
-void FindOldConfig(const LogLines& log,
+void FindOldConfig(const MergedLog& log,
                    const LogLine& taken,
-                   RequestStory& story) {
+                   RequestDiagnosis& story) {
   const std::int64_t version = taken.Number(field::kConfigVersion);
   const LogLine* first = nullptr;
   for (const LogLine& line : log.lines) {
@@ -52,13 +52,13 @@
        << ", while " << first->Field(field::kConfigVersion)
        << " had been in force at " << first->host << " for "
        << MillisecondsBetween(first->time, taken.time) << " ms";
-  story.causes.push_back({RequestCause::kOldConfig, text.str()});
+  story.causes.push_back({RequestCause::kStaleConfig, text.str()});
 }
 
 // An upstream was known to leave elsewhere when the request was sent there.
-void FindLeaving(const LogLines& log,
+void FindLeaving(const MergedLog& log,
                  const LogLine& sent,
-                 RequestStory& story) {
+                 RequestDiagnosis& story) {
   const std::string upstream = sent.Field(field::kUpstream);
   for (const LogLine& line : log.lines) {
     if (line.time > sent.time) {
@@ -80,7 +80,7 @@
   }
 }
 
-void FindRefusal(const LogLine& refused, RequestStory& story) {
+void FindRefusal(const LogLine& refused, RequestDiagnosis& story) {
   const std::string reason = refused.Field(field::kReason);
   std::ostringstream text;
   RequestCause cause = RequestCause::kRefused;
@@ -103,7 +103,7 @@
   story.causes.push_back({cause, text.str()});
 }
 
-void FindLostAnswer(const LogLine& unknown, RequestStory& story) {
+void FindLostAnswer(const LogLine& unknown, RequestDiagnosis& story) {
   std::ostringstream text;
   text << "its answer was lost, so it may have run: "
        << unknown.Field(field::kReason);
@@ -119,7 +119,7 @@
   story.causes.push_back({RequestCause::kLostAnswer, text.str()});
 }
 
-void FindEnd(RequestStory& story) {
+void FindEnd(RequestDiagnosis& story) {
   if (const LogLine* refused = LastNamed(story.lines, "request-refused")) {
     FindRefusal(*refused, story);
   } else if (const LogLine* lost = LastNamed(story.lines, "request-unknown")) {
@@ -135,7 +135,7 @@
   }
 }
 
-void FindMissing(const LogLines& log, RequestStory& story) {
+void FindMissing(const MergedLog& log, RequestDiagnosis& story) {
   std::set<std::string> writers;
   std::set<std::string> named;
   for (const LogLine& line : log.lines) {
@@ -166,8 +166,9 @@
 
 }  // namespace
 
-RequestStory TellStory(const LogLines& log, const std::string& request_id) {
-  RequestStory story;
+RequestDiagnosis DiagnoseRequest(const MergedLog& log,
+                                 const std::string& request_id) {
+  RequestDiagnosis story;
   for (const LogLine& line : log.lines) {
     if (line.Field("request") == request_id) {
       story.lines.push_back(line);
@@ -176,7 +177,7 @@
   FindMissing(log, story);
   if (story.lines.empty()) {
     story.causes.push_back(
-        {RequestCause::kNoLines,
+        {RequestCause::kNotLogged,
          "the logs say nothing of it: it went well and was not sampled, "
          "failed beyond the log's rate, or reached none of these hosts"});
     return story;
@@ -192,7 +193,8 @@
   return story;
 }
 
-std::string ToText(const RequestStory& story, const std::string& request_id) {
+std::string ToText(const RequestDiagnosis& story,
+                   const std::string& request_id) {
   const std::set<std::string> in_front = {"time",     "code", "name",
                                           "severity", "host", "request"};
   std::ostringstream text;
@@ -207,8 +209,8 @@
     }
     text << "\n";
   }
-  for (const CauseFound& cause : story.causes) {
-    text << "cause: " << cause.sentence << "\n";
+  for (const DiagnosedCause& cause : story.causes) {
+    text << "cause: " << cause.explanation << "\n";
   }
   for (const std::string& what : story.missing) {
     text << "missing: " << what << "\n";
--- a/src/pathcleat/query/request_story_test.cpp
+++ b/src/pathcleat/query/request_story_test.cpp
@@ -20,9 +20,9 @@
 not an event {
 )";
 
-LogLines Logs(const std::string& text) {
+MergedLog Logs(const std::string& text) {
   std::istringstream stream(text);
-  LogLines log;
+  MergedLog log;
   ReadLog(stream, log);
   SortByTime(log);
   return log;
@@ -33,22 +33,22 @@
 }
 
 Test(request_story, old_views_are_named_with_their_ages) {
-  const RequestStory story = TellStory(Logs(kLog), "r");
+  const RequestDiagnosis story = DiagnoseRequest(Logs(kLog), "r");
   cr_assert_eq(story.lines.size(), 3U);
   cr_assert_eq(story.causes.size(), 2U);
-  cr_assert(story.causes[0].cause == RequestCause::kOldConfig);
-  cr_assert(Has(story.causes[0].sentence, "in force at a for 1000 ms"));
+  cr_assert(story.causes[0].cause == RequestCause::kStaleConfig);
+  cr_assert(Has(story.causes[0].explanation, "in force at a for 1000 ms"));
   cr_assert(story.causes[1].cause == RequestCause::kLeavingUpstream);
-  cr_assert(Has(story.causes[1].sentence, "leaving for 100 ms"));
+  cr_assert(Has(story.causes[1].explanation, "leaving for 100 ms"));
 }
 
 Test(request_story, what_the_logs_lack_is_said) {
-  const std::string text = ToText(TellStory(Logs(kLog), "r"), "r");
+  const std::string text = ToText(DiagnoseRequest(Logs(kLog), "r"), "r");
   cr_assert(Has(text, "missing: no line of host c"));
   cr_assert(Has(text, "b dropped lines: 4 of requests"));
   cr_assert(Has(text, "1 lines are no events"));
-  const RequestStory unknown = TellStory(Logs(kLog), "other");
-  cr_assert(unknown.causes[0].cause == RequestCause::kNoLines);
+  const RequestDiagnosis unknown = DiagnoseRequest(Logs(kLog), "other");
+  cr_assert(unknown.causes[0].cause == RequestCause::kNotLogged);
 }
 
 Test(request_story, lines_in_any_order_tell_the_same) {
@@ -65,8 +65,8 @@
     for (const std::string& line : lines) {
       text += line + "\n";
     }
-    RC_ASSERT(ToText(TellStory(Logs(text), "r"), "r") ==
-              ToText(TellStory(Logs(kLog), "r"), "r"));
+    RC_ASSERT(ToText(DiagnoseRequest(Logs(text), "r"), "r") ==
+              ToText(DiagnoseRequest(Logs(kLog), "r"), "r"));
   }));
 }
 
@@ -74,7 +74,7 @@
   cr_assert(Holds("no bytes do harm", [] {
     const auto bytes =
         *rc::gen::container<std::string>(rc::gen::inRange<char>(-128, 127));
-    TellStory(Logs("{" + bytes), "r");
+    DiagnoseRequest(Logs("{" + bytes), "r");
   }));
 }
 
--- a/src/pathcleat/records/command_log.cpp
+++ b/src/pathcleat/records/command_log.cpp
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-struct CommandLog::Command {
+struct CommandLog::RunCommand {
   ConfigChange change;
   std::function<void(CommandResult)> callback;
 };
@@ -82,10 +82,10 @@
 
 void CommandLog::ScanNext() {
   store_.Scan(RowName(log_.version() + 1), kAfterPrefix, kRowsAtOnce,
-              [this](const TableScan& scan) { OnScan(scan); });
+              [this](const TableScanResult& scan) { OnScan(scan); });
 }
 
-void CommandLog::OnScan(const TableScan& scan) {
+void CommandLog::OnScan(const TableScanResult& scan) {
   if (scan.outcome != StoreOutcome::kDone) {
     FinishScan(scan.outcome);
     return;
@@ -117,14 +117,14 @@
     return;
   }
   events_.Record(EventCode::kConfigApplied, "commands", "",
-                 {NumberField(field::kConfigVersion, log_.version())});
+                 {IntegerField(field::kConfigVersion, log_.version())});
   on_change_();
 }
 
 void CommandLog::Submit(const ConfigOperation& operation,
                         const std::string& command_id,
                         std::function<void(CommandResult)> callback) {
-  auto command = std::make_shared<Command>();
+  auto command = std::make_shared<RunCommand>();
   command->change.command_id = command_id;
   command->change.operation = operation;
   command->callback = std::move(callback);
@@ -146,7 +146,7 @@
 void CommandLog::Write(const CommandPtr& command) {
   store_.Write(
       RowName(command->change.version), 0, EncodeBinary(command->change),
-      [this, command](const TableWrite& write) {
+      [this, command](const TableWriteResult& write) {
         switch (write.outcome) {
           case StoreOutcome::kDone:
             Accept(command);
@@ -167,7 +167,7 @@
 void CommandLog::ReadBack(const CommandPtr& command, int tries_left) {
   ReadRow(
       store_, RowName(command->change.version),
-      [this, command, tries_left](const RowRead& read) {
+      [this, command, tries_left](const RowReadResult& read) {
         if (read.outcome != StoreOutcome::kDone && tries_left > 0) {
           ReadBack(command, tries_left - 1);
           return;
--- a/src/pathcleat/records/fleet_rows.cpp
+++ b/src/pathcleat/records/fleet_rows.cpp
@@ -36,7 +36,7 @@
 void FleetRows::WriteOwn() {
   const HostInfo& self = hosts_.self();
   store_.Overwrite(kHostPrefix + self.name, EncodeBinary(self),
-                   [this](const TableWrite& write) {
+                   [this](const TableWriteResult& write) {
                      written_ = write.outcome == StoreOutcome::kDone;
                      Read(kFirstRow);
                    });
@@ -44,18 +44,18 @@
 
 void FleetRows::Read(const std::string& from) {
   store_.Scan(from, kAfterLastRow, kPageRows,
-              [this](const TableScan& scan) { OnScan(scan); });
+              [this](const TableScanResult& scan) { OnScan(scan); });
 }
 
 void FleetRows::Take(const TableRow& row) {
   if (!row.key.starts_with(kHostPrefix)) {
     on_row_(row);
   } else if (const auto host = DecodeBinary<HostInfo>(row.value)) {
-    hosts_.OnListed(*host, BootClock::now());
+    hosts_.OnStoreRow(*host, BootClock::now());
   }
 }
 
-void FleetRows::OnScan(const TableScan& scan) {
+void FleetRows::OnScan(const TableScanResult& scan) {
   if (scan.outcome != StoreOutcome::kDone) {
     Retry([this] { Read(kFirstRow); });
     return;
--- a/src/pathcleat/records/fleet_rows_test.cpp
+++ b/src/pathcleat/records/fleet_rows_test.cpp
@@ -26,23 +26,23 @@
   void Scan(const std::string&,
             const std::string&,
             int,
-            std::function<void(TableScan)> callback) override {
+            std::function<void(TableScanResult)> callback) override {
     ++scans;
     callback({StoreOutcome::kDone, rows, false});
   }
   void Overwrite(const std::string&,
                  const std::string&,
-                 std::function<void(TableWrite)> callback) override {
+                 std::function<void(TableWriteResult)> callback) override {
     ++writes;
     callback({writes > failing ? StoreOutcome::kDone : outcome, 1});
   }
   void Write(const std::string&,
              std::uint64_t,
              const std::string&,
-             std::function<void(TableWrite)>) override {}
+             std::function<void(TableWriteResult)>) override {}
   void Delete(const std::string&,
               std::uint64_t,
-              std::function<void(TableWrite)>) override {}
+              std::function<void(TableWriteResult)>) override {}
 
   std::vector<TableRow> rows;
   StoreOutcome outcome = StoreOutcome::kDone;
--- a/src/pathcleat/records/fleet_secrets.cpp
+++ b/src/pathcleat/records/fleet_secrets.cpp
@@ -22,7 +22,7 @@
     : store_(store), on_known_(std::move(on_known)), timer_(loop) {}
 
 void FleetSecrets::Read() {
-  ReadRow(store_, kRow, [this](const RowRead& read) {
+  ReadRow(store_, kRow, [this](const RowReadResult& read) {
     if (read.outcome != StoreOutcome::kDone) {
       Retry();
       return;
@@ -60,7 +60,7 @@
 // is read again.
 void FleetSecrets::Create() {
   store_.Write(kRow, 0, RandomToken() + RandomToken(),
-               [this](const TableWrite& write) {
+               [this](const TableWriteResult& write) {
                  if (write.outcome == StoreOutcome::kNotDone) {
                    Retry();
                  } else {
--- a/src/pathcleat/records/rollout_writer.cpp
+++ b/src/pathcleat/records/rollout_writer.cpp
@@ -37,12 +37,14 @@
                              EventLog& events)
     : host_(host), commands_(commands), statuses_(statuses), events_(events) {}
 
-void RolloutWriter::Tick(const std::vector<DueStep>& due, int ahead, Time now) {
+void RolloutWriter::Tick(const std::vector<ProposedStep>& due,
+                         int ahead,
+                         Time now) {
   if (ahead > kMostTurns) {
     return;
   }
   std::map<std::string, Time> since;
-  for (const DueStep& one : due) {
+  for (const ProposedStep& one : due) {
     const std::string& service = one.step.service;
     const auto known = due_since_.find(service);
     since[service] = known == due_since_.end() ? now : known->second;
@@ -62,7 +64,7 @@
   }
 }
 
-void RolloutWriter::Decide(const DueStep& due) {
+void RolloutWriter::Decide(const ProposedStep& due) {
   deciding_ = true;
   const std::string id =
       "rollout-" + host_ + "-" + std::to_string(next_command_++);
@@ -72,7 +74,7 @@
       events_.Record(EventCode::kRolloutStep, due.step.service, due.reason,
                      {{field::kVersion, due.step.version},
                       {field::kPhase, ToString(due.step.phase)},
-                      NumberField(field::kOrder, due.step.order)});
+                      IntegerField(field::kOrder, due.step.order)});
     }
   });
 }
@@ -81,7 +83,7 @@
                          const RolloutState& state) {
   told_[service].asking = true;
   const RolloutStatus wanted = StatusOf(service, state);
-  statuses_.Read(service, [this, wanted](const RolloutStatusRead& read) {
+  statuses_.Read(service, [this, wanted](const RolloutStatusReadResult& read) {
     OnRead(wanted, read);
   });
 }
@@ -94,7 +96,7 @@
 }
 
 void RolloutWriter::OnRead(const RolloutStatus& wanted,
-                           const RolloutStatusRead& read) {
+                           const RolloutStatusReadResult& read) {
   ToldStatus& told = told_[wanted.service];
   const bool known = read.outcome == StoreOutcome::kDone;
   if (!known || !IsCurrent(wanted) || read.status == wanted) {
@@ -104,7 +106,7 @@
   }
   // Whatever comes of it, the next read shows it.
   statuses_.Write(wanted, read.version,
-                  [this, wanted](const TableWrite& write) {
+                  [this, wanted](const TableWriteResult& write) {
                     ToldStatus& told = told_[wanted.service];
                     told.asking = false;
                     if (write.outcome == StoreOutcome::kDone) {
