--- a/src/pathcleat/records/rollout_writer_test.cpp
+++ b/src/pathcleat/records/rollout_writer_test.cpp
@@ -15,8 +15,8 @@
   void Scan(const std::string& from,
             const std::string& until,
             int,
-            std::function<void(TableScan)> callback) override {
-    TableScan scan{StoreOutcome::kDone, {}, false};
+            std::function<void(TableScanResult)> callback) override {
+    TableScanResult scan{StoreOutcome::kDone, {}, false};
     for (const auto& [key, row] : rows) {
       if (key >= from && key < until) {
         scan.rows.push_back(row);
@@ -27,16 +27,16 @@
   void Write(const std::string& key,
              std::uint64_t,
              const std::string& value,
-             std::function<void(TableWrite)> callback) override {
+             std::function<void(TableWriteResult)> callback) override {
     const bool added = rows.try_emplace(key, TableRow{key, 1, value}).second;
     callback({added ? StoreOutcome::kDone : StoreOutcome::kConflict, 1});
   }
   void Overwrite(const std::string&,
                  const std::string&,
-                 std::function<void(TableWrite)>) override {}
+                 std::function<void(TableWriteResult)>) override {}
   void Delete(const std::string&,
               std::uint64_t,
-              std::function<void(TableWrite)>) override {}
+              std::function<void(TableWriteResult)>) override {}
 
   std::map<std::string, TableRow> rows;
 };
@@ -45,14 +45,14 @@
 class SlowStatuses : public RolloutStatusStore {
  public:
   void Read(const std::string&,
-            std::function<void(RolloutStatusRead)> callback) override {
+            std::function<void(RolloutStatusReadResult)> callback) override {
     waiting.push_back([this, callback] {
       callback({StoreOutcome::kDone, version, status});
     });
   }
   void Write(const RolloutStatus& wanted,
              std::uint64_t expected,
-             std::function<void(TableWrite)> callback) override {
+             std::function<void(TableWriteResult)> callback) override {
     waiting.push_back([this, wanted, expected, callback] {
       if (lost > 0 || expected != version) {
         --lost;
--- a/src/pathcleat/rollouts/answer_judge.cpp
+++ b/src/pathcleat/rollouts/answer_judge.cpp
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-double UsualBad(const AnswerCounts& answers) {
+double ExpectedBadRatio(const AnswerCounts& answers) {
   return (static_cast<double>(answers.bad) + kAssumedBad) /
          (static_cast<double>(answers.total()) + kAssumedAnswers);
 }
@@ -50,7 +50,7 @@
   return ratio_ <= -kSure && worst_ < kInDoubt;
 }
 
-bool AnswerJudge::LeansGood() const {
+bool AnswerJudge::IsLikelyGood() const {
   return ratio_ < 0 && worst_ < kInDoubt;
 }
 
--- a/src/pathcleat/rollouts/rollout.cpp
+++ b/src/pathcleat/rollouts/rollout.cpp
@@ -72,7 +72,7 @@
   return first && gate_.IsOpen() ? canary_ : others_;
 }
 
-bool Rollout::StillAllows(const std::string& version) const {
+bool Rollout::IsVersionAllowed(const std::string& version) const {
   if (!state_ || state_->phase == RolloutPhase::kRunning) {
     return true;
   }
@@ -84,15 +84,16 @@
   gate_.OnSent(IsFresh(version));
 }
 
-void Rollout::SetSituation(const std::set<std::string>& versions,
-                           std::uint32_t on_others) {
+void Rollout::SetLocalState(const std::set<std::string>& versions,
+                            std::uint32_t on_others) {
   versions_ = versions;
   if (!versions.empty()) {
     fresh_runs_ = versions.contains(order_.version);
     others_run_ = versions.size() > versions.count(order_.version);
   }
   own_.on_others = on_others;
-  own_.promoted = state_ && state_->phase == RolloutPhase::kPromoted ? 1 : 0;
+  own_.promoted_host_count =
+      state_ && state_->phase == RolloutPhase::kPromoted ? 1 : 0;
 }
 
 void Rollout::OnAnswer(const std::string& version,
@@ -104,16 +105,17 @@
     return;
   }
   own_.fresh.Add(one);
-  own_.fresh_by_route[route].Add(one);
+  own_.new_version_by_route[route].Add(one);
 }
 
 void Rollout::Judge(Time now) {
-  board_.OnHost(incarnation_, own_, now);
-  const RolloutTally fleet = board_.OfFleet(now);
-  const double usual = UsualBad(fleet.others);
+  board_.OnHostTally(incarnation_, own_, now);
+  const RolloutTally fleet = board_.FleetTally(now);
+  const double usual = ExpectedBadRatio(fleet.others);
   all_.Add(Since(fleet.fresh, judged_.fresh), usual);
-  for (const auto& [route, answers] : fleet.fresh_by_route) {
-    by_route_[route].Add(Since(answers, judged_.fresh_by_route[route]), usual);
+  for (const auto& [route, answers] : fleet.new_version_by_route) {
+    by_route_[route].Add(Since(answers, judged_.new_version_by_route[route]),
+                         usual);
   }
   judged_ = fleet;
 }
@@ -123,7 +125,7 @@
     return false;
   }
   const auto answers = static_cast<double>(judged_.fresh.total());
-  const double usual = UsualBad(judged_.others);
+  const double usual = ExpectedBadRatio(judged_.others);
   const double error = std::sqrt(usual * (1 - usual) / answers);
   return static_cast<double>(judged_.fresh.bad) / answers >
          usual + kManyBadErrors * error;
@@ -139,7 +141,7 @@
 bool Rollout::IsGood() const {
   return all_.IsGood() &&
          std::all_of(by_route_.begin(), by_route_.end(), [](const auto& route) {
-           return route.second.LeansGood();
+           return route.second.IsLikelyGood();
          });
 }
 
@@ -152,11 +154,11 @@
   return step;
 }
 
-std::optional<RolloutStep> Rollout::Due(const RolloutFacts& facts,
-                                        Time now,
-                                        std::string& reason) const {
+std::optional<RolloutStep> Rollout::ProposeStep(const RolloutInput& facts,
+                                                Time now,
+                                                std::string& reason) const {
   if (!state_) {
-    if (!facts.ordered) {
+    if (!facts.is_order_active) {
       return std::nullopt;
     }
     reason = "an operator's order";
@@ -165,7 +167,7 @@
   if (state_->IsFinal()) {
     return std::nullopt;
   }
-  if (!facts.ordered) {
+  if (!facts.is_order_active) {
     reason = "the order was withdrawn";
     return StepTo(RolloutPhase::kRolledBack);
   }
@@ -178,7 +180,7 @@
              : WhilePromoted(facts, now, reason);
 }
 
-std::optional<RolloutStep> Rollout::WhileRunning(const RolloutFacts& facts,
+std::optional<RolloutStep> Rollout::WhileRunning(const RolloutInput& facts,
                                                  std::string& reason) const {
   RolloutStep promote = StepTo(RolloutPhase::kPromoted);
   promote.replaced = versions_;
@@ -201,12 +203,12 @@
 
 // The old version ends at once when this is completed: by then each host that
 // may send has said that it sends there no more, and what ran there has ended.
-std::optional<RolloutStep> Rollout::WhilePromoted(const RolloutFacts& facts,
+std::optional<RolloutStep> Rollout::WhilePromoted(const RolloutInput& facts,
                                                   Time now,
                                                   std::string& reason) const {
-  const RolloutTally fleet = board_.OfFleet(now);
+  const RolloutTally fleet = board_.FleetTally(now);
   if (fresh_runs_ && fleet.on_others == 0 &&
-      fleet.promoted >= static_cast<std::uint32_t>(facts.hosts)) {
+      fleet.promoted_host_count >= static_cast<std::uint32_t>(facts.hosts)) {
     reason = "nothing runs at other versions";
     return StepTo(RolloutPhase::kCompleted);
   }
--- a/src/pathcleat/rollouts/rollout_control.cpp
+++ b/src/pathcleat/rollouts/rollout_control.cpp
@@ -49,7 +49,7 @@
   RolloutTallies tallies;
   for (const auto& [service, rollout] : rollouts_) {
     if (rollout.state() && !rollout.state()->IsFinal()) {
-      tallies[service] = rollout.Own();
+      tallies[service] = rollout.OwnTally();
     }
   }
   return tallies;
@@ -59,7 +59,7 @@
   RolloutTallies tallies;
   for (const auto& [service, rollout] : rollouts_) {
     if (rollout.state() && !rollout.state()->IsFinal()) {
-      tallies[service] = rollout.board().OfDomain(now);
+      tallies[service] = rollout.tally_table().DomainTally(now);
     }
   }
   return tallies;
@@ -69,7 +69,8 @@
                                    const RolloutTallies& tallies,
                                    Time now) {
   for (auto& [service, rollout] : rollouts_) {
-    rollout.board().OnHost(incarnation, TallyIn(tallies, service), now);
+    rollout.tally_table().OnHostTally(incarnation, TallyIn(tallies, service),
+                                      now);
   }
 }
 
@@ -79,9 +80,9 @@
   for (auto& [service, rollout] : rollouts_) {
     const RolloutTally tally = TallyIn(tallies, service);
     if (domain == domain_) {
-      rollout.board().OnOwnDomain(tally, now);
+      rollout.tally_table().OnOwnDomainTally(tally, now);
     } else {
-      rollout.board().OnDomain(domain, tally, now);
+      rollout.tally_table().OnDomainTally(domain, tally, now);
     }
   }
 }
@@ -93,22 +94,22 @@
                      });
 }
 
-std::vector<DueStep> RolloutControl::Judge(const RolloutSurroundings& fleet,
-                                           Time now) {
-  std::vector<DueStep> due;
+std::vector<ProposedStep> RolloutControl::Judge(const RolloutContext& fleet,
+                                                Time now) {
+  std::vector<ProposedStep> due;
   for (auto& [service, rollout] : rollouts_) {
     if (rollout.state() && rollout.state()->IsFinal()) {
       continue;
     }
     rollout.Judge(now);
-    RolloutFacts facts;
-    facts.ordered = IsOrdered(rollout);
+    RolloutInput facts;
+    facts.is_order_active = IsOrdered(rollout);
     facts.hosts = fleet.hosts;
     if (rollout.state()) {
       facts.elapsed = Between(rollout.state()->started, fleet.time);
     }
     std::string reason;
-    if (const auto step = rollout.Due(facts, now, reason)) {
+    if (const auto step = rollout.ProposeStep(facts, now, reason)) {
       due.push_back({*step, reason});
     }
   }
--- a/src/pathcleat/rollouts/rollout_tally.cpp
+++ b/src/pathcleat/rollouts/rollout_tally.cpp
@@ -10,7 +10,7 @@
   bad += other.bad;
 }
 
-void AnswerCounts::Raise(const AnswerCounts& other) {
+void AnswerCounts::MergeMax(const AnswerCounts& other) {
   good = std::max(good, other.good);
   bad = std::max(bad, other.bad);
 }
--- a/src/pathcleat/rollouts/rollout_test.cpp
+++ b/src/pathcleat/rollouts/rollout_test.cpp
@@ -53,15 +53,15 @@
         to.OnHostTallies(from + 1, controls_[from].OwnTallies(), now);
       }
     }
-    RolloutSurroundings fleet;
+    RolloutContext fleet;
     fleet.hosts = static_cast<int>(controls_.size());
     fleet.time = {static_cast<std::uint64_t>(now.time_since_epoch().count()),
                   0};
     for (RolloutControl& control : controls_) {
-      control.Find("s")->SetSituation({"v1", "v2"}, 0);
+      control.Find("s")->SetLocalState({"v1", "v2"}, 0);
     }
     for (RolloutControl& control : controls_) {
-      for (const DueStep& due : control.Judge(fleet, now)) {
+      for (const ProposedStep& due : control.Judge(fleet, now)) {
         Apply(states_, due.step, fleet.time);
       }
     }
@@ -118,20 +118,20 @@
 
 // Promise: no decision exposes more than a tenth of a service's requests to a
 // version that is being tried, whatever hosts know of each other.
-// Checked to fail with the comparison in CanaryGate::IsOpen switched off.
+// Checked to fail with the comparison in CanaryLimiter::IsOpen switched off.
 Test(promise, tried_version_gets_its_share_at_most) {
   cr_assert(Holds("fresh <= 0.1 * sent, over deaths and starts", [] {
     const int hosts = *rc::gen::inRange(1, 8);
-    std::vector<CanaryGate> gates(static_cast<std::size_t>(hosts),
-                                  CanaryGate(0.08));
+    std::vector<CanaryLimiter> gates(static_cast<std::size_t>(hosts),
+                                     CanaryLimiter(0.08));
     const auto steps =
         *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, hosts * 20));
     int sent = 0;
     int fresh = 0;
     for (const int step : steps) {
-      CanaryGate& gate = gates[static_cast<std::size_t>(step % hosts)];
+      CanaryLimiter& gate = gates[static_cast<std::size_t>(step % hosts)];
       if (step < hosts) {
-        gate = CanaryGate(0.08);
+        gate = CanaryLimiter(0.08);
         continue;
       }
       const bool tries = gate.IsOpen();
@@ -253,9 +253,9 @@
   RolloutControl control("d", 1);
   RolloutStates states;
   const auto decide = [&](Time now) {
-    RolloutSurroundings fleet;
-    control.Find("s")->SetSituation({"v1", "v2"}, 0);
-    for (const DueStep& due : control.Judge(fleet, now)) {
+    RolloutContext fleet;
+    control.Find("s")->SetLocalState({"v1", "v2"}, 0);
+    for (const ProposedStep& due : control.Judge(fleet, now)) {
       Apply(states, due.step, {});
     }
     control.Adopt(states);
@@ -277,10 +277,10 @@
 Test(promise, old_version_does_not_end_while_work_runs_there) {
   RolloutControl control("d", 1);
   RolloutStates states;
-  RolloutSurroundings fleet;
+  RolloutContext fleet;
   const auto decide = [&](Time now, std::uint32_t under_way) {
-    control.Find("s")->SetSituation({"v2"}, under_way);
-    for (const DueStep& due : control.Judge(fleet, now)) {
+    control.Find("s")->SetLocalState({"v2"}, under_way);
+    for (const ProposedStep& due : control.Judge(fleet, now)) {
       Apply(states, due.step, {});
     }
     control.Adopt(states);
@@ -316,7 +316,7 @@
   RolloutControl control("d", 1);
   control.OnOrders({Order()});
   Rollout& rollout = *control.Find("s");
-  rollout.SetSituation({}, 0);
+  rollout.SetLocalState({}, 0);
   for (const RolloutPhase phase :
        {RolloutPhase::kRunning, RolloutPhase::kRolledBack}) {
     Decide(control, phase);
@@ -333,23 +333,23 @@
   RolloutControl control("d", 1);
   control.OnOrders({Order()});
   Rollout& rollout = *control.Find("s");
-  rollout.SetSituation({"v1", "v2"}, 0);
+  rollout.SetLocalState({"v1", "v2"}, 0);
   Decide(control, RolloutPhase::kRunning);
-  cr_assert(rollout.StillAllows("v1"));
-  cr_assert(rollout.StillAllows("v2"));
+  cr_assert(rollout.IsVersionAllowed("v1"));
+  cr_assert(rollout.IsVersionAllowed("v2"));
   Decide(control, RolloutPhase::kRolledBack);
-  cr_assert(rollout.StillAllows("v1"));
-  cr_assert_not(rollout.StillAllows("v2"));
+  cr_assert(rollout.IsVersionAllowed("v1"));
+  cr_assert_not(rollout.IsVersionAllowed("v2"));
 }
 
 Test(promise, promoted_version_gets_what_was_chosen_for_the_old_one) {
   RolloutControl control("d", 1);
   control.OnOrders({Order()});
   Rollout& rollout = *control.Find("s");
-  rollout.SetSituation({"v1", "v2"}, 0);
+  rollout.SetLocalState({"v1", "v2"}, 0);
   Decide(control, RolloutPhase::kPromoted);
-  cr_assert_not(rollout.StillAllows("v1"));
-  cr_assert(rollout.StillAllows("v2"));
+  cr_assert_not(rollout.IsVersionAllowed("v1"));
+  cr_assert(rollout.IsVersionAllowed("v2"));
 }
 
 // Where the list names no other version at all, what runs serves; the old one
@@ -359,10 +359,10 @@
   control.OnOrders({Order()});
   Rollout& rollout = *control.Find("s");
   Decide(control, RolloutPhase::kRolledBack);
-  rollout.SetSituation({"v2"}, 0);
+  rollout.SetLocalState({"v2"}, 0);
   cr_assert(rollout.RuleFor(false) == nullptr);
   Decide(control, RolloutPhase::kPromoted);
-  rollout.SetSituation({"v1"}, 0);
+  rollout.SetLocalState({"v1"}, 0);
   cr_assert(rollout.RuleFor(false) == nullptr);
   cr_assert(control.Judge({1, {}}, kStart).empty());
 }
--- a/src/pathcleat/rollouts/tally_board.cpp
+++ b/src/pathcleat/rollouts/tally_board.cpp
@@ -11,18 +11,18 @@
 constexpr Duration kFreshFor{2'500'000};
 
 void RaiseAnswers(RolloutTally& kept, const RolloutTally& told) {
-  kept.others.Raise(told.others);
-  kept.fresh.Raise(told.fresh);
-  for (const auto& [route, answers] : told.fresh_by_route) {
-    kept.fresh_by_route[route].Raise(answers);
+  kept.others.MergeMax(told.others);
+  kept.fresh.MergeMax(told.fresh);
+  for (const auto& [route, answers] : told.new_version_by_route) {
+    kept.new_version_by_route[route].MergeMax(answers);
   }
 }
 
 void AddAnswers(RolloutTally& sum, const RolloutTally& told) {
   sum.others.Add(told.others);
   sum.fresh.Add(told.fresh);
-  for (const auto& [route, answers] : told.fresh_by_route) {
-    sum.fresh_by_route[route].Add(answers);
+  for (const auto& [route, answers] : told.new_version_by_route) {
+    sum.new_version_by_route[route].Add(answers);
   }
 }
 
@@ -31,7 +31,7 @@
 void TallyBoard::Keep(Told& kept, const RolloutTally& tally, Time now) {
   RaiseAnswers(kept.tally, tally);
   kept.tally.on_others = tally.on_others;
-  kept.tally.promoted = tally.promoted;
+  kept.tally.promoted_host_count = tally.promoted_host_count;
   kept.heard = now;
 }
 
@@ -39,27 +39,27 @@
   AddAnswers(sum, told.tally);
   if (now - told.heard <= kFreshFor) {
     sum.on_others += told.tally.on_others;
-    sum.promoted += told.tally.promoted;
+    sum.promoted_host_count += told.tally.promoted_host_count;
   }
 }
 
-void TallyBoard::OnHost(std::uint64_t incarnation,
-                        const RolloutTally& tally,
-                        Time now) {
+void TallyBoard::OnHostTally(std::uint64_t incarnation,
+                             const RolloutTally& tally,
+                             Time now) {
   if (tally.order == order_) {
     Keep(hosts_[incarnation], tally, now);
   }
 }
 
-void TallyBoard::OnDomain(const std::string& domain,
-                          const RolloutTally& tally,
-                          Time now) {
+void TallyBoard::OnDomainTally(const std::string& domain,
+                               const RolloutTally& tally,
+                               Time now) {
   if (tally.order == order_) {
     Keep(domains_[domain], tally, now);
   }
 }
 
-void TallyBoard::OnOwnDomain(const RolloutTally& tally, Time now) {
+void TallyBoard::OnOwnDomainTally(const RolloutTally& tally, Time now) {
   if (tally.order == order_) {
     Keep(own_domain_, tally, now);
   }
@@ -67,7 +67,7 @@
 
 // A host of a large domain hears few others itself; both are of the same
 // answers.
-RolloutTally TallyBoard::OfDomain(Time now) const {
+RolloutTally TallyBoard::DomainTally(Time now) const {
   RolloutTally heard;
   heard.order = order_;
   for (const auto& [incarnation, host] : hosts_) {
@@ -77,12 +77,13 @@
   Add(told, own_domain_, now);
   RaiseAnswers(heard, told);
   heard.on_others = std::max(heard.on_others, told.on_others);
-  heard.promoted = std::max(heard.promoted, told.promoted);
+  heard.promoted_host_count =
+      std::max(heard.promoted_host_count, told.promoted_host_count);
   return heard;
 }
 
-RolloutTally TallyBoard::OfFleet(Time now) const {
-  RolloutTally sum = OfDomain(now);
+RolloutTally TallyBoard::FleetTally(Time now) const {
+  RolloutTally sum = DomainTally(now);
   for (const auto& [name, domain] : domains_) {
     Add(sum, domain, now);
   }
--- a/src/pathcleat/routing/admission.cpp
+++ b/src/pathcleat/routing/admission.cpp
@@ -5,22 +5,22 @@
 
 namespace pathcleat {
 
-Duration PlaceOf(const AdmissionInput& input) {
+Duration WaitPerQueuedRequest(const AdmissionInput& input) {
   return input.usual_run / std::max(1, input.slots);
 }
 
-Admission Admit(const AdmissionInput& input) {
-  const Duration spare = input.target_left - input.service;
+AdmissionDecision DecideAdmission(const AdmissionInput& input) {
+  const Duration spare = input.target_time_left - input.service;
   if (spare >= Duration::zero() && input.wait <= spare) {
-    return Admission::kInTime;
+    return AdmissionDecision::kAdmitInTime;
   }
-  const Duration place = PlaceOf(input);
+  const Duration place = WaitPerQueuedRequest(input);
   const Duration usual = input.target - input.usual_run;
-  const Duration longest = input.came_back ? usual + place : usual;
-  const bool may_be_late = input.came_back || spare < Duration::zero();
+  const Duration longest = input.is_retry ? usual + place : usual;
+  const bool may_be_late = input.is_retry || spare < Duration::zero();
   return may_be_late && input.wait <= std::max(place, longest)
-             ? Admission::kLate
-             : Admission::kRefuse;
+             ? AdmissionDecision::kLate
+             : AdmissionDecision::kRefuse;
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/routing/admission_control.cpp
+++ b/src/pathcleat/routing/admission_control.cpp
@@ -33,7 +33,7 @@
 // Until the end of the target latency, from the caller's first try on.
 Duration TargetLeft(const PickRequest& request, const RequestProfile& profile) {
   return request.route->target_latency -
-         profile.deadline.SinceFirstTry(request.caller_deadline);
+         profile.deadline.SinceFirstTry(request.caller_timeout);
 }
 
 // When an upstream that may not be sent to now may be, if that is known, and
@@ -46,11 +46,12 @@
 std::optional<Opening> OpeningOf(const UpstreamState& upstream,
                                  Duration usual_run,
                                  Time now) {
-  if (const auto retried = upstream.health.RetriedAt()) {
+  if (const auto retried = upstream.health.RetryTime()) {
     return Opening{*retried - now, usual_run};
   }
-  const auto takes =
-      upstream.IsBounded(now) ? upstream.share.TakesIn(now) : std::nullopt;
+  const auto takes = upstream.IsRateBounded(now)
+                         ? upstream.share.TimeUntilAvailable(now)
+                         : std::nullopt;
   if (takes) {
     return Opening{*takes, Times(kSecond, 1 / upstream.share.per_second())};
   }
@@ -59,15 +60,15 @@
 
 }  // namespace
 
-bool AdmissionControl::Admits(const Pick& pick,
-                              const PickRequest& request,
-                              RequestProfile& profile,
-                              Time now) {
+bool AdmissionControl::TryAdmit(const Pick& pick,
+                                const PickRequest& request,
+                                RequestProfile& profile,
+                                Time now) {
   if (!request.excluded.empty()) {
     return true;
   }
-  profile.deadline.OnRequest(request.caller_deadline);
-  if (!policy_.IsOn(Mechanism::kAdmission)) {
+  profile.deadline.OnRequest(request.caller_timeout);
+  if (!policy_.IsEnabled(Mechanism::kAdmission)) {
     return true;
   }
   AdmissionInput input;
@@ -76,44 +77,46 @@
   input.usual_run = profile.warmth.RunTime(true);
   input.slots = pick.upstream->info.slots;
   input.target = request.route->target_latency;
-  input.target_left = TargetLeft(request, profile);
-  input.came_back = input.target_left < input.target;
+  input.target_time_left = TargetLeft(request, profile);
+  input.is_retry = input.target_time_left < input.target;
   UrgencyLedger& urgency = urgency_[request.service];
   const std::string kind = KindOf(request);
-  if (!input.came_back) {
+  if (!input.is_retry) {
     urgency.OnOffered(kind, request.urgency(), now);
   }
   // Where slots are free, nobody has to yield.
-  const bool yields = input.wait > PlaceOf(input) && urgency.IsAhead(kind, now);
-  if (yields || Admit(input) == Admission::kRefuse) {
+  const bool yields = input.wait > WaitPerQueuedRequest(input) &&
+                      urgency.IsOverServed(kind, now);
+  if (yields || DecideAdmission(input) == AdmissionDecision::kRefuse) {
     return false;
   }
   urgency.OnSent(kind, now);
   return true;
 }
 
-Duration AdmissionControl::ReturnToQueue(const Pick& pick,
-                                         const PickRequest& request,
-                                         const RequestProfile& profile,
-                                         Time now) {
+Duration AdmissionControl::RetryDelayForQueue(const Pick& pick,
+                                              const PickRequest& request,
+                                              const RequestProfile& profile,
+                                              Time now) {
   const Duration service = pick.expected - pick.wait;
   const double slots = std::max(1, pick.upstream->info.slots);
-  ComebackWindow window;
+  RetryWindow window;
   window.room = pick.wait;
   window.in_time = TargetLeft(request, profile) - service;
-  window.latest = LatestReturn(request.CallerLeft(), service);
+  window.latest = LatestRetry(request.CallerTimeLeft(), service);
   window.spacing = Times(profile.warmth.RunTime(true),
                          1 / (slots * OwnShare(*pick.upstream, now)));
-  return pick.upstream->comeback.Book(window, now);
+  return pick.upstream->comeback.Reserve(window, now);
 }
 
-Duration AdmissionControl::ReturnToAny(const std::vector<UpstreamPtr>& open,
-                                       const PickRequest& request,
-                                       const RequestProfile& profile,
-                                       Time now) {
+Duration AdmissionControl::RetryDelayForAny(
+    const std::vector<UpstreamPtr>& open,
+    const PickRequest& request,
+    const RequestProfile& profile,
+    Time now) {
   const Duration run = profile.warmth.RunTime(true);
-  ComebackWindow window;
-  window.latest = LatestReturn(request.CallerLeft(), run);
+  RetryWindow window;
+  window.latest = LatestRetry(request.CallerTimeLeft(), run);
   window.in_time = TargetLeft(request, profile) - run;
   window.room = Duration::max();
   window.spacing = run;
@@ -122,7 +125,7 @@
   bool bounded_first = false;
   for (const UpstreamPtr& upstream : open) {
     const bool bounded =
-        !upstream->health.RetriedAt() && upstream->IsBounded(now);
+        !upstream->health.RetryTime() && upstream->IsRateBounded(now);
     bounded_rate += bounded ? upstream->share.per_second() : 0;
     const auto opening = OpeningOf(*upstream, run, now);
     if (opening && opening->in < window.room) {
@@ -136,7 +139,7 @@
     // Who comes back may get any of them.
     window.spacing = Times(kSecond, 1 / bounded_rate);
   }
-  return book->Book(window, now);
+  return book->Reserve(window, now);
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/routing/admission_control_test.cpp
+++ b/src/pathcleat/routing/admission_control_test.cpp
@@ -41,7 +41,7 @@
     PickRequest request;
     request.route = &route_;
     request.service = "service";
-    request.caller_deadline = deadline;
+    request.caller_timeout = deadline;
     request.time_left = std::min(deadline, route_.timeout);
     return request;
   }
@@ -74,7 +74,7 @@
   ReturnWorld world;
   world.TurnCold(5);
   cr_assert(world.Choose(kStart).upstream != nullptr);
-  world.upstream().share.TryTake(kStart);
+  world.upstream().share.TryAcquire(kStart);
   std::vector<Duration> told;
   for (int i = 0; i < 3; ++i) {
     const Pick refused = world.Choose(kStart);
@@ -101,7 +101,7 @@
   world.table().Put(other, kStart);
   for (const UpstreamPtr& upstream : world.table().All()) {
     upstream->share.SetRate(5, kStart);
-    upstream->share.TryTake(kStart);
+    upstream->share.TryAcquire(kStart);
   }
   std::vector<Duration> told;
   for (int i = 0; i < 3; ++i) {
@@ -114,7 +114,7 @@
   cr_assert_eq(told[2] - told[1], kApart);
 }
 
-// Checked to fail with RetriedAt taken out of OpeningOf.
+// Checked to fail with RetryTime taken out of OpeningOf.
 Test(admission_control, failed_upstream_is_returned_to_when_it_is_tried) {
   ReturnWorld world;
   world.route().target_latency = Duration(2'000'000);
@@ -123,7 +123,7 @@
   const Pick refused = world.Choose(kStart);
   cr_assert(refused.failure == PickFailure::kNoUpstream);
   cr_assert(kStart + refused.retry_after ==
-            *world.upstream().health.RetriedAt());
+            *world.upstream().health.RetryTime());
   cr_assert(world.Choose(kStart + refused.retry_after).upstream != nullptr);
 }
 
@@ -136,7 +136,7 @@
   cr_assert(world.Choose(kStart).retry_after < refused.retry_after);
 }
 
-// Checked to fail with window.latest = request.time_left in ReturnToQueue.
+// Checked to fail with window.latest = request.time_left in RetryDelayForQueue.
 Test(admission_control, nobody_is_told_what_it_cannot_use) {
   cr_assert(Holds("told <= a third of the deadline, for any queue", [] {
     ReturnWorld world;
@@ -152,7 +152,8 @@
   }));
 }
 
-// Checked to fail with Book replaced by its window's room in ReturnToQueue.
+// Checked to fail with Book replaced by its window's room in
+// RetryDelayForQueue.
 Test(admission_control, those_refused_for_a_queue_come_one_by_one) {
   ReturnWorld world;
   constexpr int kQueue = 12;
--- a/src/pathcleat/routing/admission_test.cpp
+++ b/src/pathcleat/routing/admission_test.cpp
@@ -16,39 +16,42 @@
   input.usual_run = kUsualRun;
   input.slots = 3;
   input.target = kTarget;
-  input.target_left = kTarget;
+  input.target_time_left = kTarget;
   return input;
 }
 
 Test(admission, first_try_waits_as_long_as_it_is_in_time) {
   const Duration service{160'000};
-  cr_assert(Admit(FirstTry(kTarget - service, service)) == Admission::kInTime);
-  cr_assert(Admit(FirstTry(kTarget - service + Duration(1), service)) ==
-            Admission::kRefuse);
+  cr_assert(DecideAdmission(FirstTry(kTarget - service, service)) ==
+            AdmissionDecision::kAdmitInTime);
+  cr_assert(DecideAdmission(FirstTry(kTarget - service + Duration(1),
+                                     service)) == AdmissionDecision::kRefuse);
 }
 
 // Checked to fail with may_be_late true for all, and with it false for all.
 Test(admission, late_for_its_run_alone_waits_as_long_as_a_usual_one) {
   const Duration service{500'000};
   const Duration longest = kTarget - kUsualRun;
-  cr_assert(Admit(FirstTry(longest, service)) == Admission::kLate);
-  cr_assert(Admit(FirstTry(longest + Duration(1), service)) ==
-            Admission::kRefuse);
+  cr_assert(DecideAdmission(FirstTry(longest, service)) ==
+            AdmissionDecision::kLate);
+  cr_assert(DecideAdmission(FirstTry(longest + Duration(1), service)) ==
+            AdmissionDecision::kRefuse);
   const Duration in_time{350'000};
-  cr_assert(Admit(FirstTry(longest, in_time)) == Admission::kRefuse);
+  cr_assert(DecideAdmission(FirstTry(longest, in_time)) ==
+            AdmissionDecision::kRefuse);
 }
 
-// Checked to fail with input.came_back let through in Admit, and without the
+// Checked to fail with input.is_retry let through in Admit, and without the
 // place.
 Test(admission, return_waits_one_place_longer_than_a_usual_first_try) {
   const Duration place = kUsualRun / 3;
   AdmissionInput input =
       FirstTry(kTarget - kUsualRun + place, Duration(160'000));
-  input.came_back = true;
-  input.target_left = Duration(-600'000);
-  cr_assert(Admit(input) == Admission::kLate);
+  input.is_retry = true;
+  input.target_time_left = Duration(-600'000);
+  cr_assert(DecideAdmission(input) == AdmissionDecision::kLate);
   input.wait += Duration(1);
-  cr_assert(Admit(input) == Admission::kRefuse);
+  cr_assert(DecideAdmission(input) == AdmissionDecision::kRefuse);
 }
 
 Test(admission, free_slot_is_open_to_all) {
@@ -57,10 +60,10 @@
     input.service = Duration(*rc::gen::inRange(0, 3'000'000));
     input.usual_run = Duration(*rc::gen::inRange(0, 1'000'000));
     input.target = Duration(*rc::gen::inRange(1, 1'000'000));
-    input.target_left =
+    input.target_time_left =
         input.target - Duration(*rc::gen::inRange(0, 3'000'000));
-    input.came_back = input.target_left < input.target;
-    RC_ASSERT(Admit(input) != Admission::kRefuse);
+    input.is_retry = input.target_time_left < input.target;
+    RC_ASSERT(DecideAdmission(input) != AdmissionDecision::kRefuse);
   }));
 }
 
@@ -68,11 +71,11 @@
   cr_assert(Holds("a shorter wait is not refused where a longer is not", [] {
     AdmissionInput input = FirstTry(Duration(*rc::gen::inRange(0, 900'000)),
                                     Duration(*rc::gen::inRange(0, 900'000)));
-    input.came_back = *rc::gen::arbitrary<bool>();
-    if (Admit(input) != Admission::kRefuse) {
+    input.is_retry = *rc::gen::arbitrary<bool>();
+    if (DecideAdmission(input) != AdmissionDecision::kRefuse) {
       input.wait -= Duration(
           *rc::gen::inRange(0, static_cast<int>(input.wait.count()) + 1));
-      RC_ASSERT(Admit(input) != Admission::kRefuse);
+      RC_ASSERT(DecideAdmission(input) != AdmissionDecision::kRefuse);
     }
   }));
 }
--- a/src/pathcleat/routing/bound_room.cpp
+++ b/src/pathcleat/routing/bound_room.cpp
@@ -66,9 +66,9 @@
   return std::min(kMostTaken, busy / slots);
 }
 
-double BoundRoom::PartOf(const std::string& service,
-                         const std::string& region,
-                         double slots) {
+double BoundRoom::ShareOf(const std::string& service,
+                          const std::string& region,
+                          double slots) {
   const double taken = Taken(service, region, slots);
   double& told = told_[{service, region}];
   if (std::abs(taken - told) > kStep * kBeyondStep) {
--- a/src/pathcleat/routing/bound_room_test.cpp
+++ b/src/pathcleat/routing/bound_room_test.cpp
@@ -25,9 +25,9 @@
 
 Test(bound_room, demand_takes_its_part_of_its_region_alone) {
   BoundRoom room = Settled(200);
-  cr_assert_float_eq(room.PartOf("s", "north", 156), 0.5, 0.01);
-  cr_assert_eq(room.PartOf("s", "south", 156), 0.0);
-  cr_assert_eq(room.PartOf("other", "north", 156), 0.0);
+  cr_assert_float_eq(room.ShareOf("s", "north", 156), 0.5, 0.01);
+  cr_assert_eq(room.ShareOf("s", "south", 156), 0.0);
+  cr_assert_eq(room.ShareOf("other", "north", 156), 0.0);
 }
 
 Test(bound_room, services_take_by_their_part_of_the_requests) {
@@ -38,27 +38,27 @@
   for (int i = 0; i < kLong; ++i) {
     room.SetDemand({{"north", 300}});
   }
-  cr_assert_float_eq(room.PartOf("large", "north", 160), 0.5, 0.01);
-  cr_assert_float_eq(room.PartOf("small", "north", 80), 0.5, 0.01);
+  cr_assert_float_eq(room.ShareOf("large", "north", 160), 0.5, 0.01);
+  cr_assert_float_eq(room.ShareOf("small", "north", 80), 0.5, 0.01);
 }
 
 // Hosts hear of the demand a little differently and are to place keys alike.
 Test(bound_room, small_differences_are_not_told) {
   BoundRoom room = Settled(200);
-  const double before = room.PartOf("s", "north", 156);
+  const double before = room.ShareOf("s", "north", 156);
   for (int i = 0; i < kLong; ++i) {
     room.SetDemand({{"north", i % 2 == 0 ? 180.0 : 220.0}});
-    cr_assert_eq(room.PartOf("s", "north", 156), before);
+    cr_assert_eq(room.ShareOf("s", "north", 156), before);
   }
 }
 
 Test(bound_room, something_is_left_and_what_ends_is_given_back) {
   BoundRoom room = Settled(2'000);
-  cr_assert_lt(room.PartOf("s", "north", 156), 0.9);
+  cr_assert_lt(room.ShareOf("s", "north", 156), 0.9);
   for (int i = 0; i < kLong; ++i) {
     room.SetDemand({});
   }
-  cr_assert_eq(room.PartOf("s", "north", 156), 0.0);
+  cr_assert_eq(room.ShareOf("s", "north", 156), 0.0);
 }
 
 }  // namespace
--- a/src/pathcleat/routing/comeback.cpp
+++ b/src/pathcleat/routing/comeback.cpp
@@ -13,13 +13,13 @@
 
 }  // namespace
 
-Duration LatestReturn(Duration caller_left, Duration service) {
+Duration LatestRetry(Duration caller_left, Duration service) {
   const Duration heeded = caller_left / kHeededPart;
   const Duration answered = caller_left - service;
   return std::max(Duration::zero(), std::min(heeded, answered));
 }
 
-Duration Comeback::Book(const ComebackWindow& window, Time now) {
+Duration Comeback::Reserve(const RetryWindow& window, Time now) {
   booked_.erase(booked_.begin(), booked_.lower_bound(now));
   const Duration latest = std::max(window.latest, Duration::zero());
   const Duration room = std::max(window.room, Duration::zero());
@@ -31,7 +31,7 @@
   return place;
 }
 
-Duration Comeback::Place(const ComebackWindow& window, Time now) const {
+Duration Comeback::Place(const RetryWindow& window, Time now) const {
   const Duration in_time = std::min(window.in_time, window.latest);
   if (window.room <= in_time) {
     if (const auto first =
--- a/src/pathcleat/routing/key_placement.cpp
+++ b/src/pathcleat/routing/key_placement.cpp
@@ -66,7 +66,7 @@
     return std::numeric_limits<double>::infinity();
   }
   // From (0, 1]: the logarithm of zero is no distance.
-  const double unit = 1 - UnitOfHash(MixHashes(key, upstream));
+  const double unit = 1 - ToUnitInterval(MixHashes(key, upstream));
   return -std::log(unit) / weight;
 }
 
@@ -77,9 +77,9 @@
   std::sort(candidates.begin(), candidates.end(), IsNearer);
 }
 
-void KeepKeyNear(std::vector<Candidate>& candidates,
-                 std::uint64_t key,
-                 const RegionShares& shares) {
+void KeepNearestToKey(std::vector<Candidate>& candidates,
+                      std::uint64_t key,
+                      const RegionShares& shares) {
   MeasureAll(candidates, key, shares);
   const std::size_t kept = std::min(kNearUpstreams + 1, candidates.size());
   std::partial_sort(candidates.begin(),
--- a/src/pathcleat/routing/key_placement_test.cpp
+++ b/src/pathcleat/routing/key_placement_test.cpp
@@ -27,7 +27,7 @@
 }
 
 RegionShares SharesOf(const std::map<std::string, int>& counts) {
-  std::map<std::string, RegionRoom> regions;
+  std::map<std::string, RegionCapacity> regions;
   for (const auto& [region, count] : counts) {
     regions[region] = {count * 3.0, 1};
   }
@@ -51,7 +51,7 @@
   const RegionShares shares = SharesOf(counts);
   for (std::uint64_t key = 0; key < 200; ++key) {
     std::vector<Candidate> kept = CandidatesIn(counts);
-    KeepKeyNear(kept, MixHashes(key, 5), shares);
+    KeepNearestToKey(kept, MixHashes(key, 5), shares);
     cr_assert_eq(kept.size(), 3U);
     std::set<std::string> regions;
     for (const Candidate& candidate : kept) {
--- a/src/pathcleat/routing/kind_regions_test.cpp
+++ b/src/pathcleat/routing/kind_regions_test.cpp
@@ -65,7 +65,7 @@
     PickerSettings settings;
     settings.region = "north";
     settings.domain = "n";
-    settings.region_gigabyte_cost = 10'000;
+    settings.cross_region_cost_per_gigabyte = 10'000;
     return settings;
   }
 
--- a/src/pathcleat/routing/limit_exchange.cpp
+++ b/src/pathcleat/routing/limit_exchange.cpp
@@ -27,22 +27,22 @@
                              std::string domain)
     : table_(table), host_(std::move(host)), domain_(std::move(domain)) {}
 
-void LimitExchange::OnNamed(const UpstreamPtr& upstream,
-                            double per_second,
-                            Time now) {
+void LimitExchange::OnLimitReported(const UpstreamPtr& upstream,
+                                    double per_second,
+                                    Time now) {
   TakeOwn(upstream, {per_second, now, host_, domain_}, now);
 }
 
-void LimitExchange::OnNotNamed(const UpstreamPtr& upstream,
-                               Time sent,
-                               Time now) {
+void LimitExchange::OnNoLimitReported(const UpstreamPtr& upstream,
+                                      Time sent,
+                                      Time now) {
   if (upstream->limit.sign() && upstream->limit.sign()->per_second) {
     TakeOwn(upstream, {std::nullopt, sent, host_, domain_}, now);
   }
 }
 
 void LimitExchange::TakeOwn(const UpstreamPtr& upstream,
-                            const LimitSign& sign,
+                            const LimitObservation& sign,
                             Time now) {
   const LimitChange change = Take(upstream, sign, now);
   if (change != LimitChange::kNone && on_news_) {
@@ -51,10 +51,10 @@
 }
 
 LimitChange LimitExchange::Take(const UpstreamPtr& upstream,
-                                const LimitSign& sign,
+                                const LimitObservation& sign,
                                 Time now) {
-  const LimitChange change = table_.TakeLimit(upstream, sign, now);
-  const LimitSign* newest = upstream->limit.sign();
+  const LimitChange change = table_.UpdateLimit(upstream, sign, now);
+  const LimitObservation* newest = upstream->limit.sign();
   if (newest != nullptr && newest->at == sign.at) {
     recent_[upstream->info.id] = upstream;
   }
@@ -95,7 +95,7 @@
 LimitReport LimitExchange::Report(
     bool pass_on,
     const Upstreams& told,
-    const std::function<bool(const LimitSign&)>& tells,
+    const std::function<bool(const LimitObservation&)>& tells,
     Time now) {
   LimitReport report{domain_, host_, pass_on, {}};
   auto next = told.upper_bound(last_told_);
@@ -103,16 +103,16 @@
     if (next == told.end()) {
       next = told.begin();
     }
-    const LimitSign& sign = *next->second->limit.sign();
+    const LimitObservation& sign = *next->second->limit.sign();
     if (!tells(sign)) {
       continue;
     }
-    if (report.entries.size() == kMostLimitEntries) {
+    if (report.entries.size() == kMaxLimitEntries) {
       last_told_ = report.entries.back().upstream;
       break;
     }
     const float per_second =
-        sign.per_second ? static_cast<float>(*sign.per_second) : kNamesNoLimit;
+        sign.per_second ? static_cast<float>(*sign.per_second) : kNoRateLimit;
     report.entries.push_back({next->first, per_second, AgeMs(sign.at, now)});
   }
   return report;
@@ -125,27 +125,28 @@
   });
   return Report(
       false, recent_,
-      [this](const LimitSign& sign) { return sign.host == host_; }, now);
+      [this](const LimitObservation& sign) { return sign.host == host_; }, now);
 }
 
 LimitReport LimitExchange::DomainLimits(Time now) {
   return Report(
       true, recent_,
-      [this](const LimitSign& sign) { return sign.domain == domain_; }, now);
+      [this](const LimitObservation& sign) { return sign.domain == domain_; },
+      now);
 }
 
-LimitReport LimitExchange::KnownLimits(Time now) {
+LimitReport LimitExchange::LimitSnapshot(Time now) {
   return Report(
-      false, in_force_, [](const LimitSign&) { return true; }, now);
+      false, in_force_, [](const LimitObservation&) { return true; }, now);
 }
 
-void LimitExchange::OnLimits(const LimitReport& report, Time now) {
+void LimitExchange::OnLimitReport(const LimitReport& report, Time now) {
   for (const LimitEntry& entry : report.entries) {
     const UpstreamPtr upstream = table_.Find(entry.upstream);
     if (!upstream) {
       continue;
     }
-    LimitSign sign;
+    LimitObservation sign;
     if (entry.per_second >= 0) {
       sign.per_second = static_cast<double>(entry.per_second);
     }
--- a/src/pathcleat/routing/limit_exchange_test.cpp
+++ b/src/pathcleat/routing/limit_exchange_test.cpp
@@ -25,7 +25,7 @@
     exchange.SetOnChange([this](UpstreamState&, LimitChange change) {
       changes.push_back(change);
     });
-    exchange.OnNews([this] { ++news; });
+    exchange.SetOnUpdate([this] { ++news; });
   }
 
   UpstreamPtr upstream(int i = 0) {
@@ -41,11 +41,11 @@
 Test(limit_exchange, tells_what_was_named_here_and_others_take_it) {
   HostView told("a", "d1");
   HostView other("b", "d2");
-  told.exchange.OnNamed(told.upstream(), 1.7, kStart);
+  told.exchange.OnLimitReported(told.upstream(), 1.7, kStart);
   cr_assert_eq(told.news, 1);
   const LimitReport report = told.exchange.OwnLimits(kStart);
   cr_assert_eq(report.entries.size(), 1U);
-  other.exchange.OnLimits(*DecodeLimits(EncodeLimits(report)), kStart);
+  other.exchange.OnLimitReport(*DecodeLimits(EncodeLimits(report)), kStart);
   cr_assert(other.upstream()->limit.IsInForce(kStart));
   cr_assert_float_eq(other.upstream()->limit.PerSecond(kStart), 1.7, 1e-5);
   cr_assert_eq(other.changes.size(), 1U);
@@ -59,11 +59,11 @@
   HostView host("a", "d1");
   HostView other("b", "d1");
   for (int i = 0; i < 5; ++i) {
-    host.exchange.OnNamed(host.upstream(), 1.7, kStart + i * kSecond);
-    other.exchange.OnLimits(host.exchange.OwnLimits(kStart + i * kSecond),
-                            kStart + i * kSecond);
+    host.exchange.OnLimitReported(host.upstream(), 1.7, kStart + i * kSecond);
+    other.exchange.OnLimitReport(host.exchange.OwnLimits(kStart + i * kSecond),
+                                 kStart + i * kSecond);
   }
-  other.exchange.OnNamed(other.upstream(), 1.7, kStart + 5 * kSecond);
+  other.exchange.OnLimitReported(other.upstream(), 1.7, kStart + 5 * kSecond);
   cr_assert_eq(host.changes.size(), 1U);
   cr_assert_eq(other.changes.size(), 1U);
 }
@@ -72,14 +72,14 @@
 Test(limit_exchange, signs_that_hosts_repeat_grow_old) {
   HostView a("a", "d1");
   HostView b("b", "d1");
-  a.exchange.OnNamed(a.upstream(), 1, kStart);
+  a.exchange.OnLimitReported(a.upstream(), 1, kStart);
   constexpr Duration kWay{50'000};
   Time now = kStart;
   for (int i = 0; i < 40; ++i, now += kSecond / 2) {
     a.exchange.OwnLimits(now);
     b.exchange.OwnLimits(now);
-    b.exchange.OnLimits(a.exchange.DomainLimits(now), now + kWay);
-    a.exchange.OnLimits(b.exchange.DomainLimits(now), now + kWay);
+    b.exchange.OnLimitReport(a.exchange.DomainLimits(now), now + kWay);
+    a.exchange.OnLimitReport(b.exchange.DomainLimits(now), now + kWay);
   }
   cr_assert_leq(a.upstream()->limit.sign()->at, kStart);
   cr_assert_leq(b.upstream()->limit.sign()->at, kStart);
@@ -89,11 +89,11 @@
 Test(limit_exchange, end_is_told_and_taken) {
   HostView a("a", "d1");
   HostView b("b", "d1");
-  a.exchange.OnNamed(a.upstream(), 1, kStart);
-  b.exchange.OnLimits(a.exchange.OwnLimits(kStart), kStart);
+  a.exchange.OnLimitReported(a.upstream(), 1, kStart);
+  b.exchange.OnLimitReport(a.exchange.OwnLimits(kStart), kStart);
   const Time later = kStart + 3 * kSecond;
-  a.exchange.OnNotNamed(a.upstream(), kStart + 2 * kSecond, later);
-  b.exchange.OnLimits(a.exchange.OwnLimits(later), later);
+  a.exchange.OnNoLimitReported(a.upstream(), kStart + 2 * kSecond, later);
+  b.exchange.OnLimitReport(a.exchange.OwnLimits(later), later);
   cr_assert_not(b.upstream()->limit.IsInForce(later));
   cr_assert(b.exchange.in_force().empty());
   cr_assert(b.changes.back() == LimitChange::kEnded);
@@ -101,7 +101,7 @@
 
 Test(limit_exchange, limit_that_nobody_hears_of_lapses) {
   HostView host("a", "d1");
-  host.exchange.OnNamed(host.upstream(), 1, kStart);
+  host.exchange.OnLimitReported(host.upstream(), 1, kStart);
   host.exchange.Tick(kStart + 12 * kSecond);
   cr_assert_eq(host.exchange.in_force().size(), 1U);
   host.exchange.Tick(kStart + 120 * kSecond);
@@ -116,13 +116,13 @@
   HostView host("a", "d1", kUpstreams);
   HostView other("b", "d1", kUpstreams);
   for (int i = 0; i < kUpstreams; ++i) {
-    host.exchange.OnNamed(host.upstream(i), 1, kStart);
+    host.exchange.OnLimitReported(host.upstream(i), 1, kStart);
   }
   for (int round = 0; round < 3; ++round) {
     const LimitReport report = host.exchange.OwnLimits(kStart);
-    cr_assert_leq(report.entries.size(), kMostLimitEntries);
+    cr_assert_leq(report.entries.size(), kMaxLimitEntries);
     cr_assert_leq(EncodeLimits(report).size(), 1'400U);
-    other.exchange.OnLimits(report, kStart);
+    other.exchange.OnLimitReport(report, kStart);
   }
   cr_assert_eq(other.exchange.in_force().size(), std::size_t{kUpstreams});
 }
@@ -130,19 +130,19 @@
 Test(limit_exchange, host_that_starts_is_told_what_is_in_force) {
   HostView host("a", "d1");
   HostView fresh("b", "d1");
-  host.exchange.OnNamed(host.upstream(), 1, kStart);
+  host.exchange.OnLimitReported(host.upstream(), 1, kStart);
   const Time later = kStart + 5 * kSecond;
   cr_assert(host.exchange.OwnLimits(later).entries.empty());
-  fresh.exchange.OnLimits(host.exchange.KnownLimits(later), later);
+  fresh.exchange.OnLimitReport(host.exchange.LimitSnapshot(later), later);
   cr_assert(fresh.upstream()->limit.IsInForce(later));
 }
 
 // An upstream that started again under its id knows nothing of before.
 Test(limit_exchange, limit_goes_with_the_incarnation) {
   HostView host("a", "d1");
-  host.exchange.OnNamed(host.upstream(), 1, kStart);
+  host.exchange.OnLimitReported(host.upstream(), 1, kStart);
   UpstreamInfo again = host.upstream()->info;
-  again.born = 7;
+  again.started_ms = 7;
   host.table.Put(again, kStart);
   host.exchange.Tick(kStart);
   cr_assert_not(host.upstream()->limit.IsInForce(kStart));
--- a/src/pathcleat/routing/link_limits.cpp
+++ b/src/pathcleat/routing/link_limits.cpp
@@ -9,7 +9,7 @@
 LinkLimits::LinkLimits(std::map<std::string, int> most_in_flight)
     : most_(std::move(most_in_flight)) {}
 
-bool LinkLimits::HasRoom(const std::string& region) const {
+bool LinkLimits::HasCapacity(const std::string& region) const {
   const auto most = most_.find(region);
   if (most == most_.end()) {
     return true;
--- a/src/pathcleat/routing/list_delta_test.cpp
+++ b/src/pathcleat/routing/list_delta_test.cpp
@@ -24,9 +24,9 @@
   return routes;
 }
 
-std::size_t AddedIn(const std::vector<ListStep<Route>>& steps) {
+std::size_t AddedIn(const std::vector<ListDeltaStep<Route>>& steps) {
   std::size_t added = 0;
-  for (const ListStep<Route>& step : steps) {
+  for (const ListDeltaStep<Route>& step : steps) {
     added += step.added.size();
   }
   return added;
@@ -37,11 +37,12 @@
   cr_assert(Holds("the new list in its order", [] {
     const auto old_routes = AnyRoutes();
     const auto routes = AnyRoutes();
-    const ListMarks marks = MarksOf(routes);
-    const auto steps = StepsBetween(MarksOf(old_routes), routes, marks);
-    const auto made = ApplySteps(old_routes, steps, DigestOf(marks));
+    const ListHashes marks = ContentHashes(routes);
+    const auto steps =
+        ComputeListDelta(ContentHashes(old_routes), routes, marks);
+    const auto made = ApplyListDelta(old_routes, steps, DigestOf(marks));
     RC_ASSERT(made.has_value());
-    RC_ASSERT(MarksOf(*made) == marks);
+    RC_ASSERT(ContentHashes(*made) == marks);
   }));
 }
 
@@ -50,9 +51,9 @@
   for (std::size_t i = 0; i < routes.size(); ++i) {
     routes[i].name = std::to_string(i);
   }
-  const ListMarks old_marks = MarksOf(routes);
+  const ListHashes old_marks = ContentHashes(routes);
   routes[700].home_regions = {"north"};
-  const auto steps = StepsBetween(old_marks, routes, MarksOf(routes));
+  const auto steps = ComputeListDelta(old_marks, routes, ContentHashes(routes));
   cr_assert_eq(AddedIn(steps), 1U);
   cr_assert_eq(steps.size(), 2U);
 }
@@ -74,10 +75,10 @@
   routes[10].max_attempts = 2;
   routes[11].timeout += Duration(1);
   routes[12].target_latency += Duration(1);
-  routes[13].needs_key = false;
+  routes[13].needs_account_key = false;
   routes.push_back(plain);
   routes.back().home_regions = {"north"};
-  ListMarks marks = MarksOf(routes);
+  ListHashes marks = ContentHashes(routes);
   std::sort(marks.begin(), marks.end());
   cr_assert(std::adjacent_find(marks.begin(), marks.end()) == marks.end());
 }
@@ -87,13 +88,13 @@
   const std::vector<Route> old_routes(3);
   std::vector<Route> routes(3);
   routes[0].name = "new";
-  const ListMarks marks = MarksOf(routes);
-  const auto steps = StepsBetween(MarksOf(old_routes), routes, marks);
+  const ListHashes marks = ContentHashes(routes);
+  const auto steps = ComputeListDelta(ContentHashes(old_routes), routes, marks);
   std::vector<Route> other(3);
   other[0].name = "other";
-  cr_assert(ApplySteps(old_routes, steps, DigestOf(marks)).has_value());
-  cr_assert_not(ApplySteps(other, steps, DigestOf(marks)).has_value());
-  cr_assert_not(ApplySteps<Route>({}, steps, DigestOf(marks)).has_value());
+  cr_assert(ApplyListDelta(old_routes, steps, DigestOf(marks)).has_value());
+  cr_assert_not(ApplyListDelta(other, steps, DigestOf(marks)).has_value());
+  cr_assert_not(ApplyListDelta<Route>({}, steps, DigestOf(marks)).has_value());
 }
 
 }  // namespace
--- a/src/pathcleat/routing/rate_share_test.cpp
+++ b/src/pathcleat/routing/rate_share_test.cpp
@@ -73,7 +73,7 @@
     std::deque<Time> sent;
     for (Time now = start; now < start + 3 * kWindow; now += kStep) {
       for (Sender& sender : fleet) {
-        if (sender.share.TryTake(now)) {
+        if (sender.share.TryAcquire(now)) {
           sent.push_back(now);
         }
       }
@@ -147,7 +147,7 @@
     int senders = 0;
     for (int i = 0; i < count; ++i) {
       RateSenders part(fleet[i].place.hash, "near");
-      part.SetKnown(count);
+      part.SetFleetSize(count);
       for (int other = 0; other < count; ++other) {
         if (other != i && (other < in_first) == (i < in_first)) {
           part.Add(fleet[other].place.hash, "near");
--- a/src/pathcleat/routing/region_shares.cpp
+++ b/src/pathcleat/routing/region_shares.cpp
@@ -22,7 +22,7 @@
   return found == weights.end() ? 0 : found->second;
 }
 
-double SlotsLeft(const RegionRoom& room) {
+double SlotsLeft(const RegionCapacity& room) {
   return room.slots * (1 - room.bound);
 }
 
@@ -31,7 +31,8 @@
 // What is placed by room goes by the slots that are left beside what may run
 // nowhere else. Callers are taken to spread over the regions as the hosts do,
 // and all regions are to be equally busy.
-void RegionShares::Update(const std::map<std::string, RegionRoom>& regions) {
+void RegionShares::Update(
+    const std::map<std::string, RegionCapacity>& regions) {
   double slots = 0;
   double hosts = 0;
   for (const auto& [name, room] : regions) {
@@ -52,7 +53,8 @@
     }
   }
   const auto own = regions.find(own_region_);
-  const RegionRoom home = own == regions.end() ? RegionRoom{} : own->second;
+  const RegionCapacity home =
+      own == regions.end() ? RegionCapacity{} : own->second;
   const double home_need = need_of_host * std::max(1, home.hosts);
   home_share_ = home_need > 0 ? std::min(1.0, SlotsLeft(home) / home_need) : 0;
   const double pull = keeps_home_ ? kHomePull : 0;
--- a/src/pathcleat/routing/region_shares_test.cpp
+++ b/src/pathcleat/routing/region_shares_test.cpp
@@ -18,14 +18,14 @@
 // Weight of all slots of a region for the keys of another.
 double Part(const RegionShares& shares,
             const std::string& region,
-            const RegionRoom& room) {
+            const RegionCapacity& room) {
   return room.slots > 0 ? shares.WeightOf(UpstreamIn(region, 1)) * room.slots
                         : 0;
 }
 
 Test(region_shares, all_keys_have_an_upstream) {
   cr_assert(Holds("the parts of all regions add up to one", [] {
-    std::map<std::string, RegionRoom> regions;
+    std::map<std::string, RegionCapacity> regions;
     double slots = 0;
     for (const std::string name : {"a", "b", "c"}) {
       regions[name].slots = *rc::gen::inRange(0, 200);
@@ -47,7 +47,7 @@
 // that region are placed as if it had half of its slots. Checked to fail with
 // room.bound left out of SlotsLeft.
 Test(region_shares, room_that_others_are_bound_to_is_left_to_them) {
-  std::map<std::string, RegionRoom> regions{
+  std::map<std::string, RegionCapacity> regions{
       {"north", {156, 20}}, {"west", {744, 24}}, {"south", {624, 22}}};
   RegionShares north("north", true);
   north.Update(regions);
@@ -66,7 +66,7 @@
 
 // Checked to fail with kHomePull at 0.
 Test(region_shares, region_with_room_keeps_most_of_its_keys) {
-  const std::map<std::string, RegionRoom> regions{
+  const std::map<std::string, RegionCapacity> regions{
       {"north", {10, 4}}, {"west", {40, 4}}, {"south", {50, 4}}};
   RegionShares south("south", true);
   south.Update(regions);
@@ -82,7 +82,7 @@
 // No decision overloads a region: what all regions send to one together is
 // its part of all slots, give or take a fifth.
 Test(region_shares, regions_are_about_equally_busy) {
-  const std::map<std::string, RegionRoom> regions{
+  const std::map<std::string, RegionCapacity> regions{
       {"north", {10, 4}}, {"west", {40, 4}}, {"south", {50, 4}}};
   for (const auto& [target, room] : regions) {
     double sent = 0;
@@ -97,16 +97,16 @@
 }
 
 Test(region_shares, without_regions_slots_alone_count) {
-  const std::map<std::string, RegionRoom> regions{{"north", {10, 4}},
-                                                  {"south", {30, 4}}};
+  const std::map<std::string, RegionCapacity> regions{{"north", {10, 4}},
+                                                      {"south", {30, 4}}};
   RegionShares shares("north", false);
   shares.Update(regions);
   cr_assert_float_eq(Part(shares, "north", regions.at("north")), 0.25, 1e-9);
 }
 
 Test(region_shares, region_without_upstreams_sends_all_elsewhere) {
-  const std::map<std::string, RegionRoom> regions{{"north", {0, 4}},
-                                                  {"south", {30, 4}}};
+  const std::map<std::string, RegionCapacity> regions{{"north", {0, 4}},
+                                                      {"south", {30, 4}}};
   RegionShares shares("north", true);
   shares.Update(regions);
   cr_assert_float_eq(Part(shares, "south", regions.at("south")), 1, 1e-9);
--- a/src/pathcleat/routing/route.cpp
+++ b/src/pathcleat/routing/route.cpp
@@ -18,7 +18,7 @@
   mark.Add(route.repeatable);
   mark.Add(route.large_answers);
   mark.Add(route.sticky);
-  mark.Add(route.needs_key);
+  mark.Add(route.needs_account_key);
   mark.Add(route.priority);
   mark.Add(route.max_attempts);
   mark.Add(route.timeout.count());
--- a/src/pathcleat/routing/route_table_test.cpp
+++ b/src/pathcleat/routing/route_table_test.cpp
@@ -28,7 +28,7 @@
 
 Test(route_table, longest_prefix_of_the_host_wins) {
   RouteTable table;
-  cr_assert_not(table.IsKnown());
+  cr_assert_not(table.IsLoaded());
   cr_assert(table.Adopt(ConfigAt(1)));
   const auto name = [&table](const char* host, const char* target) {
     const auto route = table.Find(host, target);
--- a/src/pathcleat/routing/shift_table.cpp
+++ b/src/pathcleat/routing/shift_table.cpp
@@ -8,7 +8,7 @@
 
 ShiftStatus StatusOf(const ShiftGate& gate) {
   return {gate.plan(), gate.fraction(), gate.offered(), gate.moved(),
-          gate.last_step()};
+          gate.last_decision()};
 }
 
 }  // namespace
@@ -33,9 +33,9 @@
                          const StepObserver& observer,
                          Time now) {
   for (auto& [service, gate] : gates_) {
-    const PaceStep before = gate.last_step();
+    const RampDecision before = gate.last_decision();
     gate.Advance(target(service, gate.plan().to), now);
-    if (gate.last_step() != before) {
+    if (gate.last_decision() != before) {
       observer(StatusOf(gate));
     }
   }
--- a/src/pathcleat/routing/upstream_limit.cpp
+++ b/src/pathcleat/routing/upstream_limit.cpp
@@ -22,12 +22,12 @@
 
 }  // namespace
 
-bool UpstreamLimit::Take(const LimitSign& sign) {
+bool UpstreamLimit::Take(const LimitObservation& sign) {
   const bool ends = sign_ && sign_->per_second && !sign.per_second;
   if (sign_ && sign.at <= sign_->at + (ends ? kEndsAfter : Duration::zero())) {
     return false;
   }
-  sign_ = std::make_shared<const LimitSign>(sign);
+  sign_ = std::make_shared<const LimitObservation>(sign);
   return true;
 }
 
@@ -42,7 +42,7 @@
   return named * std::exp2(doublings);
 }
 
-bool UpstreamLimit::IsToBeAsked(Time now) const {
+bool UpstreamLimit::ShouldProbe(Time now) const {
   return IsInForce(now) && now - sign_->at > kAskedAfter;
 }
 
--- a/src/pathcleat/routing/upstream_limit_test.cpp
+++ b/src/pathcleat/routing/upstream_limit_test.cpp
@@ -9,11 +9,11 @@
 const Time kStart{std::chrono::hours(1)};
 constexpr Duration kSecond{1'000'000};
 
-LimitSign Named(double per_second, Time at) {
+LimitObservation Named(double per_second, Time at) {
   return {per_second, at, "host", "domain"};
 }
 
-LimitSign NotNamed(Time sent) {
+LimitObservation NotNamed(Time sent) {
   return {std::nullopt, sent, "host", "domain"};
 }
 
@@ -75,10 +75,10 @@
 
 Test(upstream_limit, is_asked_about_when_it_was_not_heard_of) {
   UpstreamLimit limit = Limited(2);
-  cr_assert_not(limit.IsToBeAsked(kStart + kSecond));
-  cr_assert(limit.IsToBeAsked(kStart + 4 * kSecond));
+  cr_assert_not(limit.ShouldProbe(kStart + kSecond));
+  cr_assert(limit.ShouldProbe(kStart + 4 * kSecond));
   limit.Take(Named(2, kStart + 4 * kSecond));
-  cr_assert_not(limit.IsToBeAsked(kStart + 5 * kSecond));
+  cr_assert_not(limit.ShouldProbe(kStart + 5 * kSecond));
 }
 
 // Guards against an upstream that leaves the field out of some answers, and is
--- a/src/pathcleat/routing/upstream_load_test.cpp
+++ b/src/pathcleat/routing/upstream_load_test.cpp
@@ -41,19 +41,19 @@
 }
 
 // A fleet of hundreds: this host hears of each upstream once in a minute, and
-// all of them have standing queues. Seen to fail without ShareAverage: what was
-// not heard of looked idle, so nothing was refused and all of it waited.
+// all of them have standing queues. Seen to fail without SetSharedAverage: what
+// was not heard of looked idle, so nothing was refused and all of it waited.
 Test(upstream_load, upstream_not_heard_of_counts_as_busy_as_others) {
   const auto average = std::make_shared<AverageLoad>();
   std::vector<UpstreamLoad> heard(30);
   Time now = kStart;
   for (UpstreamLoad& load : heard) {
-    load.ShareAverage(average);
+    load.SetSharedAverage(average);
     load.OnReport({9, 18, 9}, now);
     now += kSecond / 5;
   }
   UpstreamLoad unheard;
-  unheard.ShareAverage(average);
+  unheard.SetSharedAverage(average);
   cr_assert_gt(unheard.Expected(now), 20.0);
   // The load has gone: it is not believed for long.
   cr_assert_lt(unheard.Expected(now + 20 * kSecond), 1.0);
@@ -66,9 +66,9 @@
 Test(upstream_load, single_report_says_little_of_other_upstreams) {
   const auto average = std::make_shared<AverageLoad>();
   UpstreamLoad heard;
-  heard.ShareAverage(average);
+  heard.SetSharedAverage(average);
   UpstreamLoad unheard;
-  unheard.ShareAverage(average);
+  unheard.SetSharedAverage(average);
   heard.OnReport({9, 9, 9}, kStart);
   cr_assert_lt(unheard.Expected(kStart), 9.001);
 }
--- a/src/pathcleat/routing/upstream_picker.cpp
+++ b/src/pathcleat/routing/upstream_picker.cpp
@@ -52,7 +52,7 @@
   const auto asked = std::find_if(
       candidates.begin(), candidates.end(), [now](const Candidate& candidate) {
         const UpstreamState& upstream = *candidate.upstream;
-        return upstream.limit.IsToBeAsked(now) &&
+        return upstream.limit.ShouldProbe(now) &&
                upstream.load.Expected(now) + 1 <= upstream.info.slots;
       });
   if (asked != candidates.end() && request.route->repeatable &&
@@ -72,7 +72,7 @@
       links_(settings.link_limits) {}
 
 RequestProfile& UpstreamPicker::ProfileOf(const Route& route) {
-  const bool learns = settings_.policy.IsOn(Mechanism::kLearnedWarmth);
+  const bool learns = settings_.policy.IsEnabled(Mechanism::kLearnedWarmth);
   return profiles_.try_emplace(route.name, route.target_latency, learns)
       .first->second;
 }
@@ -85,12 +85,12 @@
 double UpstreamPicker::CarryingCost(const UpstreamState& upstream,
                                     double bytes) const {
   if (upstream.info.domain == settings_.domain ||
-      !settings_.policy.IsOn(Mechanism::kCarryingCost)) {
+      !settings_.policy.IsEnabled(Mechanism::kCarryingCost)) {
     return 0;
   }
   const double gigabyte = upstream.region == settings_.region
-                              ? settings_.domain_gigabyte_cost
-                              : settings_.region_gigabyte_cost;
+                              ? settings_.cross_domain_cost_per_gigabyte
+                              : settings_.cross_region_cost_per_gigabyte;
   return bytes / kBytesInGigabyte * gigabyte;
 }
 
@@ -101,14 +101,14 @@
   std::vector<Candidate> candidates;
   for (const UpstreamPtr& upstream : table_.Of(request.service)) {
     const bool reachable = upstream->region == settings_.region ||
-                           links_.HasRoom(upstream->region);
+                           links_.HasCapacity(upstream->region);
     if (now < upstream->open_from || !request.MayRunIn(upstream->region) ||
         !reachable || !table_.IsOpen(*upstream) ||
         !upstream->health.MayTry(now) ||
         request.excluded.contains(upstream->info.id)) {
       continue;
     }
-    if (upstream->IsBounded(now) && !upstream->share.CanTake(now)) {
+    if (upstream->IsRateBounded(now) && !upstream->share.CanAcquire(now)) {
       passed_over.push_back(upstream);
       continue;
     }
@@ -117,7 +117,7 @@
     candidates.push_back(std::move(candidate));
   }
   if (request.versions) {
-    KeepVersions(candidates, *request.versions);
+    FilterByVersion(candidates, *request.versions);
   }
   return candidates;
 }
@@ -160,7 +160,7 @@
                        });
   };
   const std::string& target = gate->plan().to;
-  const bool moves = gate->WantsMove(request.caller_position) &&
+  const bool moves = gate->ShouldMove(request.shift_position) &&
                      has_region(target) && gate->TryMove();
   if (moves) {
     KeepRegion(candidates, target);
@@ -207,10 +207,10 @@
   scored.pick.upstream = candidate.upstream;
   scored.pick.expected = FromSeconds(round_trip + wait + run);
   scored.pick.wait = FromSeconds(wait);
-  scored.pick.if_cold = FromSeconds(round_trip + wait + cold);
+  scored.pick.expected_latency_if_cold = FromSeconds(round_trip + wait + cold);
   scored.pick.warm = candidate.warmth >= kWarmEnough;
   scored.pick.sign = candidate.sign;
-  scored.pick.left_region = upstream.region != settings_.region;
+  scored.pick.leaves_region = upstream.region != settings_.region;
   scored.worth =
       WorthAt(round_trip + told + run, Seconds(request.route->target_latency)) -
       CarryingCost(upstream, profile.answer_bytes) -
@@ -234,7 +234,7 @@
                                      Time now) {
   const RequestProfile& profile = ProfileOf(*request.route);
   if (next.upstream) {
-    return admission_.ReturnToQueue(next, request, profile, now);
+    return admission_.RetryDelayForQueue(next, request, profile, now);
   }
   std::vector<UpstreamPtr> open;
   for (const UpstreamPtr& upstream : table_.Of(request.service)) {
@@ -242,7 +242,7 @@
       open.push_back(upstream);
     }
   }
-  return admission_.ReturnToAny(open, request, profile, now);
+  return admission_.RetryDelayForAny(open, request, profile, now);
 }
 
 Pick UpstreamPicker::Choose(const PickRequest& request, Time now) {
@@ -263,8 +263,8 @@
   }
   KeepToBeAsked(candidates, request, now);
   const RegionShares& shares = SharesOf(request.service, now);
-  if (request.sticky && settings_.policy.IsOn(Mechanism::kKeyPlacement)) {
-    KeepKeyNear(candidates, request.key, shares);
+  if (request.sticky && settings_.policy.IsEnabled(Mechanism::kKeyPlacement)) {
+    KeepNearestToKey(candidates, request.key, shares);
   } else if (request.sticky) {
     RankByKey(candidates, request.key, shares);
   }
@@ -285,20 +285,20 @@
   // What a queue alone makes hopeless; a run time is only guessed.
   if (RoundTrip(*best.pick.upstream) + best.pick.wait > request.time_left) {
     best.pick.failure = PickFailure::kTooLate;
-  } else if (!admission_.Admits(best.pick, request, profile, now)) {
+  } else if (!admission_.TryAdmit(best.pick, request, profile, now)) {
     best.pick.failure = PickFailure::kOverloaded;
   }
   if (best.pick.failure != PickFailure::kNone) {
     best.pick.retry_after =
-        admission_.ReturnToQueue(best.pick, request, profile, now);
+        admission_.RetryDelayForQueue(best.pick, request, profile, now);
     best.pick.upstream = nullptr;
   }
   return best.pick;
 }
 
-TargetState UpstreamPicker::StateOf(const std::string& service,
-                                    const std::string& region,
-                                    Time now) const {
+ShiftTargetState UpstreamPicker::StateOf(const std::string& service,
+                                         const std::string& region,
+                                         Time now) const {
   double slots = 0;
   double used = 0;
   Duration round_trip{0};
@@ -310,7 +310,7 @@
       round_trip = std::max(round_trip, RoundTrip(*upstream));
     }
   }
-  TargetState state;
+  ShiftTargetState state;
   state.age = slots > 0 ? Duration::zero() : Duration::max();
   state.headroom = slots > 0 ? std::max(0.0, 1 - used / slots) : 0;
   state.latency = round_trip;
@@ -327,7 +327,7 @@
                                 const Pick& pick,
                                 Duration waited,
                                 Time now) {
-  if (settings_.policy.IsOn(Mechanism::kSlowness)) {
+  if (settings_.policy.IsEnabled(Mechanism::kSlowness)) {
     const double usual = Seconds(pick.expected) / upstream.slowness.Value(now);
     upstream.slowness.OnNoAnswer(Seconds(waited) / usual, now);
   }
@@ -336,7 +336,7 @@
 void UpstreamPicker::OnAnswer(UpstreamState& upstream,
                               const PickRequest& request,
                               const Pick& pick,
-                              const AnswerFacts& facts,
+                              const AnswerMeasurements& facts,
                               Time now) {
   RequestProfile& profile = ProfileOf(*request.route);
   profile.answer_bytes +=
@@ -352,9 +352,10 @@
   const Duration usual =
       FromSeconds(Seconds(run) / upstream.slowness.Value(now));
   Warmth& warmth = profile.warmth;
-  const bool quick = upstream.IsBounded(now) ? warmth.IsQuick(usual)
-                                             : warmth.OnRun(pick.sign, usual);
-  if (!settings_.policy.IsOn(Mechanism::kSlowness)) {
+  const bool quick = upstream.IsRateBounded(now)
+                         ? warmth.IsWarmRun(usual)
+                         : warmth.OnRun(pick.sign, usual);
+  if (!settings_.policy.IsEnabled(Mechanism::kSlowness)) {
     return;
   }
   upstream.slowness.OnRun(Seconds(run) / Seconds(warmth.RunTime(quick)), now);
--- a/src/pathcleat/routing/upstream_picker_limits_test.cpp
+++ b/src/pathcleat/routing/upstream_picker_limits_test.cpp
@@ -11,14 +11,16 @@
 namespace pathcleat {
 namespace {
 
-void NameLimit(PickerWorld& world, const UpstreamPtr& upstream, double limit) {
-  world.table().TakeLimit(upstream, {limit, kStart, "host", "n"}, kStart);
+void NameLimit(PickerFixture& world,
+               const UpstreamPtr& upstream,
+               double limit) {
+  world.table().UpdateLimit(upstream, {limit, kStart, "host", "n"}, kStart);
   upstream->share.SetRate(limit, kStart);
 }
 
 // Guards against a limited upstream that gets what its queue has room for.
 Test(upstream_picker, limited_upstream_gets_no_more_than_its_share) {
-  PickerWorld world(1);
+  PickerFixture world(1);
   for (const UpstreamPtr& upstream : world.table().All()) {
     NameLimit(world, upstream, 2);
   }
@@ -27,7 +29,7 @@
     const Time now = kStart + Duration(ms * 1'000);
     const Pick pick = world.Choose(7, now);
     if (pick.upstream) {
-      pick.upstream->share.TryTake(now);
+      pick.upstream->share.TryAcquire(now);
       ++sent;
     } else {
       cr_assert_gt(pick.passed_over, 0);
@@ -41,10 +43,10 @@
 // Guards against requests that wait for a place that a limited upstream never
 // has: they are refused at once, with times to come back that its rate bears.
 Test(upstream_picker, refused_for_limits_come_back_at_their_rate) {
-  PickerWorld world(1);
+  PickerFixture world(1);
   for (const UpstreamPtr& upstream : world.table().All()) {
     NameLimit(world, upstream, 2);
-    upstream->share.TryTake(kStart);
+    upstream->share.TryAcquire(kStart);
   }
   const Pick first = world.Choose(7);
   const Pick second = world.Choose(8);
@@ -58,16 +60,16 @@
 // Guards against a region that is still promised the room of its limited
 // upstreams: its keys wait there while the other region has slots free.
 Test(upstream_picker, keys_leave_a_region_whose_upstreams_are_limited) {
-  const auto kept_near = [](PickerWorld& world, Time now) {
+  const auto kept_near = [](PickerFixture& world, Time now) {
     constexpr int kKeys = 400;
     int near = 0;
     for (std::uint64_t key = 1; key <= kKeys; ++key) {
       const Pick pick = world.Choose(MixHashes(key, 1), now);
-      near += pick.upstream && !pick.left_region ? 1 : 0;
+      near += pick.upstream && !pick.leaves_region ? 1 : 0;
     }
     return near / static_cast<double>(kKeys);
   };
-  PickerWorld world;
+  PickerFixture world;
   world.picker().SetHosts({{"north", 1}, {"south", 1}});
   const double before = kept_near(world, kStart);
   for (const UpstreamPtr& upstream : world.table().All()) {
@@ -86,7 +88,7 @@
 
 // Guards against gates of shifts that open by slots that nobody may use.
 Test(upstream_picker, headroom_counts_only_what_limited_upstreams_take) {
-  PickerWorld world(1);
+  PickerFixture world(1);
   world.Choose(7);
   const UpstreamPtr upstream = world.table().Find("s0");
   upstream->load.OnSent();
@@ -103,7 +105,7 @@
 // upstream, no answer tells that it is over. Work that may run once only is not
 // used for it.
 Test(upstream_picker, limited_upstream_that_was_not_heard_of_is_asked) {
-  PickerWorld world;
+  PickerFixture world;
   const UpstreamPtr limited = world.table().Find("s3");
   NameLimit(world, limited, 2);
   const Time later = kStart + Duration(4'000'000);
--- a/src/pathcleat/routing/upstream_picker_shares.cpp
+++ b/src/pathcleat/routing/upstream_picker_shares.cpp
@@ -47,7 +47,8 @@
 RegionShares& UpstreamPicker::SharesOf(const std::string& service, Time now) {
   auto found = shares_.find(service);
   if (found == shares_.end()) {
-    const bool keeps_home = settings_.policy.IsOn(Mechanism::kRegionShares);
+    const bool keeps_home =
+        settings_.policy.IsEnabled(Mechanism::kRegionShares);
     const RegionShares shares(settings_.region, keeps_home);
     found =
         shares_.emplace(service, SharesEntry{shares, std::nullopt, 0, {}, {}})
@@ -59,13 +60,13 @@
   }
   entry.updated = now;
   CountSlots(entry, service, now);
-  std::map<std::string, RegionRoom> regions;
+  std::map<std::string, RegionCapacity> regions;
   for (const auto& [region, slots] : entry.slots) {
     regions[region].slots = slots;
   }
   for (auto& [region, room] : regions) {
     const double usable = 1 - RoundedPart(entry.unusable[region] / room.slots);
-    room.bound = 1 - (1 - bound_.PartOf(service, region, room.slots)) * usable;
+    room.bound = 1 - (1 - bound_.ShareOf(service, region, room.slots)) * usable;
   }
   for (const auto& [region, hosts] : hosts_) {
     regions[region].hosts = hosts;
--- a/src/pathcleat/routing/upstream_picker_test.cpp
+++ b/src/pathcleat/routing/upstream_picker_test.cpp
@@ -14,8 +14,8 @@
 
 Test(upstream_picker, hosts_choose_alike_without_talk) {
   cr_assert(Holds("two hosts of one region send a key to one upstream", [] {
-    PickerWorld one;
-    PickerWorld two;
+    PickerFixture one;
+    PickerFixture two;
     const auto key = *rc::gen::arbitrary<std::uint64_t>();
     RC_ASSERT(one.Choose(key).upstream->info.id ==
               two.Choose(key).upstream->info.id);
@@ -23,9 +23,9 @@
 }
 
 // Overload fed on itself: keys spread over all upstreams and were cold
-// everywhere. Checked to fail with KeepKeyNear taken out of Choose.
+// everywhere. Checked to fail with KeepNearestToKey taken out of Choose.
 Test(upstream_picker, key_stays_with_few_upstreams_under_any_load) {
-  PickerWorld world;
+  PickerFixture world;
   std::set<std::string> used;
   for (int i = 0; i < 200; ++i) {
     const Pick pick = world.Choose(7);
@@ -40,7 +40,7 @@
 
 // Checked to fail with the test of facts.queued in OnAnswer taken out.
 Test(upstream_picker, waiting_is_not_learnt_as_run_time) {
-  PickerWorld world;
+  PickerFixture world;
   const Pick first = world.Choose(7);
   const PickRequest request = world.Request(7);
   for (int i = 0; i < 100; ++i) {
@@ -61,14 +61,14 @@
 
 // Checked to fail with RefuseIfLate taken out of Choose.
 Test(upstream_picker, first_try_that_would_be_late_is_told_to_come_back) {
-  PickerWorld world(1);
+  PickerFixture world(1);
   for (const UpstreamPtr& upstream : world.table().All()) {
     for (int i = 0; i < 9; ++i) {
       upstream->load.OnSent();
     }
   }
   PickRequest first = world.Request(7);
-  first.caller_deadline = Duration(3'000'000);
+  first.caller_timeout = Duration(3'000'000);
   const Pick refused = world.picker().Choose(first, kStart);
   cr_assert(refused.failure == PickFailure::kOverloaded);
   cr_assert_geq(refused.retry_after.count(), 100'000);
@@ -87,9 +87,9 @@
 // Checked to fail with the longest deadline seen in place of the usual one:
 // all that came after was taken for returns.
 Test(upstream_picker, a_caller_with_an_absurd_deadline_changes_nothing) {
-  PickerWorld world(1);
+  PickerFixture world(1);
   PickRequest absurd = world.Request(7);
-  absurd.caller_deadline = std::chrono::hours(24 * 365);
+  absurd.caller_timeout = std::chrono::hours(24 * 365);
   for (int i = 0; i < 20; ++i) {
     world.Choose(7);
   }
@@ -102,10 +102,10 @@
   cr_assert(world.Choose(7).failure == PickFailure::kOverloaded);
 }
 
-// Checked to fail with input.came_back let through in Admit: then what has
+// Checked to fail with input.is_retry let through in Admit: then what has
 // come back keeps the queue up for ever.
 Test(upstream_picker, what_has_come_back_is_refused_while_the_queue_is_long) {
-  PickerWorld world(1);
+  PickerFixture world(1);
   const auto fill = [&world](int change) {
     for (const UpstreamPtr& upstream : world.table().All()) {
       for (int i = 0; i < 9; ++i) {
@@ -118,7 +118,7 @@
     }
   };
   PickRequest first = world.Request(7);
-  first.caller_deadline = Duration(3'000'000);
+  first.caller_timeout = Duration(3'000'000);
   const PickRequest again = world.Request(7);
   fill(1);
   cr_assert(world.picker().Choose(first, kStart).upstream == nullptr);
@@ -135,23 +135,23 @@
 }
 
 Test(upstream_picker, homes_drains_and_leaving_bind) {
-  PickerWorld world;
+  PickerFixture world;
   world.route().home_regions = {"south"};
   for (std::uint64_t key = 0; key < 50; ++key) {
     cr_assert_str_eq(world.Choose(key).upstream->region.c_str(), "south");
   }
-  world.table().SetDrained("s", true);
+  world.table().SetDomainDrained("s", true);
   cr_assert(world.Choose(1).failure == PickFailure::kNoUpstream);
   world.route().home_regions.clear();
   for (std::uint64_t key = 0; key < 50; ++key) {
     cr_assert_str_eq(world.Choose(key).upstream->region.c_str(), "north");
   }
-  world.table().SetDrains({}, {"north"});
+  world.table().SetOperatorDrains({}, {"north"});
   cr_assert(world.Choose(1).failure == PickFailure::kNoUpstream);
 }
 
 Test(upstream_picker, large_answers_stay_in_their_region) {
-  PickerWorld world;
+  PickerFixture world;
   const Pick any = world.Choose(1);
   const PickRequest request = world.Request(1);
   for (int i = 0; i < 200; ++i) {
@@ -171,8 +171,8 @@
     int sum = 0;
     for (int host = 0; host < hosts; ++host) {
       LinkLimits links({{"south", bound}});
-      links.SetSharers(hosts);
-      while (links.HasRoom("south")) {
+      links.SetHostCount(hosts);
+      while (links.HasCapacity("south")) {
         links.OnSent("south");
         ++sum;
       }
@@ -195,7 +195,7 @@
         budget.OnFirstAttempt();
         ++first_attempts;
       } else {
-        retries += budget.TryRetry() ? 1 : 0;
+        retries += budget.TryAcquire() ? 1 : 0;
       }
       RC_ASSERT(retries <= 4 + 0.14 * first_attempts);
     }
@@ -203,7 +203,7 @@
 }
 
 Test(upstream_picker, cold_upstream_gets_no_more_than_its_share) {
-  PickerWorld world(1);
+  PickerFixture world(1);
   for (const UpstreamPtr& upstream : world.table().All()) {
     UpstreamInfo info = upstream->info;
     info.cold_for = Duration(10'000'000);
@@ -215,7 +215,7 @@
     const Time now = kStart + Duration(ms * 1'000);
     const Pick pick = world.Choose(7, now);
     if (pick.upstream) {
-      pick.upstream->share.TryTake(now);
+      pick.upstream->share.TryAcquire(now);
       ++sent;
     }
   }
@@ -234,12 +234,12 @@
   constexpr int kReporting = 4;
   constexpr int kKeys = 600;
   constexpr double kMostMoved = 0.15;
-  PickerWorld world(kUpstreams);
+  PickerFixture world(kUpstreams);
   const auto leaving = [&world](Time now) {
     int left = 0;
     for (std::uint64_t key = 1; key <= kKeys; ++key) {
       const Pick pick = world.Choose(MixHashes(key, 1), now);
-      left += pick.upstream && pick.left_region ? 1 : 0;
+      left += pick.upstream && pick.leaves_region ? 1 : 0;
     }
     return static_cast<double>(left) / kKeys;
   };
--- a/src/pathcleat/routing/upstream_table.cpp
+++ b/src/pathcleat/routing/upstream_table.cpp
@@ -43,7 +43,7 @@
 
 UpstreamPtr UpstreamTable::Add(const UpstreamInfo& entry, Time now) {
   auto upstream = std::make_shared<UpstreamState>(entry);
-  upstream->load.RememberUsual(policy_.IsOn(Mechanism::kUsualLoad));
+  upstream->load.SetRememberUsual(policy_.IsEnabled(Mechanism::kUsualLoad));
   upstream->open_from = OpenFrom(entry, now);
   by_id_[entry.id] = upstream;
   by_service_[entry.service].push_back(upstream);
@@ -61,9 +61,9 @@
 
 bool UpstreamTable::Put(const UpstreamInfo& entry, Time now) {
   const auto known = by_id_.find(entry.id);
-  const bool again =
-      known != by_id_.end() && (known->second->info.born != entry.born ||
-                                known->second->info.service != entry.service);
+  const bool again = known != by_id_.end() &&
+                     (known->second->info.started_ms != entry.started_ms ||
+                      known->second->info.service != entry.service);
   if (again) {
     Remove(entry.id);
   }
@@ -72,11 +72,11 @@
   ++revision_;
   upstream->info = entry;
   upstream->limit.SetCapacity(std::max(1, entry.slots) / kShortestRun);
-  upstream->lapse_ends.reset();
+  upstream->lapse_deadline.reset();
   lapsed_.erase(entry.id);
   upstream->region = region_of_domain_[entry.domain];
-  if (policy_.IsOn(Mechanism::kAverageLoad)) {
-    upstream->load.ShareAverage(AverageLoadOf(*upstream));
+  if (policy_.IsEnabled(Mechanism::kAverageLoad)) {
+    upstream->load.SetSharedAverage(AverageLoadOf(*upstream));
   }
   if (entry.cold_for > Duration::zero()) {
     Watch(upstream);
@@ -93,9 +93,9 @@
   }
 }
 
-LimitChange UpstreamTable::TakeLimit(const UpstreamPtr& upstream,
-                                     const LimitSign& sign,
-                                     Time now) {
+LimitChange UpstreamTable::UpdateLimit(const UpstreamPtr& upstream,
+                                       const LimitObservation& sign,
+                                       Time now) {
   UpstreamLimit& limit = upstream->limit;
   const bool bound = limit.IsInForce(now);
   const double before = bound ? limit.PerSecond(now) : 0;
@@ -114,7 +114,7 @@
   if (bound && binds) {
     return LimitChange::kChanged;
   }
-  return binds ? LimitChange::kNamed : LimitChange::kEnded;
+  return binds ? LimitChange::kStarted : LimitChange::kEnded;
 }
 
 UpstreamPtr UpstreamTable::Find(const std::string& id) const {
@@ -149,17 +149,17 @@
   if (found == by_id_.end() || found->second->info.leaving) {
     return false;
   }
-  if (!found->second->lapse_ends) {
-    found->second->lapse_ends = until;
+  if (!found->second->lapse_deadline) {
+    found->second->lapse_deadline = until;
     lapsed_.insert(id);
   }
   return true;
 }
 
-const std::vector<UpstreamPtr>& UpstreamTable::MaybeBounded(Time now) {
+const std::vector<UpstreamPtr>& UpstreamTable::MaybeRateBounded(Time now) {
   const std::size_t watched = maybe_bounded_.size();
   std::erase_if(maybe_bounded_, [now](const UpstreamPtr& upstream) {
-    upstream->watched = !upstream->removed && upstream->IsBounded(now);
+    upstream->watched = !upstream->removed && upstream->IsRateBounded(now);
     return !upstream->watched;
   });
   // A limit may have lapsed.
@@ -175,7 +175,7 @@
   return lapsed;
 }
 
-void UpstreamTable::SetDrained(const std::string& domain, bool drained) {
+void UpstreamTable::SetDomainDrained(const std::string& domain, bool drained) {
   ++revision_;
   if (drained) {
     drained_.insert(domain);
@@ -184,8 +184,8 @@
   }
 }
 
-void UpstreamTable::SetDrains(std::set<std::string> upstreams,
-                              std::set<std::string> regions) {
+void UpstreamTable::SetOperatorDrains(std::set<std::string> upstreams,
+                                      std::set<std::string> regions) {
   ++revision_;
   drained_upstreams_ = std::move(upstreams);
   drained_regions_ = std::move(regions);
--- a/src/pathcleat/routing/upstream_table_test.cpp
+++ b/src/pathcleat/routing/upstream_table_test.cpp
@@ -30,13 +30,13 @@
 Test(upstream_table, looking_after_few_does_not_grow_with_the_list) {
   for (const int upstreams : {100, 1'000}) {
     UpstreamTable table = TableOf(upstreams);
-    cr_assert(table.MaybeBounded(kStart).empty());
+    cr_assert(table.MaybeRateBounded(kStart).empty());
     UpstreamInfo cold = Named(3);
     cold.cold_for = kSecond;
     table.Put(cold, kStart);
     table.Put(cold, kStart);
-    cr_assert_eq(table.MaybeBounded(kStart).size(), 1U);
-    cr_assert(table.MaybeBounded(kStart + kSecond * 2).empty());
+    cr_assert_eq(table.MaybeRateBounded(kStart).size(), 1U);
+    cr_assert(table.MaybeRateBounded(kStart + kSecond * 2).empty());
     cr_assert(table.Lapsed().empty());
     table.Lapse("i-4", kStart);
     cr_assert_eq(table.Lapsed().size(), 1U);
@@ -51,7 +51,7 @@
   cold.cold_for = kSecond;
   table.Put(cold, kStart);
   table.Remove("i-0");
-  cr_assert(table.MaybeBounded(kStart).empty());
+  cr_assert(table.MaybeRateBounded(kStart).empty());
   table.Lapse("i-1", kStart);
   table.Remove("i-1");
   cr_assert(table.Lapsed().empty());
--- a/src/pathcleat/routing/urgency_ledger.cpp
+++ b/src/pathcleat/routing/urgency_ledger.cpp
@@ -67,7 +67,7 @@
              : std::min(1.0, at_now.sent / at_now.offered);
 }
 
-bool UrgencyLedger::IsAhead(const std::string& kind, Time now) const {
+bool UrgencyLedger::IsOverServed(const std::string& kind, Time now) const {
   const auto own = kinds_.find(kind);
   if (own == kinds_.end()) {
     return false;
--- a/src/pathcleat/routing/urgency_ledger_test.cpp
+++ b/src/pathcleat/routing/urgency_ledger_test.cpp
@@ -28,26 +28,26 @@
   UrgencyLedger ledger;
   Offer(ledger, "urgent", kUrgent, 100, 60);
   Offer(ledger, "short", kLessUrgent, 100, 70);
-  cr_assert(ledger.IsAhead("short", kStart));
-  cr_assert_not(ledger.IsAhead("urgent", kStart));
+  cr_assert(ledger.IsOverServed("short", kStart));
+  cr_assert_not(ledger.IsOverServed("urgent", kStart));
 }
 
 Test(urgency_ledger, urgent_kind_may_be_sent_more_often) {
   UrgencyLedger ledger;
   Offer(ledger, "urgent", kUrgent, 100, 90);
   Offer(ledger, "short", kLessUrgent, 100, 10);
-  cr_assert_not(ledger.IsAhead("urgent", kStart));
-  cr_assert_not(ledger.IsAhead("short", kStart));
+  cr_assert_not(ledger.IsOverServed("urgent", kStart));
+  cr_assert_not(ledger.IsOverServed("short", kStart));
 }
 
 Test(urgency_ledger, kinds_of_one_urgency_and_few_requests_bind_nobody) {
   UrgencyLedger ledger;
   Offer(ledger, "one", kLessUrgent, 100, 10);
   Offer(ledger, "other", kLessUrgent, 100, 90);
-  cr_assert_not(ledger.IsAhead("other", kStart));
+  cr_assert_not(ledger.IsOverServed("other", kStart));
   Offer(ledger, "rare", kUrgent, 2, 0);
-  cr_assert_not(ledger.IsAhead("other", kStart));
-  cr_assert_not(ledger.IsAhead("unknown", kStart));
+  cr_assert_not(ledger.IsOverServed("other", kStart));
+  cr_assert_not(ledger.IsOverServed("unknown", kStart));
 }
 
 // Checked to fail with FadeTo doing nothing.
@@ -55,8 +55,8 @@
   UrgencyLedger ledger;
   Offer(ledger, "urgent", kUrgent, 100, 0);
   Offer(ledger, "short", kLessUrgent, 100, 100);
-  cr_assert(ledger.IsAhead("short", kStart));
-  cr_assert_not(ledger.IsAhead("short", kStart + Duration(20'000'000)));
+  cr_assert(ledger.IsOverServed("short", kStart));
+  cr_assert_not(ledger.IsOverServed("short", kStart + Duration(20'000'000)));
 }
 
 Test(urgency_ledger, most_urgent_kind_is_never_ahead) {
@@ -67,7 +67,7 @@
       Offer(ledger, std::to_string(priority), priority, offered,
             *rc::gen::inRange(0, offered + 1));
     }
-    RC_ASSERT(!ledger.IsAhead("0", kStart));
+    RC_ASSERT(!ledger.IsOverServed("0", kStart));
   }));
 }
 
--- a/src/pathcleat/routing/version_filter.cpp
+++ b/src/pathcleat/routing/version_filter.cpp
@@ -34,7 +34,8 @@
 
 // Of a version that is being tried, the few that rank first in each region get
 // all that goes there, so that they are as busy as the others.
-void KeepVersions(std::vector<Candidate>& candidates, const VersionRule& rule) {
+void FilterByVersion(std::vector<Candidate>& candidates,
+                     const VersionRule& rule) {
   std::erase_if(candidates, [&rule](const Candidate& candidate) {
     return !rule.Allows(candidate.upstream->info.version);
   });
--- a/src/pathcleat/routing/version_filter_test.cpp
+++ b/src/pathcleat/routing/version_filter_test.cpp
@@ -32,13 +32,13 @@
 // rule that left nothing was passed over.
 Test(promise, avoided_version_gets_nothing_where_no_other_is_left) {
   std::vector<Candidate> candidates = CandidatesOf({"v2", "v2"});
-  KeepVersions(candidates, NoneOf("v2"));
+  FilterByVersion(candidates, NoneOf("v2"));
   cr_assert(candidates.empty());
 }
 
 Test(version_filter, others_are_left_as_they_are) {
   std::vector<Candidate> candidates = CandidatesOf({"v1", "v2", "v1"});
-  KeepVersions(candidates, NoneOf("v2"));
+  FilterByVersion(candidates, NoneOf("v2"));
   cr_assert_eq(candidates.size(), 2U);
 }
 
@@ -48,7 +48,7 @@
   VersionRule trial;
   trial.only = "v2";
   trial.part = 0.5;
-  KeepVersions(candidates, trial);
+  FilterByVersion(candidates, trial);
   cr_assert_eq(candidates.size(), 2U);
   for (const Candidate& candidate : candidates) {
     cr_assert_str_eq(candidate.upstream->info.version.c_str(), "v2");
--- a/src/pathcleat/routing/warmth.cpp
+++ b/src/pathcleat/routing/warmth.cpp
@@ -29,17 +29,17 @@
   }
 }
 
-Warmth::Chance& Warmth::ChanceOf(const WarmthSign& sign) {
+Warmth::Chance& Warmth::ChanceOf(const WarmthEvidence& sign) {
   return sign.sent ? sent_ : by_rank_.at(std::min(sign.rank, kRanks - 1));
 }
 
-double Warmth::Probability(const WarmthSign& sign) const {
+double Warmth::Probability(const WarmthEvidence& sign) const {
   const Chance& chance =
       sign.sent ? sent_ : by_rank_.at(std::min(sign.rank, kRanks - 1));
   return chance.quick / chance.all;
 }
 
-bool Warmth::IsQuick(Duration run) const {
+bool Warmth::IsWarmRun(Duration run) const {
   const auto quick = static_cast<double>(quick_.value().count());
   return static_cast<double>(run.count()) < quick * kSlowMultiple;
 }
@@ -56,8 +56,8 @@
 // Runs of keys that this host has sent before set the quick run time, however
 // long they take, if not all at once: a first guess that is too short would
 // else take every run for a slow one.
-bool Warmth::OnRun(const WarmthSign& sign, Duration run) {
-  const bool quick = IsQuick(run);
+bool Warmth::OnRun(const WarmthEvidence& sign, Duration run) {
+  const bool quick = IsWarmRun(run);
   if (learns_) {
     Count(ChanceOf(sign), quick);
   }
--- a/src/pathcleat/routing/warmth_test.cpp
+++ b/src/pathcleat/routing/warmth_test.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 constexpr Duration kTarget{400'000};
-constexpr WarmthSign kSent{true, 0};
-constexpr WarmthSign kFirst{false, 0};
-constexpr WarmthSign kThird{false, 2};
+constexpr WarmthEvidence kSent{true, 0};
+constexpr WarmthEvidence kFirst{false, 0};
+constexpr WarmthEvidence kThird{false, 2};
 
 // Checked to fail with Count taken out of OnRun.
 Test(warmth, chances_are_learned_by_rank) {
--- a/src/pathcleat/settings/deployment.cpp
+++ b/src/pathcleat/settings/deployment.cpp
@@ -23,7 +23,7 @@
   return At(domain).region;
 }
 
-RegionIndex Deployment::RegionOf(SeatIndex seat) const {
+RegionIndex Deployment::RegionOf(HostIndex seat) const {
   return RegionOf(At(seat).domain);
 }
 
@@ -35,9 +35,9 @@
   return same_region ? latency_between_domains : latency_between_regions;
 }
 
-std::vector<SeatIndex> Deployment::SeatsIn(DomainIndex domain) const {
-  std::vector<SeatIndex> found;
-  for (const SeatIndex seat : IndicesOf<SeatIndex>(seats)) {
+std::vector<HostIndex> Deployment::HostsIn(DomainIndex domain) const {
+  std::vector<HostIndex> found;
+  for (const HostIndex seat : IndicesOf<HostIndex>(hosts)) {
     if (At(seat).domain == domain) {
       found.push_back(seat);
     }
@@ -45,7 +45,7 @@
   return found;
 }
 
-Duration Deployment::LongestDeadline() const {
+Duration Deployment::MaxDeadline() const {
   Duration longest{0};
   for (const Service& service : services) {
     for (const RequestKind& kind : service.kinds) {
@@ -55,8 +55,8 @@
   return longest;
 }
 
-std::optional<SeatIndex> Deployment::FindSeat(std::string_view name) const {
-  return FindNamed<SeatIndex>(seats, name);
+std::optional<HostIndex> Deployment::FindHost(std::string_view name) const {
+  return FindNamed<HostIndex>(hosts, name);
 }
 
 std::optional<RegionIndex> Deployment::FindRegion(std::string_view name) const {
--- a/src/pathcleat/settings/entry_settings.cpp
+++ b/src/pathcleat/settings/entry_settings.cpp
@@ -27,7 +27,8 @@
                   const std::string& key,
                   const std::string& text) {
   if (!text.empty() && !ParseTcpEndpoint(text)) {
-    reader.Fault(key, "expected an IP number and a port; found '" + text + "'");
+    reader.AddFault(key,
+                    "expected an IP number and a port; found '" + text + "'");
   }
 }
 
@@ -86,8 +87,8 @@
   return link >= kLinks.low && link <= kLinks.high ? link : fallback;
 }
 
-CarryingCosts ReadCosts(JsonReader& reader) {
-  CarryingCosts costs;
+TransferCosts ReadCosts(JsonReader& reader) {
+  TransferCosts costs;
   costs.between_domains = reader.NumberOr("between_domains", kCount, 0);
   costs.between_regions = reader.NumberOr("between_regions", kCount, 0);
   return costs;
@@ -114,13 +115,13 @@
 
 PolicySwitches ReadPolicy(JsonReader& reader) {
   PolicySwitches policy;
-  for (const std::string& name : reader.Texts("off")) {
-    const auto mechanism = MechanismNamed(name);
+  for (const std::string& name : reader.TextList("off")) {
+    const auto mechanism = ParseMechanism(name);
     if (mechanism) {
-      policy.off.insert(*mechanism);
+      policy.disabled.insert(*mechanism);
     } else {
-      reader.Fault("off", "expected some of " + JoinedMechanismNames() +
-                              "; found '" + name + "'");
+      reader.AddFault("off", "expected some of " + JoinedMechanismNames() +
+                                 "; found '" + name + "'");
     }
   }
   return policy;
@@ -130,36 +131,36 @@
   out.host = reader.Text("host");
   out.domain = reader.Text("failure_domain");
   out.region = reader.Text("region");
-  reader.EachObject("failure_domains", true, [&out](JsonReader& domain) {
+  reader.ForEachObject("failure_domains", true, [&out](JsonReader& domain) {
     out.region_of_domain[domain.Text("name")] = domain.Text("region");
   });
-  reader.Nested("listen",
-                [&out](JsonReader& r) { out.listen = ReadListen(r); });
-  reader.Nested("peers", [&out](JsonReader& r) {
+  reader.ReadNested("listen",
+                    [&out](JsonReader& r) { out.listen = ReadListen(r); });
+  reader.ReadNested("peers", [&out](JsonReader& r) {
     out.peer_address = r.Text("address");
     out.peer_port = r.Port("port");
   });
-  reader.Nested("store", [&out](JsonReader& r) {
+  reader.ReadNested("store", [&out](JsonReader& r) {
     out.store_address = r.Text("address");
     CheckAddress(r, "address", out.store_address);
   });
   out.link_mbps = LinkOr(reader, out.link_mbps);
-  reader.Nested("bounds",
-                [&out](JsonReader& r) { out.bounds = ReadBounds(r); });
-  reader.Nested("gigabyte_costs",
-                [&out](JsonReader& r) { out.costs = ReadCosts(r); });
-  reader.Nested("log",
-                [&out](JsonReader& r) { out.request_log = ReadRequestLog(r); });
-  reader.Nested("policy",
-                [&out](JsonReader& r) { out.policy = ReadPolicy(r); });
-  reader.EachObject("links", false, [&out](JsonReader& link) {
+  reader.ReadNested("bounds",
+                    [&out](JsonReader& r) { out.bounds = ReadBounds(r); });
+  reader.ReadNested("gigabyte_costs",
+                    [&out](JsonReader& r) { out.costs = ReadCosts(r); });
+  reader.ReadNested(
+      "log", [&out](JsonReader& r) { out.request_log = ReadRequestLog(r); });
+  reader.ReadNested("policy",
+                    [&out](JsonReader& r) { out.policy = ReadPolicy(r); });
+  reader.ForEachObject("links", false, [&out](JsonReader& link) {
     constexpr int kNoDefault = 1;
     out.link_limits[link.Text("to")] =
         link.IntegerOr("max_in_flight", kCount, kNoDefault);
   });
   if (!out.region_of_domain.contains(out.domain)) {
-    reader.Fault("failure_domain",
-                 "'" + out.domain + "' is not among failure_domains");
+    reader.AddFault("failure_domain",
+                    "'" + out.domain + "' is not among failure_domains");
   }
 }
 
--- a/src/pathcleat/settings/json_reader.cpp
+++ b/src/pathcleat/settings/json_reader.cpp
@@ -32,7 +32,7 @@
     return &*found;
   }
   if (required) {
-    Fault(key, "missing");
+    AddFault(key, "missing");
   }
   return nullptr;
 }
@@ -43,7 +43,7 @@
     return "";
   }
   if (!value->is_string() || value->get<std::string>().empty()) {
-    Fault(key, "expected a text that is not empty; found " + value->dump());
+    AddFault(key, "expected a text that is not empty; found " + value->dump());
     return "";
   }
   return value->get<std::string>();
@@ -60,7 +60,7 @@
   }
   if (!value->is_number() || value->get<double>() < bounds.low ||
       value->get<double>() > bounds.high) {
-    Fault(key, Describe(bounds) + "; found " + value->dump());
+    AddFault(key, Describe(bounds) + "; found " + value->dump());
     return bounds.low;
   }
   return value->get<double>();
@@ -75,7 +75,7 @@
 int JsonReader::IntegerOr(const std::string& key, Bounds bounds, int fallback) {
   const double value = NumberOr(key, bounds, fallback);
   if (value != std::floor(value)) {
-    Fault(key, "expected a whole number");
+    AddFault(key, "expected a whole number");
   }
   return static_cast<int>(value);
 }
@@ -91,48 +91,48 @@
     return false;
   }
   if (!value->is_boolean()) {
-    Fault(key, "expected true or false; found " + value->dump());
+    AddFault(key, "expected true or false; found " + value->dump());
     return false;
   }
   return value->get<bool>();
 }
 
-std::vector<std::string> JsonReader::Texts(const std::string& key) {
+std::vector<std::string> JsonReader::TextList(const std::string& key) {
   const nlohmann::json* value = Find(key, true);
   std::vector<std::string> texts;
   if (value == nullptr) {
     return texts;
   }
   if (!value->is_array()) {
-    Fault(key, "expected a list of texts; found " + value->dump());
+    AddFault(key, "expected a list of texts; found " + value->dump());
     return texts;
   }
   for (const auto& item : *value) {
     if (item.is_string()) {
       texts.push_back(item.get<std::string>());
     } else {
-      Fault(key, "expected a text in the list; found " + item.dump());
+      AddFault(key, "expected a text in the list; found " + item.dump());
     }
   }
   return texts;
 }
 
-void JsonReader::EachObject(const std::string& key,
-                            bool required,
-                            const std::function<void(JsonReader&)>& visit) {
+void JsonReader::ForEachObject(const std::string& key,
+                               bool required,
+                               const std::function<void(JsonReader&)>& visit) {
   const nlohmann::json* value = Find(key, required);
   if (value == nullptr) {
     return;
   }
   if (!value->is_array()) {
-    Fault(key, "expected a list of objects");
+    AddFault(key, "expected a list of objects");
     return;
   }
   std::size_t index = 0;
   for (const auto& item : *value) {
     const std::string name = key + "/" + std::to_string(index++);
     if (!item.is_object()) {
-      Fault(name, "expected an object; found " + item.dump());
+      AddFault(name, "expected an object; found " + item.dump());
       continue;
     }
     JsonReader reader(file_, item, pointer_ + "/" + name, faults_);
@@ -141,14 +141,14 @@
   }
 }
 
-void JsonReader::Nested(const std::string& key,
-                        const std::function<void(JsonReader&)>& visit) {
+void JsonReader::ReadNested(const std::string& key,
+                            const std::function<void(JsonReader&)>& visit) {
   const nlohmann::json* value = Find(key, false);
   if (value == nullptr) {
     return;
   }
   if (!value->is_object()) {
-    Fault(key, "expected an object; found " + value->dump());
+    AddFault(key, "expected an object; found " + value->dump());
     return;
   }
   JsonReader reader(file_, *value, pointer_ + "/" + key, faults_);
@@ -156,7 +156,7 @@
   reader.Finish();
 }
 
-void JsonReader::Fault(const std::string& key, const std::string& text) {
+void JsonReader::AddFault(const std::string& key, const std::string& text) {
   const std::string pointer = pointer_ + "/" + key;
   int line = file_.LineOf(pointer);
   if (line == 0) {
@@ -168,7 +168,7 @@
 void JsonReader::Finish() {
   for (const auto& [key, value] : object_.items()) {
     if (!asked_.contains(key)) {
-      Fault(key, "unknown key");
+      AddFault(key, "unknown key");
     }
   }
 }
--- a/src/pathcleat/settings/json_reader.hpp
+++ b/src/pathcleat/settings/json_reader.hpp
@@ -35,16 +35,16 @@
   int IntegerOr(const std::string& key, Bounds bounds, int fallback);
   std::uint16_t Port(const std::string& key);
   bool Flag(const std::string& key);
-  std::vector<std::string> Texts(const std::string& key);
+  std::vector<std::string> TextList(const std::string& key);
 
   /// @brief Calls visit with a reader for each object of a list.
-  void EachObject(const std::string& key,
-                  bool required,
-                  const std::function<void(JsonReader&)>& visit);
+  void ForEachObject(const std::string& key,
+                     bool required,
+                     const std::function<void(JsonReader&)>& visit);
 
   /// @brief Calls visit with a reader for a nested object, if it is there.
-  void Nested(const std::string& key,
-              const std::function<void(JsonReader&)>& visit);
+  void ReadNested(const std::string& key,
+                  const std::function<void(JsonReader&)>& visit);
 
   /// @brief One of the named choices; the first if it is not.
   template <class T>
@@ -59,12 +59,12 @@
       for (const auto& [name, value] : choices) {
         names += (names.empty() ? "" : ", ") + name;
       }
-      Fault(key, "expected one of " + names + "; found '" + text + "'");
+      AddFault(key, "expected one of " + names + "; found '" + text + "'");
     }
     return choices.begin()->second;
   }
 
-  void Fault(const std::string& key, const std::string& text);
+  void AddFault(const std::string& key, const std::string& text);
   void Finish();
 
  private:
--- a/src/pathcleat/settings/read_deployment.cpp
+++ b/src/pathcleat/settings/read_deployment.cpp
@@ -23,7 +23,7 @@
   boost::system::error_code error;
   boost::asio::ip::make_address_v4(text, error);
   if (!text.empty() && error) {
-    reader.Fault(key, "expected an IPv4 number; found '" + text + "'");
+    reader.AddFault(key, "expected an IPv4 number; found '" + text + "'");
   }
   return text;
 }
@@ -34,7 +34,7 @@
   const std::string name = reader.Text(key);
   const auto found = find(name);
   if (!found && !name.empty()) {
-    reader.Fault(key, "no such name as '" + name + "'");
+    reader.AddFault(key, "no such name as '" + name + "'");
   }
   return found.value_or(typename decltype(found)::value_type{});
 }
@@ -46,13 +46,15 @@
   Deployment Read() {
     out_.name = root_.Text("name");
     ReadLatency();
-    root_.EachObject("regions", true, [this](auto& r) { ReadRegion(r); });
-    root_.EachObject("services", true, [this](auto& r) { ReadService(r); });
-    root_.EachObject("hosts", true, [this](auto& r) { ReadSeat(r); });
-    root_.EachObject("upstreams", true, [this](auto& r) { ReadUpstreams(r); });
-    root_.EachObject("links", false, [this](auto& r) { ReadLink(r); });
-    root_.EachObject("client_blocks", false, [this](auto& r) { ReadBlock(r); });
-    root_.Nested("platform", [this](auto& r) { ReadPlatform(r); });
+    root_.ForEachObject("regions", true, [this](auto& r) { ReadRegion(r); });
+    root_.ForEachObject("services", true, [this](auto& r) { ReadService(r); });
+    root_.ForEachObject("hosts", true, [this](auto& r) { ReadSeat(r); });
+    root_.ForEachObject("upstreams", true,
+                        [this](auto& r) { ReadUpstreams(r); });
+    root_.ForEachObject("links", false, [this](auto& r) { ReadLink(r); });
+    root_.ForEachObject("client_blocks", false,
+                        [this](auto& r) { ReadBlock(r); });
+    root_.ReadNested("platform", [this](auto& r) { ReadPlatform(r); });
     return std::move(out_);
   }
 
@@ -61,7 +63,7 @@
                    const std::string& sort,
                    const std::string& name) {
     if (!names_.insert(sort + " " + name).second) {
-      reader.Fault("name", "duplicate " + sort + " '" + name + "'");
+      reader.AddFault("name", "duplicate " + sort + " '" + name + "'");
     }
   }
 
@@ -70,12 +72,13 @@
                            std::uint16_t port) {
     const std::string endpoint = address + ":" + std::to_string(port);
     if (!names_.insert("endpoint " + endpoint).second) {
-      reader.Fault("address", "address and port " + endpoint + " used twice");
+      reader.AddFault("address",
+                      "address and port " + endpoint + " used twice");
     }
   }
 
   void ReadLatency() {
-    root_.Nested("latency_ms", [this](JsonReader& reader) {
+    root_.ReadNested("latency_ms", [this](JsonReader& reader) {
       out_.latency_in_domain =
           FromMilliseconds(reader.Number("in_domain", kMilliseconds));
       out_.latency_between_domains =
@@ -91,7 +94,7 @@
     region.max_in_flight = reader.IntegerOr("max_in_flight", kInFlight, 0);
     CheckUnique(reader, "region", region.name);
     const RegionIndex index{static_cast<std::uint16_t>(out_.regions.size())};
-    for (const std::string& name : reader.Texts("failure_domains")) {
+    for (const std::string& name : reader.TextList("failure_domains")) {
       CheckUnique(reader, "failure domain", name);
       out_.domains.push_back({name, index});
     }
@@ -104,7 +107,7 @@
     service.path_prefix = reader.Text("path_prefix");
     service.health_path = reader.TextOr("health_path", service.health_path);
     CheckUnique(reader, "service", service.name);
-    reader.EachObject("kinds", true, [&service](JsonReader& kind_reader) {
+    reader.ForEachObject("kinds", true, [&service](JsonReader& kind_reader) {
       service.kinds.push_back(ReadKind(kind_reader));
     });
     out_.services.push_back(std::move(service));
@@ -118,7 +121,7 @@
     constexpr Bounds kBodyBytes{0, 64.0 * 1024 * 1024};
     RequestKind kind;
     kind.name = reader.Text("name");
-    kind.methods = reader.Texts("methods");
+    kind.methods = reader.TextList("methods");
     kind.path_prefix = reader.TextOr("path_prefix", kind.path_prefix);
     kind.repeatable = reader.Flag("repeatable");
     kind.priority = reader.Choice("priority", priorities);
@@ -138,7 +141,7 @@
   }
 
   void ReadSeat(JsonReader& reader) {
-    Seat seat;
+    EntryHost seat;
     seat.name = reader.Text("name");
     seat.domain = Reference(reader, "failure_domain", FindDomain());
     seat.address = IpText(reader, "address");
@@ -149,7 +152,7 @@
     CheckUniqueEndpoint(reader, seat.address, seat.caller_port);
     CheckUniqueEndpoint(reader, seat.address, seat.peer_port);
     CheckUniqueEndpoint(reader, seat.address, seat.operator_port);
-    out_.seats.push_back(std::move(seat));
+    out_.hosts.push_back(std::move(seat));
   }
 
   // One entry stands for 'count' instances on following ports.
@@ -187,7 +190,7 @@
     boost::system::error_code error;
     const auto subnet = boost::asio::ip::make_network_v4(text, error);
     if (error) {
-      reader.Fault("block", "expected an IPv4 block such as 10.0.0.0/8");
+      reader.AddFault("block", "expected an IPv4 block such as 10.0.0.0/8");
     }
     block.first_address = subnet.network().to_uint();
     block.prefix_length = subnet.prefix_length();
--- a/src/pathcleat/settings/settings_test.cpp
+++ b/src/pathcleat/settings/settings_test.cpp
@@ -95,7 +95,7 @@
     const auto deployment =
         LoadDeployment((copy.directory() / kDeployment).string());
     cr_assert(deployment.faults.empty());
-    cr_assert_eq(deployment.deployment.seats.size(), 9U);
+    cr_assert_eq(deployment.deployment.hosts.size(), 9U);
   }
 }
 
@@ -175,8 +175,8 @@
   copy.Replace(name, "{", "{ \"policy\": { \"off\": [\"patience\"] },");
   const LoadedEntrySettings loaded = LoadEntrySettings(file);
   cr_assert(loaded.faults.empty());
-  cr_assert(!loaded.settings.policy.IsOn(Mechanism::kPatience));
-  cr_assert(loaded.settings.policy.IsOn(Mechanism::kSlowness));
+  cr_assert(!loaded.settings.policy.IsEnabled(Mechanism::kPatience));
+  cr_assert(loaded.settings.policy.IsEnabled(Mechanism::kSlowness));
   copy.Replace(name, "patience", "patients");
   const LoadedEntrySettings wrong = LoadEntrySettings(file);
   cr_assert_eq(wrong.faults.size(), 1U);
--- a/src/pathcleat/steer/block_table.cpp
+++ b/src/pathcleat/steer/block_table.cpp
@@ -26,14 +26,16 @@
 
 }  // namespace
 
-BlockTable::BlockTable(const std::vector<BlockRow>& rows) : chunks_(kChunks) {
+BlockTable::BlockTable(const std::vector<ClientBlockRow>& rows)
+    : chunks_(kChunks) {
   auto row = rows.begin();
   std::uint16_t site = 0;
   for (std::size_t c = 0; c < kChunks; ++c) {
     Chunk& chunk = chunks_[c];
-    const auto end = std::find_if(row, rows.end(), [c](const BlockRow& item) {
-      return ChunkOf(item.first_address) != c;
-    });
+    const auto end =
+        std::find_if(row, rows.end(), [c](const ClientBlockRow& item) {
+          return ChunkOf(item.first_address) != c;
+        });
     const auto count = static_cast<std::size_t>(end - row) + 1;
     chunk.starts.reserve(count);
     chunk.sites.reserve(count);
--- a/src/pathcleat/steer/config_log.cpp
+++ b/src/pathcleat/steer/config_log.cpp
@@ -33,7 +33,7 @@
 std::vector<ConfigChange> ConfigLog::ChangesAfter(std::uint64_t version,
                                                   std::size_t most) const {
   std::vector<ConfigChange> found;
-  if (!Covers(version)) {
+  if (!CanReplayFrom(version)) {
     return found;
   }
   for (const ConfigChange& change : changes_) {
@@ -44,7 +44,7 @@
   return found;
 }
 
-bool ConfigLog::Covers(std::uint64_t version) const {
+bool ConfigLog::CanReplayFrom(std::uint64_t version) const {
   const std::uint64_t first_kept =
       changes_.empty() ? state_.version + 1 : changes_.front().version;
   return version + 1 >= first_kept;
--- a/src/pathcleat/steer/config_log_test.cpp
+++ b/src/pathcleat/steer/config_log_test.cpp
@@ -64,10 +64,10 @@
 Test(config_log, serves_a_peer_that_lags_by_changes_or_not_at_all) {
   ConfigLog log(4);
   log.Apply(Changes(1, 10));
-  cr_assert(log.Covers(6));
+  cr_assert(log.CanReplayFrom(6));
   cr_assert_eq(log.ChangesAfter(6, 100).size(), 4U);
   cr_assert_eq(log.ChangesAfter(6, 2).size(), 2U);
-  cr_assert(!log.Covers(5));
+  cr_assert(!log.CanReplayFrom(5));
   cr_assert(log.ChangesAfter(5, 100).empty());
   cr_assert(log.ChangesAfter(10, 100).empty());
 }
--- a/src/pathcleat/steer/config_state.cpp
+++ b/src/pathcleat/steer/config_state.cpp
@@ -33,8 +33,8 @@
   void operator()(const StopShift& operation) const {
     state_.shifts.erase({operation.service, operation.from});
   }
-  void operator()(const AssignBlock& operation) const {
-    std::erase_if(state_.blocks, [&operation](const AssignBlock& block) {
+  void operator()(const AssignClientBlock& operation) const {
+    std::erase_if(state_.blocks, [&operation](const AssignClientBlock& block) {
       return block.first_address == operation.first_address &&
              block.prefix_length == operation.prefix_length;
     });
--- a/src/pathcleat/steer/key_claim.cpp
+++ b/src/pathcleat/steer/key_claim.cpp
@@ -55,7 +55,7 @@
   }
   switch (row.state) {
     case KeyState::kFinished:
-      return KeyAction::kAnswerKept;
+      return KeyAction::kReplayAnswer;
     case KeyState::kUnknown:
       return KeyAction::kAnswerUnknown;
     case KeyState::kRunning:
--- a/src/pathcleat/steer/retry_budget.cpp
+++ b/src/pathcleat/steer/retry_budget.cpp
@@ -17,7 +17,7 @@
   saved_ = std::min(saved_, burst_);
 }
 
-bool RetryBudget::TryRetry() {
+bool RetryBudget::TryAcquire() {
   if (saved_ < 1) {
     return false;
   }
--- a/src/pathcleat/steer/shift.cpp
+++ b/src/pathcleat/steer/shift.cpp
@@ -17,17 +17,17 @@
 
 }  // namespace
 
-const char* ToString(PaceStep step) {
+const char* ToString(RampDecision step) {
   switch (step) {
-    case PaceStep::kAdvanced:
+    case RampDecision::kAdvanced:
       return "advanced";
-    case PaceStep::kHeldOldData:
+    case RampDecision::kHeldStaleData:
       return "held: the target's state is old";
-    case PaceStep::kHeldHeadroom:
+    case RampDecision::kHeldLowHeadroom:
       return "held: the target's headroom is small";
-    case PaceStep::kHeldLatency:
+    case RampDecision::kHeldHighLatency:
       return "held: the target's latency has grown";
-    case PaceStep::kAtCap:
+    case RampDecision::kAtCap:
       return "at its cap";
   }
   return "held";
@@ -45,9 +45,9 @@
   return true;
 }
 
-PaceStep ShiftGate::Advance(const TargetState& target, Time now) {
+RampDecision ShiftGate::Advance(const ShiftTargetState& target, Time now) {
   last_step_ = Decide(target, now);
-  if (last_step_ == PaceStep::kAdvanced) {
+  if (last_step_ == RampDecision::kAdvanced) {
     const Duration over = std::max(plan_.over, kShortestShift);
     const auto elapsed = static_cast<double>((now - last_advance_).count());
     const double step = plan_.cap * elapsed / static_cast<double>(over.count());
@@ -58,15 +58,15 @@
   return last_step_;
 }
 
-PaceStep ShiftGate::Decide(const TargetState& target, Time now) {
+RampDecision ShiftGate::Decide(const ShiftTargetState& target, Time now) {
   if (fraction_ >= plan_.cap) {
-    return PaceStep::kAtCap;
+    return RampDecision::kAtCap;
   }
   if (target.age > kOldestState || now < last_advance_) {
-    return PaceStep::kHeldOldData;
+    return RampDecision::kHeldStaleData;
   }
   if (target.headroom < kLeastHeadroom) {
-    return PaceStep::kHeldHeadroom;
+    return RampDecision::kHeldLowHeadroom;
   }
   if (baseline_latency_ == Duration::zero()) {
     baseline_latency_ = target.latency;
@@ -75,8 +75,8 @@
                            ? 1
                            : static_cast<double>(target.latency.count()) /
                                  static_cast<double>(baseline_latency_.count());
-  return ratio > kMostLatencyRatio ? PaceStep::kHeldLatency
-                                   : PaceStep::kAdvanced;
+  return ratio > kMostLatencyRatio ? RampDecision::kHeldHighLatency
+                                   : RampDecision::kAdvanced;
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/steer/shift_test.cpp
+++ b/src/pathcleat/steer/shift_test.cpp
@@ -10,7 +10,8 @@
 
 const Time kStart{Duration(1'000'000)};
 constexpr Duration kSecond{1'000'000};
-constexpr TargetState kGoodTarget{0.5, Duration(20'000), Duration(100'000)};
+constexpr ShiftTargetState kGoodTarget{0.5, Duration(20'000),
+                                       Duration(100'000)};
 
 ShiftPlan PlanWithCap(double cap, Duration over) {
   ShiftPlan plan;
@@ -57,8 +58,8 @@
     bool moved = false;
     for (int i = 1; i <= 20; ++i) {
       gate.Advance(kGoodTarget, kStart + kSecond * i);
-      RC_ASSERT(!moved || gate.WantsMove(caller));
-      moved = gate.WantsMove(caller);
+      RC_ASSERT(!moved || gate.ShouldMove(caller));
+      moved = gate.ShouldMove(caller);
     }
     RC_ASSERT(moved == (caller < 0.5));
   }));
@@ -67,25 +68,26 @@
 Test(shift, holds_on_old_data_small_headroom_and_grown_latency) {
   ShiftGate gate(PlanWithCap(0.5, kSecond * 10), kStart);
   cr_assert_eq(gate.Advance(kGoodTarget, kStart + kSecond),
-               PaceStep::kAdvanced);
+               RampDecision::kAdvanced);
   const double reached = gate.fraction();
-  TargetState old = kGoodTarget;
+  ShiftTargetState old = kGoodTarget;
   old.age = kSecond * 60;
-  cr_assert_eq(gate.Advance(old, kStart + kSecond * 2), PaceStep::kHeldOldData);
-  TargetState full = kGoodTarget;
+  cr_assert_eq(gate.Advance(old, kStart + kSecond * 2),
+               RampDecision::kHeldStaleData);
+  ShiftTargetState full = kGoodTarget;
   full.headroom = 0.01;
   cr_assert_eq(gate.Advance(full, kStart + kSecond * 3),
-               PaceStep::kHeldHeadroom);
-  TargetState slow = kGoodTarget;
+               RampDecision::kHeldLowHeadroom);
+  ShiftTargetState slow = kGoodTarget;
   slow.latency = kGoodTarget.latency * 3;
   cr_assert_eq(gate.Advance(slow, kStart + kSecond * 4),
-               PaceStep::kHeldLatency);
+               RampDecision::kHeldHighLatency);
   cr_assert_eq(gate.fraction(), reached);
 }
 
 Test(shift, time_held_is_not_made_up_for) {
   ShiftGate gate(PlanWithCap(1.0, kSecond * 100), kStart);
-  TargetState old = kGoodTarget;
+  ShiftTargetState old = kGoodTarget;
   old.age = kSecond * 60;
   gate.Advance(old, kStart + kSecond * 50);
   gate.Advance(kGoodTarget, kStart + kSecond * 51);
--- a/src/pathcleat/steer/token_bucket.cpp
+++ b/src/pathcleat/steer/token_bucket.cpp
@@ -17,11 +17,11 @@
   return std::min(burst_, tokens_ + std::max(0.0, elapsed) * per_second_);
 }
 
-bool TokenBucket::CanTake(Time now) const {
+bool TokenBucket::CanAcquire(Time now) const {
   return per_second_ > 0 && TokensAt(now) >= 1;
 }
 
-std::optional<Duration> TokenBucket::TakesIn(Time now) const {
+std::optional<Duration> TokenBucket::TimeUntilAvailable(Time now) const {
   if (per_second_ <= 0) {
     return std::nullopt;
   }
@@ -31,7 +31,7 @@
       static_cast<Duration::rep>(std::ceil(missing / per_second_ * kMicros)));
 }
 
-void TokenBucket::GiveBack(Time now) {
+void TokenBucket::Release(Time now) {
   tokens_ = std::min(burst_, TokensAt(now) + 1);
   last_ = now;
 }
@@ -43,11 +43,11 @@
   per_second_ = per_second;
 }
 
-bool TokenBucket::TryTake(Time now) {
+bool TokenBucket::TryAcquire(Time now) {
   tokens_ = TokensAt(now);
   started_ = true;
   last_ = now;
-  if (!CanTake(now)) {
+  if (!CanAcquire(now)) {
     return false;
   }
   tokens_ -= 1;
--- a/src/pathcleat/steer/token_bucket_test.cpp
+++ b/src/pathcleat/steer/token_bucket_test.cpp
@@ -11,12 +11,12 @@
 Test(token_bucket, what_is_given_back_can_be_taken_again_and_no_more) {
   const Time start{std::chrono::hours(1)};
   TokenBucket bucket(1, 1);
-  cr_assert(bucket.TryTake(start));
-  cr_assert_not(bucket.TryTake(start));
-  bucket.GiveBack(start);
-  bucket.GiveBack(start);
-  cr_assert(bucket.TryTake(start));
-  cr_assert_not(bucket.TryTake(start));
+  cr_assert(bucket.TryAcquire(start));
+  cr_assert_not(bucket.TryAcquire(start));
+  bucket.Release(start);
+  bucket.Release(start);
+  cr_assert(bucket.TryAcquire(start));
+  cr_assert_not(bucket.TryAcquire(start));
 }
 
 }  // namespace
--- a/src/pathcleat/store/read_row.cpp
+++ b/src/pathcleat/store/read_row.cpp
@@ -7,18 +7,19 @@
 
 void ReadRow(TableStore& store,
              const std::string& key,
-             std::function<void(RowRead)> callback) {
+             std::function<void(RowReadResult)> callback) {
   constexpr int kOneRow = 1;
   const std::string after = key + '\1';
-  store.Scan(key, after, kOneRow,
-             [key, callback = std::move(callback)](const TableScan& scan) {
-               RowRead read;
-               read.outcome = scan.outcome;
-               if (!scan.rows.empty() && scan.rows.front().key == key) {
-                 read.row = scan.rows.front();
-               }
-               callback(read);
-             });
+  store.Scan(
+      key, after, kOneRow,
+      [key, callback = std::move(callback)](const TableScanResult& scan) {
+        RowReadResult read;
+        read.outcome = scan.outcome;
+        if (!scan.rows.empty() && scan.rows.front().key == key) {
+          read.row = scan.rows.front();
+        }
+        callback(read);
+      });
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/telemetry/account_stats.cpp
+++ b/src/pathcleat/telemetry/account_stats.cpp
@@ -34,7 +34,7 @@
   return &counts_[account];
 }
 
-void AccountStats::OnTaken(const std::string& account) {
+void AccountStats::OnAccepted(const std::string& account) {
   if (AccountCounts* counts = Find(account)) {
     ++counts->taken;
   }
@@ -51,7 +51,7 @@
   return found == counts_.end() ? AccountCounts() : found->second;
 }
 
-std::vector<AccountStats::Row> AccountStats::Foremost() const {
+std::vector<AccountStats::Row> AccountStats::TopAccounts() const {
   std::vector<Row> rows(counts_.begin(), counts_.end());
   LeadBy(rows, [](const AccountCounts& c) { return c.taken; });
   const std::size_t busiest = std::min(rows.size(), kForemost);
--- a/src/pathcleat/telemetry/account_stats_test.cpp
+++ b/src/pathcleat/telemetry/account_stats_test.cpp
@@ -11,17 +11,17 @@
   constexpr std::size_t kMostNamed = 20;
   AccountStats stats;
   for (int i = 0; i < 5'000; ++i) {
-    stats.OnTaken("quiet-" + std::to_string(i));
+    stats.OnAccepted("quiet-" + std::to_string(i));
   }
   cr_assert_gt(stats.uncounted(), 0U);
   AccountStats few;
   for (int i = 0; i < 100; ++i) {
-    few.OnTaken("quiet-" + std::to_string(i));
+    few.OnAccepted("quiet-" + std::to_string(i));
   }
-  few.OnTaken("busy");
-  few.OnTaken("busy");
+  few.OnAccepted("busy");
+  few.OnAccepted("busy");
   few.OnOverLimit("refused");
-  const auto rows = few.Foremost();
+  const auto rows = few.TopAccounts();
   cr_assert_leq(rows.size(), kMostNamed);
   cr_assert_eq(rows.front().first, "busy");
   cr_assert_eq(rows.back().first, "refused");
--- a/src/pathcleat/telemetry/metrics.cpp
+++ b/src/pathcleat/telemetry/metrics.cpp
@@ -14,25 +14,25 @@
 
 }  // namespace
 
-const char* ToString(WorkLeft work) {
+const char* ToString(AbandonedWork work) {
   switch (work) {
-    case WorkLeft::kNotStarted:
+    case AbandonedWork::kNotStarted:
       return "not-started";
-    case WorkLeft::kCancelled:
+    case AbandonedWork::kCancelled:
       return "cancelled";
-    case WorkLeft::kRunsOn:
+    case AbandonedWork::kRunsOn:
       return "runs-on";
   }
   return "";
 }
 
-Metrics::KindMetrics::KindMetrics()
+Metrics::RouteMetrics::RouteMetrics()
     : latency(acc::extended_p_square_probabilities = kQuantiles) {}
 
 void Metrics::Record(const std::string& kind,
                      RunOutcome outcome,
                      Duration latency) {
-  KindMetrics& metrics = kinds_[kind];
+  RouteMetrics& metrics = kinds_[kind];
   switch (outcome) {
     case RunOutcome::kAnswered:
       ++metrics.answered;
--- a/src/pathcleat/telemetry/request_log.cpp
+++ b/src/pathcleat/telemetry/request_log.cpp
@@ -30,7 +30,7 @@
   if (!settings_.enabled) {
     return;
   }
-  if (failed && !failures_.TryTake(now)) {
+  if (failed && !failures_.TryAcquire(now)) {
     ++left_out_;
     return;
   }
--- a/src/pathcleat/telemetry/request_log_test.cpp
+++ b/src/pathcleat/telemetry/request_log_test.cpp
@@ -12,7 +12,7 @@
 struct LogWorld {
   LogWorld() { SilenceLog(); }
   std::vector<Event> EventsOf(const std::string& id) {
-    return {events.Stamp(EventCode::kRequestTaken, id, "", {})};
+    return {events.MakeEvent(EventCode::kRequestTaken, id, "", {})};
   }
   EventLog events{"host", 100'000};
   RequestLog log{events, RequestLogSettings{}};
@@ -60,7 +60,7 @@
   const std::size_t kept = world.events.Snapshot().size();
   cr_assert_gt(kept, 100U);
   cr_assert_lt(kept, 1'000U);
-  cr_assert_eq(kept + world.log.left_out(), kFailures);
+  cr_assert_eq(kept + world.log.suppressed_failures(), kFailures);
 }
 
 }  // namespace
--- a/src/pathcleat/testing/event_loop.hpp
+++ b/src/pathcleat/testing/event_loop.hpp
@@ -41,7 +41,7 @@
 }
 
 /// @brief A loopback address that no other test process uses.
-inline std::string OwnAddress() {
+inline std::string UniqueLoopbackAddress() {
   const auto pid = static_cast<std::uint32_t>(::getpid());
   constexpr std::uint32_t kByte = 256;
   constexpr std::uint32_t kFirstBlock = 128;
--- a/src/pathcleat/testing/heartbeat_fleet.hpp
+++ b/src/pathcleat/testing/heartbeat_fleet.hpp
@@ -15,10 +15,10 @@
 
 inline const Time kStart{Duration(60'000'000)};
 inline constexpr Duration kSilence{2'500'000};
-inline constexpr Duration kRound{500'000};
+inline constexpr Duration kHeartbeatInterval{500'000};
 // Hosts' rounds do not begin at one moment.
-inline constexpr int kPhases = 5;
-inline constexpr Duration kPhase = kRound / kPhases;
+inline constexpr int kPhasesPerInterval = 5;
+inline constexpr Duration kPhase = kHeartbeatInterval / kPhasesPerInterval;
 
 inline HostInfo HostAt(int domain, int index, std::uint64_t incarnation = 1) {
   HostInfo host;
@@ -31,7 +31,7 @@
   return host;
 }
 
-struct Node {
+struct HeartbeatNode {
   HostInfo info;
   std::unique_ptr<HostTable> table;
   std::unique_ptr<DomainReporter> reporter;
@@ -50,31 +50,31 @@
         Start(HostAt(d, i));
       }
     }
-    for (Node& node : nodes) {
-      ListAll(node);
+    for (HeartbeatNode& node : nodes) {
+      ListAllHosts(node);
     }
   }
 
-  Node& Start(const HostInfo& info) {
-    Node node;
+  HeartbeatNode& Start(const HostInfo& info) {
+    HeartbeatNode node;
     node.info = info;
     node.table = std::make_unique<HostTable>(info, kSilence);
     node.reporter = std::make_unique<DomainReporter>(*node.table, now);
     node.plan = std::make_unique<HeartbeatPlan>(*node.table);
-    node.phase = static_cast<int>(nodes.size()) % kPhases;
+    node.phase = static_cast<int>(nodes.size()) % kPhasesPerInterval;
     places.emplace(info.peer_address, nodes.size());
     nodes.push_back(std::move(node));
     return nodes.back();
   }
 
   // A host reads all rows of the store when it starts.
-  void ListAll(Node& node) {
-    for (const Node& other : nodes) {
-      node.table->OnListed(other.info, now);
+  void ListAllHosts(HeartbeatNode& node) {
+    for (const HeartbeatNode& other : nodes) {
+      node.table->OnStoreRow(other.info, now);
     }
   }
 
-  Node* Find(const std::string& address) {
+  HeartbeatNode* Find(const std::string& address) {
     const auto [first, last] = places.equal_range(address);
     for (auto place = first; place != last; ++place) {
       if (nodes[place->second].runs) {
@@ -84,21 +84,21 @@
     return nullptr;
   }
 
-  void Take(Node& node, const DomainReport& report) {
+  void Take(HeartbeatNode& node, const DomainReport& report) {
     ++node.received;
     for (const HostInfo& host : report.introduced) {
-      node.table->OnIntroduced(host, now);
+      node.table->OnInfoReported(host, now);
     }
     for (const MemberGroup& group : report.groups) {
-      for (const MemberSign& member : group.members) {
-        node.table->OnReported(member, group.versions, now);
+      for (const MemberObservation& member : group.members) {
+        node.table->OnMemberReported(member, group.versions, now);
       }
     }
   }
 
   // To all, as after a start.
-  void Greet(const Node& from) {
-    for (Node& node : nodes) {
+  void Greet(const HeartbeatNode& from) {
+    for (HeartbeatNode& node : nodes) {
       if (node.runs && node.info.domain == from.info.domain && !lost()) {
         node.table->OnHeard(from.info, {}, now);
         ++node.received;
@@ -106,9 +106,9 @@
     }
   }
 
-  void Beat(const Node& from) {
+  void Beat(const HeartbeatNode& from) {
     for (const std::string& address : from.plan->Receivers(now)) {
-      Node* node = Find(address);
+      HeartbeatNode* node = Find(address);
       if (node != nullptr && !lost()) {
         node->table->OnHeard(from.info, {}, now);
         ++node->received;
@@ -116,30 +116,31 @@
     }
   }
 
-  void TellOwnDomain(Node& from, const std::vector<DomainReport>& reports) {
-    from.plan->OnOwnDomainTold(now);
+  void ReportToOwnDomain(HeartbeatNode& from,
+                         const std::vector<DomainReport>& reports) {
+    from.plan->OnOwnDomainReport(now);
     for (const std::string& address : from.plan->Told(now)) {
-      Node* node = Find(address);
+      HeartbeatNode* node = Find(address);
       if (node == nullptr || lost()) {
         continue;
       }
-      node->plan->OnOwnDomainTold(now);
+      node->plan->OnOwnDomainReport(now);
       for (const DomainReport& report : reports) {
         Take(*node, report);
       }
     }
   }
 
-  void Report(Node& from) {
-    const auto reports = from.reporter->Reports({}, now);
-    TellOwnDomain(from, reports);
+  void Report(HeartbeatNode& from) {
+    const auto reports = from.reporter->MakeReports({}, now);
+    ReportToOwnDomain(from, reports);
     for (const std::string& address : from.reporter->Receivers(now)) {
       between_domains += reports.size();
-      Node* receiver = Find(address);
+      HeartbeatNode* receiver = Find(address);
       if (receiver == nullptr || lost()) {
         continue;
       }
-      for (Node& node : nodes) {
+      for (HeartbeatNode& node : nodes) {
         const bool near = node.info.domain == receiver->info.domain;
         const bool itself = &node == receiver;
         if (node.runs && near && (itself || !lost())) {
@@ -154,8 +155,8 @@
   void Step() {
     now += kPhase;
     ++steps;
-    for (Node& node : nodes) {
-      if (node.runs && node.phase == steps % kPhases) {
+    for (HeartbeatNode& node : nodes) {
+      if (node.runs && node.phase == steps % kPhasesPerInterval) {
         Beat(node);
         if (node.reporter->IsReporter(now)) {
           Report(node);
@@ -173,26 +174,28 @@
     }
   }
 
-  int Alive(const Node& node) const { return node.table->Alive(now); }
+  int AliveCount(const HeartbeatNode& node) const {
+    return node.table->AliveCount(now);
+  }
 
-  int Running() const {
+  int RunningCount() const {
     int count = 0;
-    for (const Node& node : nodes) {
+    for (const HeartbeatNode& node : nodes) {
       count += node.runs ? 1 : 0;
     }
     return count;
   }
 
   // What all hosts together take of a limit of 1 that they share.
-  double SharesTaken() const {
+  double TotalShare() const {
     double sum = 0;
-    for (const Node& node : nodes) {
-      sum += node.runs ? 1.0 / node.table->Sharers(now) : 0;
+    for (const HeartbeatNode& node : nodes) {
+      sum += node.runs ? 1.0 / node.table->LimitSharerCount(now) : 0;
     }
     return sum;
   }
 
-  std::vector<Node> nodes;
+  std::vector<HeartbeatNode> nodes;
   std::multimap<std::string, std::size_t> places;  ///< by address
   Time now = kStart;
   int steps = 0;
--- a/src/pathcleat/testing/no_descriptors.hpp
+++ b/src/pathcleat/testing/no_descriptors.hpp
@@ -24,11 +24,11 @@
       taken_.push_back(fd);
     }
   }
-  ~NoDescriptors() { GiveBack(taken_.size()); }
+  ~NoDescriptors() { Release(taken_.size()); }
   NoDescriptors(const NoDescriptors&) = delete;
   NoDescriptors& operator=(const NoDescriptors&) = delete;
 
-  void GiveBack(std::size_t count) {
+  void Release(std::size_t count) {
     for (; count > 0; --count) {
       ::close(taken_.back());
       taken_.pop_back();
--- a/src/pathcleat/testing/pass_through.hpp
+++ b/src/pathcleat/testing/pass_through.hpp
@@ -18,9 +18,9 @@
 namespace pathcleat {
 
 /// @brief How connections fall silent.
-enum class Hush {
-  kNetwork,  ///< nothing gets through, not even acknowledgements
-  kPeer,     ///< acknowledged, but nothing is passed on any more
+enum class SilenceMode {
+  kDropPackets,  ///< nothing gets through, not even acknowledgements
+  kPeer,         ///< acknowledged, but nothing is passed on any more
 };
 
 /// @brief Passes TCP connections on to another address. Those that are open
@@ -55,18 +55,18 @@
   int accepted() const { return accepted_; }
 
   /// @brief Those of them that still pass bytes on.
-  int passing() const {
-    int passing = 0;
+  int forwarding_count() const {
+    int forwarding_count = 0;
     for (const auto& link : links_) {
-      passing += link->silent || link->closed ? 0 : 1;
+      forwarding_count += link->silent || link->closed ? 0 : 1;
     }
-    return passing;
+    return forwarding_count;
   }
 
-  void Silence(Hush how) {
+  void SilenceConnections(SilenceMode how) {
     for (const auto& link : links_) {
       link->silent = true;
-      if (how == Hush::kNetwork) {
+      if (how == SilenceMode::kDropPackets) {
         DropAll(link->caller);
         DropAll(link->target);
       }
--- a/src/pathcleat/testing/picker_world.hpp
+++ b/src/pathcleat/testing/picker_world.hpp
@@ -18,15 +18,15 @@
   request.key = key;
   request.sticky = true;
   request.time_left = Duration(2'000'000);
-  request.caller_deadline = request.time_left;
+  request.caller_timeout = request.time_left;
   return request;
 }
 
 /// @brief Two regions of one failure domain each, and one host's view of them.
-class PickerWorld {
+class PickerFixture {
  public:
-  explicit PickerWorld(int upstreams_in_region = 6,
-                       const std::string& own_region = "north")
+  explicit PickerFixture(int upstreams_in_region = 6,
+                         const std::string& own_region = "north")
       : table_(
             std::map<std::string, std::string>{{"n", "north"}, {"s", "south"}}),
         picker_(Settings(own_region), table_) {
@@ -49,7 +49,7 @@
     PickerSettings settings;
     settings.region = region;
     settings.domain = region.substr(0, 1);
-    settings.region_gigabyte_cost = 10'000;
+    settings.cross_region_cost_per_gigabyte = 10'000;
     return settings;
   }
 
--- a/src/pathcleat/testing/scripted_server.hpp
+++ b/src/pathcleat/testing/scripted_server.hpp
@@ -37,7 +37,7 @@
   }
 
   /// @brief Sends a byte, waits, and so on.
-  void Drip(std::string bytes, std::chrono::milliseconds pause) {
+  void SendByteByByte(std::string bytes, std::chrono::milliseconds pause) {
     if (bytes.empty()) {
       return;
     }
@@ -46,7 +46,7 @@
     pace_.async_wait([this, rest = bytes.substr(1),
                       pause](const boost::system::error_code& error) {
       if (!error) {
-        Drip(rest, pause);
+        SendByteByByte(rest, pause);
       }
     });
   }
--- a/src/pathcleat/testing/test_world.hpp
+++ b/src/pathcleat/testing/test_world.hpp
@@ -23,9 +23,9 @@
 
 /// @brief Entry hosts, upstream stand-ins and a stand-in of the platform in
 /// one process and one event loop, over real sockets.
-class TestWorld {
+class TestCluster {
  public:
-  explicit TestWorld(const TestWorldPlan& plan = {})
+  explicit TestCluster(const TestClusterPlan& plan = {})
       : plan_(plan), platform_(loop_, 1), lone_platform_(loop_, 2) {
     SilenceLog();
     store_address_ = address_ + ":" + std::to_string(next_port_);
@@ -43,7 +43,7 @@
   }
 
   /// @brief Hosts started from now on reach the store at this address.
-  void ReachStoreAt(const std::string& address) { store_address_ = address; }
+  void SetStoreAddress(const std::string& address) { store_address_ = address; }
   const std::string& store_address() const { return store_address_; }
 
   const StoreCallStats& StoreCallsOf(std::size_t index) const {
@@ -55,10 +55,10 @@
     platform::PlatformOptions options;
     options.address = store_address_;
     options.call_timeout = Duration(500'000);
-    options.local_address = StoreSideAddress(index);
+    options.local_address = StoreClientAddress(index);
     options.stats = &host.store_calls;
     platform::PlatformOptions table_options = options;
-    if (plan_.lone_hosts.contains(index)) {
+    if (plan_.isolated_hosts.contains(index)) {
       table_options.address = lone_store_address_;
     }
     host.table =
@@ -71,7 +71,7 @@
     host.gateway = std::make_unique<Gateway>(
         loop_, host.settings, platform::PlatformHeaderNames(), *host.table,
         *host.feed, *host.rollouts, *host.digester);
-    host.gateway->SetProbes({nullptr, &host.store_calls});
+    host.gateway->SetProcessStats({nullptr, &host.store_calls});
     const bool started = TryOr(
         [&]() -> Result<bool> {
           BOOST_LEAF_CHECK(host.gateway->Start());
@@ -85,13 +85,14 @@
     for (std::size_t i = 0; i < hosts_.size(); ++i) {
       StartHost(i);
     }
-    cr_assert(Await([this] { return AllReady(); }));
+    cr_assert(Await([this] { return AreAllReady(); }));
   }
 
   /// @brief Every host is ready and has heard every other.
-  bool AllReady() {
+  bool AreAllReady() {
     for (const auto& host : hosts_) {
-      const int alive = host->gateway->state().hosts.Alive(BootClock::now());
+      const int alive =
+          host->gateway->state().hosts.AliveCount(BootClock::now());
       if (!host->gateway->IsReady() ||
           alive != static_cast<int>(hosts_.size())) {
         return false;
@@ -114,7 +115,7 @@
   }
 
   /// @brief IP number that a host calls the platform from.
-  static std::string StoreSideAddress(std::size_t host) {
+  static std::string StoreClientAddress(std::size_t host) {
     return "127.200.0." + std::to_string(host + 1);
   }
 
@@ -137,10 +138,10 @@
                  const HttpRequest& request,
                  const std::string& from = "") {
     HttpLimits limits;
-    limits.body_bytes = 64ULL * 1024 * 1024;
+    limits.max_body_bytes = 64ULL * 1024 * 1024;
     const auto client = std::make_shared<HttpClient>(
         loop_, *ParseTcpEndpoint(endpoint), limits);
-    client->BindTo(from);
+    client->BindLocalAddress(from);
     bool done = false;
     CallResult result;
     client->Send(request, {std::chrono::seconds(60), std::chrono::seconds(60)},
@@ -177,12 +178,12 @@
     return request;
   }
 
-  CallResult AskHost(std::size_t host, const HttpRequest& request) {
+  CallResult SendToHost(std::size_t host, const HttpRequest& request) {
     return Ask(hosts_[host]->settings.listen.callers, request);
   }
 
   CallResult Get(std::size_t host, const std::string& run_id) {
-    return AskHost(host, GetRequest(run_id));
+    return SendToHost(host, GetRequest(run_id));
   }
 
   CallResult Post(std::size_t host,
@@ -193,7 +194,7 @@
                PostRequest(run_id, key, body));
   }
 
-  CallResult Ready(std::size_t host) {
+  CallResult QueryReadiness(std::size_t host) {
     return Ask(hosts_[host]->settings.listen.readiness,
                {"GET", "/v1/ready", {{"Host", "t"}}, ""});
   }
@@ -208,13 +209,14 @@
                {"GET", "/metrics", {{"Host", "t"}}, ""});
   }
 
-  CallResult Command(std::size_t index, const std::string& text) {
-    return CommandWith(index, text, host(index).secrets().operator_token());
+  CallResult RunCommand(std::size_t index, const std::string& text) {
+    return RunCommandWithToken(index, text,
+                               host(index).secrets().operator_token());
   }
 
-  CallResult CommandWith(std::size_t index,
-                         const std::string& text,
-                         const std::string& token) {
+  CallResult RunCommandWithToken(std::size_t index,
+                                 const std::string& text,
+                                 const std::string& token) {
     return Ask(hosts_[index]->settings.listen.operators,
                {"POST",
                 "/v1/query",
@@ -222,7 +224,7 @@
                 text});
   }
 
-  static std::string Outcome(const CallResult& result) {
+  static std::string OutcomeHeader(const CallResult& result) {
     return FindHeader(result.response.headers, "Pathcleat-Outcome")
         .value_or("");
   }
@@ -343,7 +345,7 @@
         options.slots = plan_.slots;
         options.mean_service_time = plan_.service_time;
         options.seed = next_port_;
-        options.keeps_deadlines = plan_.upstreams_keep_deadlines;
+        options.enforces_deadlines = plan_.upstreams_enforce_deadlines;
         upstreams_.push_back(std::make_unique<UpstreamStandIn>(loop_, options));
         Must(upstreams_.back()->Listen(address_, next_port_++));
         infos_.push_back(info);
@@ -371,9 +373,9 @@
   }
 
   boost::asio::io_context loop_{1};
-  TestWorldPlan plan_;
+  TestClusterPlan plan_;
   HeaderNames names_ = platform::PlatformHeaderNames();
-  std::string address_ = OwnAddress();
+  std::string address_ = UniqueLoopbackAddress();
   std::uint16_t next_port_ = 20'000;
   std::string store_address_;
   std::string lone_store_address_;
--- a/src/pathcleat/testing/test_world_plan.hpp
+++ b/src/pathcleat/testing/test_world_plan.hpp
@@ -13,7 +13,7 @@
 namespace pathcleat {
 
 /// @brief Shape of a small world for tests: one failure domain a region.
-struct TestWorldPlan {
+struct TestClusterPlan {
   std::vector<int> hosts_in_domain{2};
   int upstreams_in_domain = 2;
   int slots = 2;
@@ -21,11 +21,11 @@
   HttpLimits caller_limits;
   Duration timeout{5'000'000};
   Duration stop_grace{2'500'000};
-  bool upstreams_keep_deadlines = false;
+  bool upstreams_enforce_deadlines = false;
   /// Without answers, when an upstream counts as silent is guessed from it.
   Duration target_latency = Route().target_latency;
   /// Hosts that know other secrets than the rest, so that no host hears them.
-  std::set<std::size_t> lone_hosts;
+  std::set<std::size_t> isolated_hosts;
 };
 
 }  // namespace pathcleat
