--- a/include/pathcleat/accounts/account.hpp
+++ b/include/pathcleat/accounts/account.hpp
@@ -24,10 +24,10 @@
 /// @ingroup accounts
 struct Account {
   std::string name;
-  std::vector<KeyedDigest> keys;
+  std::vector<KeyedDigest> key_digests;
   std::optional<int> priority;  ///< goes before the route's; 0: most urgent
   AccountLimit limit;
-  std::vector<std::string> home_regions;  ///< empty: any region
+  std::vector<std::string> allowed_regions;  ///< empty: any region
 };
 
 /// @brief Names an account in few bytes, alike on all hosts.
@@ -37,7 +37,7 @@
 /// @brief Hash of all that a configuration says of an account. Equal accounts
 /// have equal marks on every host.
 /// @ingroup accounts
-std::uint64_t MarkOf(const Account& account);
+std::uint64_t ContentHash(const Account& account);
 
 /// @brief Why these accounts cannot be in force together; nothing if they can.
 /// A key must name one account, a name one account, and numbers must be
--- a/include/pathcleat/accounts/account_meter.hpp
+++ b/include/pathcleat/accounts/account_meter.hpp
@@ -16,10 +16,10 @@
 /// @brief What one host knows of the fleet when it decides.
 /// @ingroup accounts
 struct QuotaInput {
-  AccountUsage others;      ///< what the other hosts take of the account
-  int hosts = 1;            ///< that share its limit, this one included
-  int unheard = 0;          ///< of them, that this host has never heard
-  bool has_silent = false;  ///< some that took a share are not heard now
+  AccountUsage other_usage;      ///< what the other hosts take of the account
+  int host_count = 1;            ///< that share its limit, this one included
+  int never_seen_count = 0;      ///< of them, that this host has never heard
+  bool has_silent_host = false;  ///< some that took a share are not heard now
 };
 
 /// @brief One host's part of one account's limit, with which all hosts together
@@ -33,13 +33,13 @@
 /// told itself and the others heard. While a host is silent, no share grows.
 /// Not thread-safe.
 /// @ingroup accounts
-class AccountMeter {
+class AccountLimiter {
  public:
   /// @param seed differs from host to host: who of many hosts, each with a
   /// small part of one request, lets one pass.
-  AccountMeter(const AccountLimit& limit,
-               const QuotaBounds& bounds,
-               std::uint64_t seed);
+  AccountLimiter(const AccountLimit& limit,
+                 const QuotaBounds& bounds,
+                 std::uint64_t seed);
 
   /// @brief Changes the limit; a lower one binds at once.
   void SetLimit(const AccountLimit& limit);
@@ -58,7 +58,7 @@
   Duration MeanInterval(const QuotaInput& fleet) const;
 
   /// @brief What is told to the others; from now on shares go by it.
-  AccountUsage Tell(bool has_silent, Time now);
+  AccountUsage ReportUsage(bool has_silent, Time now);
 
   /// @brief Whether shares bind now.
   bool IsShareEnforced() const { return shared_; }
--- a/include/pathcleat/accounts/account_table.hpp
+++ b/include/pathcleat/accounts/account_table.hpp
@@ -19,17 +19,17 @@
   using Accounts = std::shared_ptr<const std::vector<Account>>;
 
   /// @brief Takes the accounts of a newer configuration over.
-  void Adopt(Accounts accounts);
+  void SetAccounts(Accounts accounts);
 
   /// @brief Whether callers need keys at all.
-  bool IsInForce() const { return accounts_ && !accounts_->empty(); }
+  bool RequiresKeys() const { return accounts_ && !accounts_->empty(); }
 
   /// @brief The account that holds a key; null if none does. The pointer keeps
   /// its version alive.
-  std::shared_ptr<const Account> Find(const KeyedDigest& key) const;
+  std::shared_ptr<const Account> FindByKey(const KeyedDigest& key) const;
 
   /// @brief The account of a name; null if there is none.
-  const Account* FindNamed(std::string_view name) const;
+  const Account* FindByName(std::string_view name) const;
 
   /// @brief All accounts, in the order of the configuration.
   const std::vector<Account>& All() const;
--- a/include/pathcleat/accounts/caller_identity.hpp
+++ b/include/pathcleat/accounts/caller_identity.hpp
@@ -34,6 +34,6 @@
 /// @ingroup accounts
 CallerIdentity IdentifyCaller(const HttpHeaders& headers,
                               const AccountTable& accounts,
-                              const KeyDigester& digester);
+                              const KeyedHasher& digester);
 
 }  // namespace pathcleat
--- a/include/pathcleat/accounts/fleet_usage.hpp
+++ b/include/pathcleat/accounts/fleet_usage.hpp
@@ -16,20 +16,20 @@
 /// that has fallen silent may be dead or cut off, and nobody here can tell
 /// which: it counts with what it told last. Not thread-safe.
 /// @ingroup accounts
-class FleetUsage {
+class PeerUsage {
  public:
-  FleetUsage(std::string own_domain, std::string own_host)
+  PeerUsage(std::string own_domain, std::string own_host)
       : own_domain_(std::move(own_domain)), own_host_(std::move(own_host)) {}
 
   /// @brief Takes a report. One that is older than the last of its source is
   /// passed over, and so is one of this host.
-  void Take(const UsageReport& report, Time now);
+  void OnReport(const UsageReport& report, Time now);
 
   /// @brief What all others together take of an account.
-  AccountUsage Of(std::uint64_t account) const;
+  AccountUsage UsageOf(std::uint64_t account) const;
 
   /// @brief Whether a source is silent that has told something before.
-  bool HasSilent(Time now) const;
+  bool HasSilentSource(Time now) const;
 
   /// @brief Sources that have been silent for long are forgotten, if most of
   /// the fleet is heard here: then those are dead, or the smaller part of a
@@ -39,7 +39,7 @@
   void ExpireSilentSources(bool hears_most, Time now);
 
   /// @brief A host has ended by a planned stop: what it took is free.
-  void Forget(const std::string& host);
+  void RemoveHost(const std::string& host);
 
   /// @brief Sums of the hosts of the own domain, this one left out.
   std::unordered_map<std::uint64_t, AccountUsage> OwnDomainUsage() const;
--- a/include/pathcleat/accounts/key_digest.hpp
+++ b/include/pathcleat/accounts/key_digest.hpp
@@ -25,10 +25,10 @@
 /// tells by its time nothing of use: who does not know the secret cannot choose
 /// a key whose digest begins like another's. Not thread-safe.
 /// @ingroup accounts
-class KeyDigester {
+class KeyedHasher {
  public:
   /// @param purpose keeps this use of the fleet's secret apart from others.
-  explicit KeyDigester(std::string_view purpose = "client account keys")
+  explicit KeyedHasher(std::string_view purpose = "client account keys")
       : purpose_(purpose) {}
 
   /// @brief Whether the secret is known.
--- a/include/pathcleat/accounts/quota_control.hpp
+++ b/include/pathcleat/accounts/quota_control.hpp
@@ -20,15 +20,15 @@
   double fleet_demand = 0;           ///< requests a second, as known here
   double share = 1;                  ///< this host's part of the limit
   Duration time_until_available{0};  ///< until this host may take one more
-  Duration spacing{0};  ///< between two that it takes, in the long run
+  Duration mean_interval{0};  ///< between two that it takes, in the long run
 };
 
 /// @brief The hosts of the fleet, as they matter to limits.
 /// @ingroup accounts
 struct QuotaHosts {
-  int known = 1;            ///< this one included
-  int unheard = 0;          ///< of them, not heard since this host started
-  bool hears_most = false;  ///< most of those that are known
+  int host_count = 1;          ///< this one included
+  int never_seen_count = 0;    ///< of them, not heard since this host started
+  bool sees_majority = false;  ///< most of those that are known
 };
 
 /// @brief Keeps the limits of all accounts at this host, and tells the others
@@ -44,16 +44,16 @@
   void SetBounds(const QuotaBounds& bounds) { bounds_ = bounds; }
 
   /// @brief Takes the limits of a newer configuration over.
-  void Adopt(const std::vector<Account>& accounts);
+  void SetAccounts(const std::vector<Account>& accounts);
 
   /// @brief Who shares the limits. Call a few times a second.
   void SetHosts(const QuotaHosts& sharers, Time now);
 
   /// @brief A host has ended by a planned stop.
-  void OnHostStopped(const std::string& host) { fleet_.Forget(host); }
+  void OnHostStopped(const std::string& host) { fleet_.RemoveHost(host); }
 
   /// @brief Takes a request of an account.
-  QuotaDecision Take(const Account& account, Time now);
+  QuotaDecision Admit(const Account& account, Time now);
 
   /// @brief A request that was taken was refused later, and has not run.
   void Release(const Account& account, Time now);
@@ -69,7 +69,7 @@
 
   /// @brief Whether a limit came to be shared here since this host last told
   /// the others: they should know before the next round.
-  bool HasNews() const { return has_news_; }
+  bool HasUpdates() const { return has_news_; }
 
   UsageReport OwnUsage(Time now) override;
   UsageReport DomainUsage(Time now) override;
@@ -79,7 +79,7 @@
  private:
   bool HasSilent(Time now) const;
   QuotaInput StateOf(std::uint64_t account, Time now) const;
-  QuotaDecision DecisionOf(const AccountMeter& meter,
+  QuotaDecision DecisionOf(const AccountLimiter& meter,
                            const QuotaInput& state,
                            Time now) const;
 
@@ -87,10 +87,10 @@
   std::string host_;
   std::uint64_t seed_;
   QuotaBounds bounds_;
-  FleetUsage fleet_;
+  PeerUsage fleet_;
   QuotaHosts sharers_;
   bool has_news_ = false;
-  std::unordered_map<std::uint64_t, AccountMeter> meters_;  ///< by AccountId
+  std::unordered_map<std::uint64_t, AccountLimiter> meters_;  ///< by AccountId
   std::unordered_map<std::uint64_t, AccountUsage>
       told_;  ///< by this host, last
 };
--- a/include/pathcleat/accounts/usage_report.hpp
+++ b/include/pathcleat/accounts/usage_report.hpp
@@ -16,22 +16,22 @@
 /// @brief Requests a second of one account, averaged over about a second.
 /// @ingroup accounts
 struct AccountUsage {
-  double demand = 0;    ///< that come
-  double weight = 0;    ///< by which shares go: the demand, or less of it
-  double admitted = 0;  ///< of the demand, within the account's limit
+  double demand = 0;        ///< that come
+  double share_weight = 0;  ///< by which shares go: the demand, or less of it
+  double admitted = 0;      ///< of the demand, within the account's limit
 };
 
 /// @brief What one source tells of one account.
 /// @ingroup accounts
 struct UsageEntry {
-  std::uint64_t account = 0;  ///< AccountId
-  float demand = 0;           ///< as in AccountUsage
-  float weight = 0;
+  std::uint64_t account_id = 0;  ///< AccountId
+  float demand = 0;              ///< as in AccountUsage
+  float share_weight = 0;
   float admitted = 0;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(account, demand, weight, admitted);
+    archive(account_id, demand, share_weight, admitted);
   }
 };
 
@@ -46,12 +46,12 @@
   std::string domain;
   std::string host;  ///< empty: of the whole domain
   HybridTime time;
-  bool pass_on = false;  ///< the receiver is to tell its own domain
+  bool forward_to_domain = false;  ///< the receiver is to tell its own domain
   std::vector<UsageEntry> entries;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(domain, host, time, pass_on, entries);
+    archive(domain, host, time, forward_to_domain, entries);
   }
 };
 
--- a/include/pathcleat/calls/break_cause.hpp
+++ b/include/pathcleat/calls/break_cause.hpp
@@ -7,9 +7,9 @@
 /// at work on it.
 /// @ingroup calls
 enum class AbortCause {
-  kPatience,    ///< silent for far longer than expected, another one asked
-  kCallerLeft,  ///< the caller left, and the work may be repeated
-  kDeadline,    ///< the caller's deadline or the route's time-out
+  kFailoverTimeout,  ///< silent for far longer than expected, another one asked
+  kCallerLeft,       ///< the caller left, and the work may be repeated
+  kDeadline,         ///< the caller's deadline or the route's time-out
   kSilentConnection,  ///< neither bytes nor acknowledgements came
   kBadAnswer,         ///< what came was no answer, or another request's
   kHostStops,         ///< a planned stop is over
--- a/include/pathcleat/calls/header_names.hpp
+++ b/include/pathcleat/calls/header_names.hpp
@@ -15,9 +15,10 @@
   std::string affinity_key = "X-Affinity-Key";
   std::string expect_upstream = "X-Expect-Upstream";
   std::string upstream_id = "X-Upstream-Id";
-  std::string account = "X-Account";       ///< name of the caller's account
-  std::string load = "X-Upstream-Load";    ///< running,waiting,slots
-  std::string limit = "X-Upstream-Limit";  ///< requests a second that it takes
+  std::string account = "X-Account";     ///< name of the caller's account
+  std::string load = "X-Upstream-Load";  ///< running,waiting,slots
+  std::string rate_limit =
+      "X-Upstream-Limit";  ///< requests a second that it takes
   std::string not_run = "X-Not-Run";
   std::string cold_ms = "X-Cold-Ms";
   std::string signature;  ///< every whole answer carries it
--- a/include/pathcleat/calls/key_ledger.hpp
+++ b/include/pathcleat/calls/key_ledger.hpp
@@ -25,8 +25,8 @@
 /// @ingroup calls
 struct ClaimResult {
   KeyAction action = KeyAction::kRefuseNotRun;
-  ClaimedKey claimed;  ///< for kRun
-  HttpResponse kept;   ///< for kReplayAnswer
+  ClaimedKey claimed;            ///< for kRun
+  HttpResponse stored_response;  ///< for kReplayAnswer
 };
 
 /// @brief A request's claim to its idempotency key.
@@ -34,22 +34,24 @@
 struct KeyClaimRequest {
   std::string row_name;
   std::uint64_t fingerprint = 0;
-  std::uint64_t ends_wall_micros = 0;
+  std::uint64_t deadline_wall_micros = 0;
 };
 
 /// @brief Keeps idempotency keys in the table service: one conditional write
 /// to claim, one to settle. Lives in one thread's event loop.
 /// @ingroup calls
-class KeyLedger {
+class IdempotencyKeyStore {
  public:
-  KeyLedger(boost::asio::io_context& loop, TableStore& store, EventLog& events);
+  IdempotencyKeyStore(boost::asio::io_context& loop,
+                      TableStore& store,
+                      EventLog& events);
 
   /// @brief Claims a key; the callback comes once.
   void Claim(const KeyClaimRequest& request,
              std::function<void(ClaimResult)> callback);
 
   /// @brief The request ran: keeps its answer for repeats.
-  void Finish(ClaimedKey key, const HttpResponse& answer);
+  void MarkFinished(ClaimedKey key, const HttpResponse& answer);
 
   /// @brief The request may have run: it will not be run again.
   void MarkUnknown(ClaimedKey key);
@@ -58,7 +60,7 @@
   void Release(const ClaimedKey& key);
 
   /// @brief Settling writes not yet done.
-  int pending() const { return pending_; }
+  int pending_writes() const { return pending_; }
 
  private:
   struct Claiming;
--- a/include/pathcleat/calls/key_row.hpp
+++ b/include/pathcleat/calls/key_row.hpp
@@ -16,8 +16,9 @@
   KeyState state = KeyState::kRunning;
   std::string token;
   std::uint64_t fingerprint = 0;
-  std::uint64_t ends_wall_micros = 0;  ///< the request must have ended by then
-  HttpResponse answer;                 ///< for kFinished
+  std::uint64_t deadline_wall_micros =
+      0;                ///< the request must have ended by then
+  HttpResponse answer;  ///< for kFinished
 };
 
 /// @brief Name of the row of a service's key.
--- a/include/pathcleat/calls/open_requests.hpp
+++ b/include/pathcleat/calls/open_requests.hpp
@@ -17,7 +17,7 @@
  public:
   /// @brief The host's process ends: the caller must be told now what is
   /// known.
-  virtual void OnHostEnds() = 0;
+  virtual void OnHostShutdown() = 0;
 
   /// @brief When its caller must have an answer.
   virtual Time deadline() const = 0;
@@ -39,8 +39,8 @@
 
   /// @brief Tells each request that the host ends. Requests may leave
   /// meanwhile.
-  void OnHostEnds() {
-    ForEach([](InFlightRequest& request) { request.OnHostEnds(); });
+  void OnHostShutdown() {
+    ForEach([](InFlightRequest& request) { request.OnHostShutdown(); });
   }
 
   /// @brief Ends those whose deadline was before this time. Requests may leave
--- a/include/pathcleat/calls/pick_request.hpp
+++ b/include/pathcleat/calls/pick_request.hpp
@@ -14,7 +14,7 @@
 /// @param request_id stands for the key where the route has none.
 /// @ingroup calls
 PickRequest MakePickRequest(const HeaderNames& names,
-                            const Exchange& exchange,
+                            const HttpExchange& exchange,
                             const Route& route,
                             const std::string& request_id);
 
--- a/include/pathcleat/calls/rest_limit.hpp
+++ b/include/pathcleat/calls/rest_limit.hpp
@@ -11,7 +11,7 @@
 /// Learned from connections that broke at their first use after a rest; what is
 /// not seen again is forgotten. Not thread-safe.
 /// @ingroup calls
-class RestLimit {
+class IdleReuseLimit {
  public:
   /// @brief A connection that had rested so long was gone.
   void OnStaleConnection(Duration rested, Time now);
--- a/include/pathcleat/calls/stop_plan.hpp
+++ b/include/pathcleat/calls/stop_plan.hpp
@@ -21,7 +21,7 @@
 /// done by then is not begun, and work that is begun ends at its upstream
 /// while there is still time to pass on how it ended.
 /// @ingroup calls
-class StopPlan {
+class ShutdownSchedule {
  public:
   /// @brief The stop begins. Only the first call counts.
   /// @param grace from now until the process is killed.
@@ -45,7 +45,7 @@
   Time final_answer_time() const { return last_answers_; }
 
   /// @brief When the process ends, whatever is left.
-  Time ends() const { return ends_; }
+  Time exit_time() const { return ends_; }
 
  private:
   bool begun_ = false;
--- a/include/pathcleat/calls/unknown_fields.hpp
+++ b/include/pathcleat/calls/unknown_fields.hpp
@@ -14,9 +14,9 @@
 /// @brief Finds header fields of upstreams' answers that neither HTTP nor the
 /// adapter knows: what an upstream tells, and no host reads. Not thread-safe.
 /// @ingroup calls
-class UnknownFields {
+class UnknownHeaders {
  public:
-  explicit UnknownFields(const HeaderNames& names);
+  explicit UnknownHeaders(const HeaderNames& names);
 
   /// @brief The unknown fields of an answer, each name once in a process.
   HttpHeaders FindNew(const HttpHeaders& headers);
--- a/include/pathcleat/calls/upstream_pool.hpp
+++ b/include/pathcleat/calls/upstream_pool.hpp
@@ -22,14 +22,16 @@
 /// @brief Kept connections to the upstreams, by upstream. The last one used
 /// is used first, so that those not needed grow old and are closed.
 /// @ingroup calls
-class UpstreamPool {
+class ConnectionPool {
  public:
-  explicit UpstreamPool(boost::asio::io_context& loop) : loop_(loop) {}
+  explicit ConnectionPool(boost::asio::io_context& loop) : loop_(loop) {}
 
   /// @brief A connection for one request: a kept one or one not yet open.
   /// @param repeatable whether the request may be sent again where it is lost;
   /// else no connection is used that may have been forgotten at rest.
-  HttpClientPtr Take(const UpstreamInfo& upstream, bool repeatable, Time now);
+  HttpClientPtr Acquire(const UpstreamInfo& upstream,
+                        bool repeatable,
+                        Time now);
 
   /// @brief A kept connection was gone when it was used.
   /// @param rested since its last use.
@@ -38,13 +40,13 @@
                          Time now);
 
   /// @brief A connection not yet open, though others are kept.
-  HttpClientPtr Open(const UpstreamInfo& upstream);
+  HttpClientPtr Create(const UpstreamInfo& upstream);
 
   /// @brief Gives a connection back after its answer.
   void Release(const std::string& upstream_id, const HttpClientPtr& client);
 
   /// @brief Closes the kept connections of an upstream.
-  void Drop(const std::string& upstream_id);
+  void CloseConnections(const std::string& upstream_id);
 
   /// @brief A connection to an upstream was found silent. What is kept to it
   /// and was not heard lately is closed; with two upstreams so at about the
@@ -56,7 +58,7 @@
                           Time now);
 
   /// @brief Connections found silent so far.
-  std::uint64_t silent() const { return silent_; }
+  std::uint64_t silent_connections() const { return silent_; }
 
   /// @brief Closes what has been idle for too long.
   void CloseIdle(Time now);
@@ -72,8 +74,8 @@
 
   boost::asio::io_context& loop_;
   std::map<std::string, Kept> idle_;
-  std::map<std::string, Time> silences_;    ///< the last one, by upstream
-  std::map<std::string, RestLimit> rests_;  ///< by service
+  std::map<std::string, Time> silences_;         ///< the last one, by upstream
+  std::map<std::string, IdleReuseLimit> rests_;  ///< by service
   std::uint64_t silent_ = 0;
 };
 
--- a/include/pathcleat/core/event.hpp
+++ b/include/pathcleat/core/event.hpp
@@ -76,7 +76,7 @@
   const char* name;
   Severity severity;
   LogClass log_class;
-  const char* subject;  ///< what the subject is: the name of its field
+  const char* subject_field;  ///< what the subject is: the name of its field
 };
 
 /// @brief All events, in order of their numbers.
--- a/include/pathcleat/core/hash.hpp
+++ b/include/pathcleat/core/hash.hpp
@@ -13,7 +13,7 @@
 
 /// @brief StableHash mapped to [0, 1).
 /// @ingroup core
-double UnitHash(std::string_view bytes, std::uint64_t seed = 0);
+double UnitIntervalHash(std::string_view bytes, std::uint64_t seed = 0);
 
 /// @brief A hash mapped to [0, 1).
 /// @ingroup core
--- a/include/pathcleat/core/index.hpp
+++ b/include/pathcleat/core/index.hpp
@@ -63,7 +63,7 @@
 
 using RegionIndex = Index<struct RegionTag>;
 using DomainIndex = Index<struct DomainTag>;
-using HostIndex = Index<struct SeatTag>;
+using HostIndex = Index<struct HostTag>;
 using ServiceIndex = Index<struct ServiceTag>;
 using UpstreamIndex = Index<struct UpstreamTag>;
 
--- a/include/pathcleat/core/log_class.hpp
+++ b/include/pathcleat/core/log_class.hpp
@@ -16,10 +16,10 @@
   kState,    ///< what the process believes has changed
 };
 
-constexpr std::size_t kLogClasses = 3;
+constexpr std::size_t kLogClassCount = 3;
 
 /// @brief A number for each class.
-using LogCounts = std::array<std::uint64_t, kLogClasses>;
+using LogCounts = std::array<std::uint64_t, kLogClassCount>;
 
 /// @brief Stable lower-case name of a class.
 /// @ingroup core
--- a/include/pathcleat/crashes/crash_ledger.hpp
+++ b/include/pathcleat/crashes/crash_ledger.hpp
@@ -19,8 +19,8 @@
 /// @brief Whether a request may be sent to an upstream, with what decided.
 /// @ingroup crashes
 struct CrashDecision {
-  bool blocked = false;     ///< it is not to be sent now
-  std::size_t crashes = 0;  ///< upstreams known to have ended under it
+  bool blocked = false;         ///< it is not to be sent now
+  std::size_t crash_count = 0;  ///< upstreams known to have ended under it
   int failed_trials = 0;
   Duration age{0};          ///< since the last of them ended
   Duration retry_after{0};  ///< if blocked: until it may be tried again
@@ -35,8 +35,8 @@
 /// @ingroup crashes
 struct CrashBlockChange {
   RequestDigest request = 0;
-  CrashDecision verdict;  ///< as it is now
-  bool blocked = false;   ///< since this change; false: not any more
+  CrashDecision decision;  ///< as it is now
+  bool blocked = false;    ///< since this change; false: not any more
 };
 
 /// @brief Finds the requests that crash the upstreams that run them, from what
@@ -52,9 +52,9 @@
 /// At any moment one host of the fleet may try it, by a rank that all hosts
 /// reckon alike, and each tries it once in its turn. Not thread-safe.
 /// @ingroup crashes
-class CrashLedger final : public CrashPublisher {
+class CrashTracker final : public CrashPublisher {
  public:
-  CrashLedger(std::string domain, std::string host);
+  CrashTracker(std::string domain, std::string host);
 
   /// @brief Told when other hosts should hear of a change at once.
   void SetOnUpdate(std::function<void()> callback) {
@@ -79,14 +79,14 @@
   void OnAnswer(RequestDigest request, Time now);
 
   /// @brief To be asked before each send.
-  CrashDecision Judge(RequestDigest request, Time now) const;
+  CrashDecision Decide(RequestDigest request, Time now) const;
 
   /// @brief A request is sent.
   /// @return whether it is blocked: then this is the host's trial of its turn.
   bool OnSent(RequestDigest request, Time now);
 
   /// @brief Hashes of the names of the other hosts that are alive.
-  void SetHosts(std::vector<std::uint64_t> others) {
+  void SetOtherHosts(std::vector<std::uint64_t> others) {
     others_ = std::move(others);
   }
 
@@ -95,7 +95,7 @@
 
   CrashReport OwnCrashes(bool reports, Time now) override;
   CrashReport DomainCrashes(Time now) override;
-  CrashReport Known(Time now) const override;
+  CrashReport CrashSnapshot(Time now) const override;
   bool OnCrashReport(const CrashReport& report, Time now) override;
 
  private:
@@ -105,10 +105,10 @@
     Time due;      ///< the next one
     Time told;     ///< the last one
 
-    bool IsDue(const CrashSuspect& suspect, bool repeats, Time now) const;
+    bool IsDue(const SuspectRequest& suspect, bool repeats, Time now) const;
   };
   struct Suspect {
-    CrashSuspect known;
+    SuspectRequest known;
     std::string reported_by;       ///< as in CrashDecision
     std::optional<Time> tried_in;  ///< turn of this host's last trial
     Time noted;                    ///< last change of this entry here
--- a/include/pathcleat/crashes/crash_report.hpp
+++ b/include/pathcleat/crashes/crash_report.hpp
@@ -21,12 +21,12 @@
 /// @brief That an upstream ended while it had a request.
 /// @ingroup crashes
 struct CrashObservation {
-  std::uint64_t upstream = 0;  ///< hash of its id
+  std::uint64_t upstream_hash = 0;  ///< hash of its id
   std::uint32_t age_ms = 0;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(upstream, age_ms);
+    archive(upstream_hash, age_ms);
   }
 };
 
@@ -58,14 +58,14 @@
 /// @brief What hosts tell each other of requests that crash upstreams.
 /// @ingroup crashes
 struct CrashReport {
-  std::string domain;    ///< of the host that makes it
-  std::string host;      ///< that makes it
-  bool pass_on = false;  ///< the receiver is to tell its own domain
+  std::string domain;              ///< of the host that makes it
+  std::string host;                ///< that makes it
+  bool forward_to_domain = false;  ///< the receiver is to tell its own domain
   std::vector<CrashEntry> entries;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(domain, host, pass_on, entries);
+    archive(domain, host, forward_to_domain, entries);
   }
 };
 
@@ -92,7 +92,7 @@
   virtual CrashReport DomainCrashes(Time now) = 0;
 
   /// @brief What a host that has just started should know.
-  virtual CrashReport Known(Time now) const = 0;
+  virtual CrashReport CrashSnapshot(Time now) const = 0;
 
   /// @return whether something of it was new here.
   virtual bool OnCrashReport(const CrashReport& report, Time now) = 0;
--- a/include/pathcleat/crashes/crash_suspect.hpp
+++ b/include/pathcleat/crashes/crash_suspect.hpp
@@ -14,15 +14,15 @@
 /// ended under it since it was answered last. What hosts know of it can be
 /// joined in any order, and more than once.
 /// @ingroup crashes
-class CrashSuspect {
+class SuspectRequest {
  public:
   /// @brief An upstream ended under it.
   /// @return whether that was new.
-  bool Add(std::uint64_t upstream, Time at);
+  bool AddCrash(std::uint64_t upstream, Time at);
 
   /// @brief An upstream answered it: what crashed before was not its doing.
   /// @return whether that was new.
-  bool Clear(Time at);
+  bool ClearUntil(Time at);
 
   /// @brief Adds what another host knows.
   /// @return whether something of it was new.
@@ -32,7 +32,7 @@
 
   /// @brief Upstreams that ended under it; kCrashBlockThreshold stands for any
   /// larger number.
-  std::size_t crashes() const { return signs_.size(); }
+  std::size_t crash_count() const { return signs_.size(); }
   bool IsBlocked() const { return signs_.size() >= kCrashBlockThreshold; }
   int failed_trials() const { return failed_trials_; }
 
--- a/include/pathcleat/crashes/request_digest.hpp
+++ b/include/pathcleat/crashes/request_digest.hpp
@@ -29,7 +29,7 @@
 /// @ingroup crashes
 RequestDigest DigestOf(const HttpRequest& request,
                        std::string_view account,
-                       const KeyDigester& digester);
+                       const KeyedHasher& digester);
 
 /// @brief A digest as logs tell it: hexadecimal digits.
 /// @ingroup crashes
--- a/include/pathcleat/feeds/change_journal.hpp
+++ b/include/pathcleat/feeds/change_journal.hpp
@@ -20,7 +20,7 @@
   explicit ChangeJournal(std::size_t capacity);
 
   /// @brief A key changed. Versions never fall.
-  void Note(std::uint64_t version, const std::string& key);
+  void Append(std::uint64_t version, const std::string& key);
 
   /// @brief Everything was read anew as of a version: what changed before it
   /// is not known any more.
@@ -28,7 +28,8 @@
 
   /// @brief The keys that changed after a version; nothing if the memory does
   /// not go back that far.
-  std::optional<std::set<std::string>> Since(std::uint64_t version) const;
+  std::optional<std::set<std::string>> ChangedSince(
+      std::uint64_t version) const;
 
  private:
   struct Change {
--- a/include/pathcleat/feeds/config_history.hpp
+++ b/include/pathcleat/feeds/config_history.hpp
@@ -18,7 +18,7 @@
 class ConfigHistory {
  public:
   /// @brief A version came into force. Versions only rise.
-  void Note(const RoutingConfig& config);
+  void Append(const RoutingConfig& config);
 
   /// @brief The bytes that lead a host from one version to the newest.
   /// @param config the newest, as it was noted.
--- a/include/pathcleat/feeds/config_part.hpp
+++ b/include/pathcleat/feeds/config_part.hpp
@@ -24,8 +24,9 @@
 /// what changes the routes and accounts of an older version.
 /// @ingroup feeds
 struct ConfigUpdate {
-  RoutingConfig config;    ///< without routes and accounts if there is a base
-  std::uint64_t base = 0;  ///< version that the steps begin at; 0: whole
+  RoutingConfig config;  ///< without routes and accounts if there is a base
+  std::uint64_t base_version =
+      0;  ///< version that the steps begin at; 0: whole
   ListDelta<Route> routes;
   ListDelta<Account> accounts;
 };
--- a/include/pathcleat/feeds/fleet_snapshot.hpp
+++ b/include/pathcleat/feeds/fleet_snapshot.hpp
@@ -20,21 +20,24 @@
 /// @ingroup feeds
 struct FleetSnapshot {
   SourceTopic topic = SourceTopic::kOrders;
-  std::uint64_t version = 0;            ///< up to which the host knows all
-  std::uint64_t changed = 0;            ///< of the newest change it has seen
-  bool whole = true;                    ///< false: what changed since a version
-  bool unsettled = false;               ///< the store was away a moment ago
-  std::string config_update;            ///< for kOrders; empty: unchanged
-  RoutingConfig config;                 ///< what it tells; not sent itself
-  std::set<std::string> drained;        ///< for kOrders: failure domains, all
-  std::vector<RolloutOrder> rollouts;   ///< for kOrders: all that stand
-  std::vector<UpstreamInfo> upstreams;  ///< for kUpstreams
-  std::vector<std::string> gone;        ///< for kUpstreams: ids off the list
+  std::uint64_t version = 0;  ///< up to which the host knows all
+  std::uint64_t newest_change_version =
+      0;                            ///< of the newest change it has seen
+  bool is_full = true;              ///< false: what changed since a version
+  bool removals_uncertain = false;  ///< the store was away a moment ago
+  std::string config_update;        ///< for kOrders; empty: unchanged
+  RoutingConfig config;             ///< what it tells; not sent itself
+  std::set<std::string> drained_domains;  ///< for kOrders: failure domains, all
+  std::vector<RolloutOrder> rollout_orders;  ///< for kOrders: all that stand
+  std::vector<UpstreamInfo> upstreams;       ///< for kUpstreams
+  std::vector<std::string>
+      removed_upstreams;  ///< for kUpstreams: ids off the list
 };
 
 /// @brief A snapshot as a source would have told it.
 /// @ingroup feeds
-SourceAnswer AnswerOf(const FleetSnapshot& snapshot, const Transfer& transfer);
+SourceAnswer ToSourceAnswer(const FleetSnapshot& snapshot,
+                            const Transfer& transfer);
 
 /// @brief A snapshot's bytes (cereal, portable binary).
 /// @ingroup feeds
--- a/include/pathcleat/feeds/peer_feed.hpp
+++ b/include/pathcleat/feeds/peer_feed.hpp
@@ -28,7 +28,7 @@
 
 /// @brief What another host answered.
 /// @ingroup feeds
-struct FeedAnswer {
+struct FeedResponse {
   FleetSnapshot snapshot;
   Transfer transfer;
 };
@@ -49,7 +49,7 @@
 class PeerFeed {
  public:
   /// Given nothing if the other host did not answer.
-  using Handler = std::function<void(const std::optional<FeedAnswer>&)>;
+  using Handler = std::function<void(const std::optional<FeedResponse>&)>;
 
   /// @param events where failed transfers are told.
   /// @param traffic where the bytes are counted.
@@ -78,7 +78,9 @@
   /// @brief Asks another host for what it knows beyond the request's version
   /// and the configuration in force here.
   /// @return the question, for Cancel; null if it cannot be asked.
-  PeerFetchPtr Ask(const FeedPeer& peer, FeedRequest request, Handler handler);
+  PeerFetchPtr Fetch(const FeedPeer& peer,
+                     FeedRequest request,
+                     Handler handler);
 
   /// @brief Ends a question that is not answered yet; its handler is not
   /// called any more.
@@ -105,8 +107,8 @@
   const std::string& BodyOf(const FeedRequest& request);
   bool HasNews(const FeedRequest& request) const;
   void Answer(const HttpExchangePtr& exchange, const FeedRequest& request);
-  std::optional<FeedAnswer> TakeAnswer(const PeerFetch& question,
-                                       const CallResult& result);
+  std::optional<FeedResponse> TakeAnswer(const PeerFetch& question,
+                                         const CallResult& result);
   void RecordFailure(const PeerFetch& question,
                      std::uint64_t bytes,
                      const std::string& reason);
--- a/include/pathcleat/feeds/relayed_source.hpp
+++ b/include/pathcleat/feeds/relayed_source.hpp
@@ -36,13 +36,13 @@
              Duration wait,
              Callback callback) override;
   void StopWatch(SourceTopic topic) override;
-  std::optional<Time> WatchHeard(SourceTopic topic) const override;
+  std::optional<Time> WatchLastReceived(SourceTopic topic) const override;
 
   /// @brief Whether another host is asked for the changes of a topic.
   bool FollowsPeer(SourceTopic topic) const { return watches_.contains(topic); }
 
   /// @brief How this host learns of changes now.
-  StoreAccess access(Time now) const;
+  StoreAccess store_access(Time now) const;
 
  private:
   RelayChoice Choose(Time now);
--- a/include/pathcleat/feeds/source_watcher.hpp
+++ b/include/pathcleat/feeds/source_watcher.hpp
@@ -16,12 +16,13 @@
 /// @brief What a watcher tells of its topic.
 /// @ingroup feeds
 struct SourceUpdate {
-  bool whole = false;         ///< all there is; what it lacks is gone
+  bool is_full = false;       ///< all there is; what it lacks is gone
   std::uint64_t version = 0;  ///< up to which the topic is known with it
-  std::uint64_t changed = 0;  ///< of the newest change in it, or 0
-  bool relayed = false;       ///< another host told it, not the store
-  bool unsettled = false;     ///< what is gone may have lapsed by itself
-  Transfer transfer;          ///< how it came here
+  std::uint64_t newest_change_version =
+      0;                            ///< of the newest change in it, or 0
+  bool relayed = false;             ///< another host told it, not the store
+  bool removals_uncertain = false;  ///< what is gone may have lapsed by itself
+  Transfer transfer;                ///< how it came here
   std::vector<FleetChange> changes;
 };
 
@@ -33,7 +34,7 @@
  public:
   using Handler = std::function<void(const SourceUpdate&)>;
   using ReachabilityHandler = std::function<void(bool reached)>;
-  struct Pace;
+  struct Timing;
 
   SourceWatcher(boost::asio::io_context& loop,
                 FleetSource& source,
@@ -55,7 +56,7 @@
   /// @brief Another host, asked beside the watch, has answered. What is new in
   /// it is handled, and the watch goes on from there.
   /// @return whether it was newer than what is known here.
-  bool Adopt(const SourceAnswer& answer);
+  bool ApplyIfNewer(const SourceAnswer& answer);
 
   /// @brief Whether others have known more than this host for a while, so
   /// that it had better ask them.
@@ -65,7 +66,7 @@
   std::uint64_t version() const { return version_; }
 
   /// @brief Version of the newest change that was seen.
-  std::uint64_t changed() const { return changed_; }
+  std::uint64_t newest_change_version() const { return changed_; }
 
   /// @brief When a call was last answered, by whomever.
   Time answered_at() const { return answered_at_; }
@@ -92,7 +93,7 @@
 
   FleetSource& source_;
   SourceTopic topic_;
-  const Pace& pace_;
+  const Timing& pace_;
   Handler handler_;
   ReachabilityHandler observer_;
   boost::asio::steady_timer timer_;
--- a/include/pathcleat/fleet/domain_report.hpp
+++ b/include/pathcleat/fleet/domain_report.hpp
@@ -64,14 +64,16 @@
 struct DomainReport {
   std::string domain;  ///< whose hosts these are
   HybridTime time;
-  bool pass_on = false;  ///< the receiver is to tell its own domain
+  bool forward_to_domain = false;  ///< the receiver is to tell its own domain
   std::vector<MemberGroup> groups;
-  std::vector<HostInfo> introduced;  ///< a few hosts in full
-  RolloutTallies rollouts;  ///< of all its hosts; in the round's first report
+  std::vector<HostInfo> host_infos;  ///< a few hosts in full
+  RolloutTallies
+      rollout_tallies;  ///< of all its hosts; in the round's first report
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(domain, time, pass_on, groups, introduced, rollouts);
+    archive(domain, time, forward_to_domain, groups, host_infos,
+            rollout_tallies);
   }
 };
 
--- a/include/pathcleat/fleet/heartbeat.hpp
+++ b/include/pathcleat/fleet/heartbeat.hpp
@@ -19,12 +19,12 @@
   HostInfo host;
   HybridTime time;
   HostVersions versions;
-  bool wants_reply = false;  ///< the receiver is to answer at once
-  RolloutTallies rollouts;   ///< what this host saw of those under way
+  bool wants_reply = false;        ///< the receiver is to answer at once
+  RolloutTallies rollout_tallies;  ///< what this host saw of those under way
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(host, time, versions, wants_reply, rollouts);
+    archive(host, time, versions, wants_reply, rollout_tallies);
   }
 };
 
--- a/include/pathcleat/fleet/heartbeat_plan.hpp
+++ b/include/pathcleat/fleet/heartbeat_plan.hpp
@@ -32,10 +32,10 @@
 
   /// @brief Peer addresses of the living hosts that a reporter tells of their
   /// own domain: none in a small one.
-  std::vector<std::string> Told(Time now) const;
+  std::vector<std::string> OwnReportReceivers(Time now) const;
 
   /// @brief Peer addresses of all other hosts of the domain that are known.
-  std::vector<std::string> Known() const;
+  std::vector<std::string> AllInDomain() const;
 
   /// @brief Of these, of the ones that are alive.
   std::vector<std::string> AliveInDomain(Time now) const;
--- a/include/pathcleat/fleet/host_rank.hpp
+++ b/include/pathcleat/fleet/host_rank.hpp
@@ -17,8 +17,8 @@
 /// are not leaving.
 /// @param counts whether a host is to be counted.
 /// @ingroup fleet
-int CountAhead(const HostTable& hosts,
-               const HostInfo& ranked,
-               const std::function<bool(const KnownHost&)>& counts);
+int CountHigherRanked(const HostTable& hosts,
+                      const HostInfo& ranked,
+                      const std::function<bool(const KnownHost&)>& counts);
 
 }  // namespace pathcleat
--- a/include/pathcleat/fleet/host_table.hpp
+++ b/include/pathcleat/fleet/host_table.hpp
@@ -19,8 +19,8 @@
 /// @ingroup fleet
 struct KnownHost {
   HostInfo info;
-  Time heard;  ///< its last sign of life, or when a row named it
-  Time since;  ///< first sign of life of this incarnation
+  Time last_seen;    ///< its last sign of life, or when a row named it
+  Time alive_since;  ///< first sign of life of this incarnation
   bool alive_at_last_check = false;
   bool has_heartbeat = false;  ///< false: known from the store's row alone
   HostVersions versions;
@@ -41,7 +41,7 @@
   /// and before anything is decided by who lives. A machine that was suspended
   /// or stood still has heard nobody meanwhile: that time is no silence of the
   /// others.
-  void OnAwake(Time now);
+  void CheckForStall(Time now);
 
   /// @brief For how long this host stood still, if that was not asked since.
   Duration TakeStallDuration() { return std::exchange(untold_still_, {}); }
@@ -51,7 +51,9 @@
 
   /// @brief A host's own message arrived.
   /// @return whether it was dead or unknown before.
-  bool OnHeard(const HostInfo& host, const HostVersions& versions, Time now);
+  bool OnHeartbeat(const HostInfo& host,
+                   const HostVersions& versions,
+                   Time now);
 
   /// @brief Another failure domain names one of its hosts in full. That alone
   /// is no sign of life.
@@ -70,7 +72,7 @@
   /// longer than it counts as alive, and also if only a row names it, as a host
   /// that has just started has not heard all others yet. Who counts too few
   /// takes more than its share.
-  bool Shares(const KnownHost& host, Time now) const;
+  bool SharesLimits(const KnownHost& host, Time now) const;
 
   /// @brief Names of the hosts that have fallen silent since the last call.
   std::vector<std::string> NewlySilent(Time now);
--- a/include/pathcleat/fleet/host_versions.hpp
+++ b/include/pathcleat/fleet/host_versions.hpp
@@ -14,12 +14,12 @@
   std::uint64_t commands = 0;   ///< operators' commands in force
   std::uint64_t orders = 0;     ///< newest change of the orders seen
   std::uint64_t upstreams = 0;  ///< newest change of the upstreams seen
-  StoreAccess store = StoreAccess::kFollowingPeer;
+  StoreAccess store_access = StoreAccess::kFollowingPeer;
   std::uint32_t config_age_ms = 0;  ///< since that configuration came there
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(config, commands, orders, upstreams, store, config_age_ms);
+    archive(config, commands, orders, upstreams, store_access, config_age_ms);
   }
 };
 
--- a/include/pathcleat/fleet/peer_datagram.hpp
+++ b/include/pathcleat/fleet/peer_datagram.hpp
@@ -13,7 +13,7 @@
 /// @ingroup fleet
 enum class DatagramKind : std::uint8_t {
   kHeartbeat = 0x21,
-  kReport = 0x22,
+  kDomainReport = 0x22,
   kUsage = 0x13,    ///< of client accounts' limits
   kCrashes = 0x14,  ///< of requests that crash upstreams
   kLimits = 0x15,   ///< that upstreams name in their answers
--- a/include/pathcleat/fleet/peer_link.hpp
+++ b/include/pathcleat/fleet/peer_link.hpp
@@ -62,7 +62,7 @@
 
   /// @brief Sends to the own domain now: after a change that it should know.
   /// Other domains are told by the next report.
-  void Tell();
+  void PublishHeartbeat();
 
   /// @brief Tells now what this host takes of client accounts' limits, and, if
   /// it reports for its domain, what the domain takes.
@@ -79,7 +79,7 @@
   void Receive();
   void OnDatagram(std::size_t size);
   void OnHeartbeat(const Heartbeat& heartbeat);
-  void OnReport(const DomainReport& report);
+  void OnDomainReport(const DomainReport& report);
   void TakeMembers(const DomainReport& report, Time now);
   void PassOn(DomainReport report);
   void Beat(const std::vector<std::string>& receivers, bool wants_reply);
--- a/include/pathcleat/fleet/peer_traffic.hpp
+++ b/include/pathcleat/fleet/peer_traffic.hpp
@@ -11,10 +11,10 @@
 /// @ingroup fleet
 enum class PeerMessageKind : std::uint8_t {
   kHeartbeat,
-  kReport,   ///< of a failure domain
-  kUsage,    ///< of client accounts' limits
-  kCrashes,  ///< of requests that crash upstreams
-  kLimits,   ///< that upstreams name in their answers
+  kDomainReport,  ///< of a failure domain
+  kUsage,         ///< of client accounts' limits
+  kCrashes,       ///< of requests that crash upstreams
+  kLimits,        ///< that upstreams name in their answers
   kOrders,
   kUpstreams,
 };
@@ -22,7 +22,7 @@
 /// @brief All kinds, in the order of their numbers.
 /// @ingroup fleet
 constexpr std::array kPeerMessageKinds = {
-    PeerMessageKind::kHeartbeat, PeerMessageKind::kReport,
+    PeerMessageKind::kHeartbeat, PeerMessageKind::kDomainReport,
     PeerMessageKind::kUsage,     PeerMessageKind::kCrashes,
     PeerMessageKind::kLimits,    PeerMessageKind::kOrders,
     PeerMessageKind::kUpstreams};
@@ -46,28 +46,28 @@
 
   /// @brief Another host was asked; OnEnded follows.
   void OnFetchStarted() { ++asked_; }
-  void OnEnded(bool failed_fetches) {
+  void OnFetchEnded(bool failed_fetches) {
     --asked_;
     given_up_ += failed_fetches ? 1 : 0;
   }
 
   /// @brief A connection to another host was given up: open, but nothing came.
   void OnSilentConnection() { ++silent_; }
-  std::uint64_t silent() const { return silent_; }
+  std::uint64_t silent_connections() const { return silent_; }
 
   /// @brief A host of this fleet sent a datagram of a form not known here.
   void OnUnknownFormat() { ++unknown_forms_; }
   std::uint64_t unknown_formats() const { return unknown_forms_; }
 
-  std::uint64_t sent(PeerMessageKind kind) const {
+  std::uint64_t bytes_sent(PeerMessageKind kind) const {
     return sent_.at(static_cast<std::size_t>(kind));
   }
-  std::uint64_t received(PeerMessageKind kind) const {
+  std::uint64_t bytes_received(PeerMessageKind kind) const {
     return received_.at(static_cast<std::size_t>(kind));
   }
 
   /// @brief Questions to other hosts that are not answered yet.
-  int asked() const { return asked_; }
+  int fetches_in_flight() const { return asked_; }
 
   /// @brief Questions that ended without an answer that could be used.
   std::uint64_t failed_fetches() const { return given_up_; }
--- a/include/pathcleat/fleet/relay_choice.hpp
+++ b/include/pathcleat/fleet/relay_choice.hpp
@@ -12,16 +12,16 @@
 /// @brief What decides whom a host asks for changes, beside the other hosts.
 /// @ingroup fleet
 struct RelayCriteria {
-  int domains = 1;                ///< failure domains of the fleet
-  bool store_failed = false;      ///< the store has not answered this host
-  std::set<std::string> avoided;  ///< peer addresses that have failed it
+  int domain_count = 1;       ///< failure domains of the fleet
+  bool store_failed = false;  ///< the store has not answered this host
+  std::set<std::string> avoided_peers;  ///< peer addresses that have failed it
 };
 
 /// @brief What decides whether a host reads a table of the store whole.
 /// @ingroup fleet
 struct StoreReadCriteria {
-  int domains = 1;     ///< failure domains of the fleet
-  Duration waited{0};  ///< for another host of its domain to have read it
+  int domain_count = 1;  ///< failure domains of the fleet
+  Duration waited{0};    ///< for another host of its domain to have read it
 };
 
 /// @brief Whether a host should read a table whole from the store now. Where
--- a/include/pathcleat/gateway/call.hpp
+++ b/include/pathcleat/gateway/call.hpp
@@ -24,21 +24,22 @@
 /// said so. It is told "not run" (503) under the same condition alone. With
 /// an Idempotency-Key it claims the key in the store before it is sent.
 /// @ingroup gateway
-class Call final : public std::enable_shared_from_this<Call>,
-                   public InFlightRequest {
+class RequestHandler final
+    : public std::enable_shared_from_this<RequestHandler>,
+      public InFlightRequest {
  public:
-  Call(GatewayState& state,
-       HttpExchangePtr exchange,
-       std::shared_ptr<const Route> route,
-       std::shared_ptr<const Account> account);
-  ~Call() override { --state_.requests; }
-  Call(const Call&) = delete;
-  Call& operator=(const Call&) = delete;
+  RequestHandler(GatewayState& state,
+                 HttpExchangePtr exchange,
+                 std::shared_ptr<const Route> route,
+                 std::shared_ptr<const Account> account);
+  ~RequestHandler() override { --state_.in_flight_count; }
+  RequestHandler(const RequestHandler&) = delete;
+  RequestHandler& operator=(const RequestHandler&) = delete;
 
   void Start();
 
   /// @brief Tells the caller what is known, as the process ends.
-  void OnHostEnds() override;
+  void OnHostShutdown() override;
 
   Time deadline() const override { return deadline_; }
   void OnDeadline() override;
@@ -55,7 +56,7 @@
   void Send(const Pick& pick);
   void Arm(boost::asio::steady_timer& timer,
            Duration wait,
-           void (Call::*step)());
+           void (RequestHandler::*step)());
   void ArmPatience(Duration patience);
   void OnPatienceOver();
   bool MayGoElsewhere() const;
@@ -96,7 +97,7 @@
   boost::asio::steady_timer deadline_timer_;
   boost::asio::steady_timer patience_timer_;  ///< of the attempt under way
   UpstreamAttempt attempt_;                   ///< under way, or the last one
-  KeyGuard key_;
+  IdempotencyGuard key_;
   RequestTrace trace_;
   std::string request_id_;
   PickRequest request_;
--- a/include/pathcleat/gateway/client_regions.hpp
+++ b/include/pathcleat/gateway/client_regions.hpp
@@ -29,7 +29,7 @@
 
  private:
   std::vector<std::string> regions_;
-  std::optional<BlockTable> table_;
+  std::optional<ClientBlockTable> table_;
   std::size_t assigned_ = 0;
 };
 
--- a/include/pathcleat/gateway/fleet_view.hpp
+++ b/include/pathcleat/gateway/fleet_view.hpp
@@ -17,12 +17,12 @@
 /// drains and the list of upstreams. It keeps the host's tables up to date,
 /// tells other hosts what it knows, and asks them when they know more.
 /// @ingroup gateway
-class FleetView : private SnapshotProvider {
+class FleetSync : private SnapshotProvider {
  public:
   /// @param store the platform's tables.
   /// @param on_config told of each configuration that comes into force.
   /// @param on_access told when the access to the store has changed.
-  FleetView(GatewayState& state,
+  FleetSync(GatewayState& state,
             FleetSource& store,
             std::function<void(const RoutingConfig&)> on_config,
             std::function<void()> on_access);
@@ -43,7 +43,7 @@
   /// @brief This host runs again after it had stood still: its watches may be
   /// lost.
   /// @param since when it last ran.
-  void OnAwake(Time since);
+  void OnStallEnded(Time since);
 
   /// @brief How far this host has come, for its heartbeats.
   HostVersions Versions() const;
@@ -59,7 +59,7 @@
   }
 
   /// @brief How far the configuration here is behind that of other hosts.
-  const ConfigLag& lag() const { return lag_; }
+  const ConfigLag& config_lag() const { return lag_; }
 
   /// @brief Removes the upstreams whose entries have not come back.
   void Tick(Time now);
@@ -70,8 +70,8 @@
  private:
   SourceWatcher& WatcherOf(SourceTopic topic);
   const SourceWatcher& WatcherOf(SourceTopic topic) const;
-  std::uint64_t Newest(SourceTopic topic) const override;
-  FleetSnapshot Snapshot(const FeedRequest& request) override;
+  std::uint64_t NewestVersion(SourceTopic topic) const override;
+  FleetSnapshot MakeSnapshot(const FeedRequest& request) override;
   const RoutingConfig* Config() const override;
   void AddOrders(FleetSnapshot& snapshot, std::uint64_t known);
   void AddUpstreams(FleetSnapshot& snapshot, std::uint64_t after) const;
@@ -81,7 +81,7 @@
   void AskBeside(SourceTopic topic, const FeedPeer& peer);
   void TakeBeside(SourceTopic topic,
                   const std::string& peer,
-                  const FeedAnswer& answer);
+                  const FeedResponse& answer);
   void OnOrders(const SourceUpdate& update);
   void AdoptConfig(const RoutingConfig& config, const Transfer& transfer);
   void OnDrains(const SourceUpdate& update);
--- a/include/pathcleat/gateway/gateway.hpp
+++ b/include/pathcleat/gateway/gateway.hpp
@@ -25,7 +25,7 @@
 /// @brief What lies outside a host's tables and is shown on its metrics page.
 /// @ingroup gateway
 struct ProcessStats {
-  std::function<LogCounts()> log_dropped;  ///< lines, since the start
+  std::function<LogCounts()> dropped_log_lines;  ///< lines, since the start
   const StoreCallStats* store_calls = nullptr;
 };
 
@@ -44,7 +44,7 @@
           TableStore& store,
           FleetSource& source,
           RolloutStatusStore& statuses,
-          KeyDigester& digester);
+          KeyedHasher& digester);
 
   /// @brief What the metrics page shows of the process around this host.
   void SetProcessStats(ProcessStats probes) { probes_ = std::move(probes); }
@@ -73,7 +73,7 @@
   void NoteAwake(Time now);
   bool IsTooFarBehind() const;
   void HandleCaller(const HttpExchangePtr& exchange);
-  Duration ReturnUnloaded(const Exchange& exchange) const;
+  Duration ReturnUnloaded(const HttpExchange& exchange) const;
   void RefuseKey(const HttpExchangePtr& exchange,
                  const Route& route,
                  ApiKeyFault fault);
@@ -94,13 +94,13 @@
   Result<void> ListenAt(HttpServer& server, const std::string& address);
 
   GatewayState state_;
-  KeyDigester& digester_;
+  KeyedHasher& digester_;
   FleetSecrets secrets_;
   CommandLog commands_;
   RolloutWriter rollout_writer_;
   PeerLink peers_;
-  FleetView view_;
-  FleetRows rows_;
+  FleetSync view_;
+  StartupLoader rows_;
   HttpServer callers_;
   HttpServer readiness_;
   HttpServer locate_;
--- a/include/pathcleat/gateway/gateway_state.hpp
+++ b/include/pathcleat/gateway/gateway_state.hpp
@@ -45,7 +45,7 @@
                const EntrySettings& entry_settings,
                const HeaderNames& header_names,
                TableStore& store,
-               const KeyDigester& key_digester,
+               const KeyedHasher& key_digester,
                std::uint64_t incarnation);
 
   /// @brief The retries that this host may make at a service.
@@ -68,36 +68,36 @@
   void RefreshRollouts();
 
   boost::asio::io_context& loop;
-  const Time started = BootClock::now();
+  const Time started_at = BootClock::now();
   EntrySettings settings;
   const HeaderNames headers;
   EventLog events;
   HostTable hosts;
   RouteTable routes;
-  const KeyDigester& digester;
-  KeyDigester request_hasher{kRequestDigestPurpose};
+  const KeyedHasher& account_key_hasher;
+  KeyedHasher request_hasher{kRequestDigestPurpose};
   AccountTable accounts;
-  QuotaGate quotas;
+  QuotaEnforcer quotas;
   AccountStats account_stats;
   UpstreamTable upstreams;
   UpstreamPicker picker;
   SplitBalancer splits;
-  UpstreamPool pool;
-  KeyLedger keys;
+  ConnectionPool connection_pool;
+  IdempotencyKeyStore idempotency_keys;
   ClientRegions client_regions;
   TraceStore traces;
   RequestLog request_log;
   Metrics metrics;
   PeerTraffic peer_traffic;
-  std::map<std::string, RetryBudget> retries;  ///< by service
+  std::map<std::string, RetryBudget> retry_budgets;  ///< by service
   InFlightRequests in_flight_requests;
-  StopPlan stop;
+  ShutdownSchedule shutdown;
   RolloutControl rollouts;
-  CrashLedger crashes;
+  CrashTracker crashes;
   ListenProbe listen_probe;
-  UnknownFields unknown_headers;
-  LimitExchange limits;
-  int requests = 0;  ///< callers' requests under way
+  UnknownHeaders unknown_headers;
+  LimitExchange upstream_limits;
+  int in_flight_count = 0;  ///< callers' requests under way
   std::uint64_t next_request = 1;
   bool leaving = false;
   bool store_reachable = false;
--- a/include/pathcleat/gateway/key_guard.hpp
+++ b/include/pathcleat/gateway/key_guard.hpp
@@ -14,7 +14,7 @@
 /// that it gets in place of a run.
 /// @ingroup gateway
 struct IdempotencyDecision {
-  bool run = false;
+  bool may_run = false;
   HttpResponse answer;
   RunOutcome outcome = RunOutcome::kNotRun;
 };
@@ -22,9 +22,9 @@
 /// @brief One request's hold on its idempotency key: claimed in the store
 /// before it is sent, settled when its outcome is known.
 /// @ingroup gateway
-class KeyGuard {
+class IdempotencyGuard {
  public:
-  explicit KeyGuard(GatewayState& state) : state_(state) {}
+  explicit IdempotencyGuard(GatewayState& state) : state_(state) {}
 
   /// @brief Whether the request carries a key.
   static bool HasKey(const HttpRequest& request);
@@ -37,7 +37,7 @@
              std::function<void(IdempotencyDecision)> callback);
 
   /// @brief Tells the outcome; does nothing without a claim.
-  void Settle(const HttpResponse& response, RunOutcome outcome);
+  void RecordOutcome(const HttpResponse& response, RunOutcome outcome);
 
  private:
   IdempotencyDecision Decide(ClaimResult result, Duration left);
--- a/include/pathcleat/gateway/metrics_page.hpp
+++ b/include/pathcleat/gateway/metrics_page.hpp
@@ -16,7 +16,7 @@
 struct MetricsInputs {
   HostVersions versions;
   std::map<SourceTopic, Time> feeds_received_at;  ///< when each topic last was
-  LogCounts log_dropped{};
+  LogCounts dropped_log_lines{};
   const StoreCallStats* store_calls = nullptr;  ///< may be missing
 };
 
--- a/include/pathcleat/gateway/quota_gate.hpp
+++ b/include/pathcleat/gateway/quota_gate.hpp
@@ -21,12 +21,12 @@
 /// @brief The limits of client accounts at this host. What is refused is told
 /// a place of its own, as far apart as the limit gives places. Not thread-safe.
 /// @ingroup gateway
-class QuotaGate {
+class QuotaEnforcer {
  public:
   /// @param seed another one at each host and start.
-  QuotaGate(const std::string& domain,
-            const std::string& host,
-            std::uint64_t seed)
+  QuotaEnforcer(const std::string& domain,
+                const std::string& host,
+                std::uint64_t seed)
       : control_(domain, host, seed) {}
 
   QuotaControl& control() { return control_; }
@@ -34,14 +34,14 @@
 
   /// @param caller_left until the caller gives up.
   /// @param target latency of the route.
-  QuotaResult Take(const Account& account,
-                   Duration caller_left,
-                   Duration target,
-                   Time now);
+  QuotaResult Admit(const Account& account,
+                    Duration caller_left,
+                    Duration target,
+                    Time now);
 
  private:
   QuotaControl control_;
-  std::unordered_map<std::uint64_t, Comeback> returns_;  ///< by AccountId
+  std::unordered_map<std::uint64_t, RetryScheduler> returns_;  ///< by AccountId
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/gateway/request_trace.hpp
+++ b/include/pathcleat/gateway/request_trace.hpp
@@ -25,12 +25,12 @@
   /// @brief The request was taken.
   /// @param picked what it asks of the picker.
   /// @param left time until it must be answered.
-  void NoteAccepted(const Exchange& exchange,
+  void NoteAccepted(const HttpExchange& exchange,
                     const PickRequest& picked,
                     Duration left);
 
   /// @brief Its key was not accepted. The key itself is told nowhere.
-  void NoteApiKeyRefused(const Exchange& exchange,
+  void NoteApiKeyRefused(const HttpExchange& exchange,
                          const Route& route,
                          ApiKeyFault fault);
 
--- a/include/pathcleat/gateway/upstream_attempt.hpp
+++ b/include/pathcleat/gateway/upstream_attempt.hpp
@@ -14,8 +14,8 @@
 /// @brief Time limits of one request at one upstream, from its sending.
 /// @ingroup gateway
 struct AttemptTimeouts {
-  Duration told{0};    ///< that the upstream may work
-  Duration waited{0};  ///< until the answer must be there
+  Duration work_timeout{0};      ///< that the upstream may work
+  Duration response_timeout{0};  ///< until the answer must be there
 };
 
 /// @brief One request at one upstream: what is sent, what this host then
@@ -80,7 +80,7 @@
 
   // Of the attempt under way, or the last one.
   const Pick& pick() const { return pick_; }
-  Time sent() const { return sent_; }
+  Time sent_at() const { return sent_; }
 
  private:
   bool WasForgotten(const CallResult& result) const;
--- a/include/pathcleat/http/http_client.hpp
+++ b/include/pathcleat/http/http_client.hpp
@@ -32,13 +32,13 @@
 /// @ingroup http
 struct CallResult {
   CallOutcome outcome = CallOutcome::kNotSent;
-  HttpResponse response;    ///< for kAnswered
-  std::string detail;       ///< plain words, for the other outcomes
-  std::uint64_t bytes = 0;  ///< that arrived, headers included
-  Duration transfer{0};     ///< from the first of them to the end
+  HttpResponse response;             ///< for kAnswered
+  std::string detail;                ///< plain words, for the other outcomes
+  std::uint64_t received_bytes = 0;  ///< that arrived, headers included
+  Duration transfer_time{0};         ///< from the first of them to the end
   /// Given up by a limit on silence or by TCP's probes: the peer neither sent
   /// nor closed. Not set where the total time ran out.
-  bool silent = false;
+  bool connection_silent = false;
   bool closed_locally = false;  ///< this end closed, and not the peer
 };
 
@@ -132,10 +132,10 @@
   Time idle_since() const { return idle_since_; }
 
   /// @brief How long the peer says it keeps an idle connection; zero: unsaid.
-  Duration keep_alive() const { return keep_alive_; }
+  Duration keep_alive_timeout() const { return keep_alive_; }
 
   /// @brief Bytes that arrived since the request under way was sent.
-  std::uint64_t received() const { return received_; }
+  std::uint64_t received_bytes() const { return received_; }
 
   /// @brief When bytes of the answer under way last came, if any have.
   std::optional<Time> last_response_byte_at() const {
@@ -151,7 +151,7 @@
 
   /// @brief Whether the connection was given up as silent: see
   /// CallResult::silent. An idle one can be, too.
-  bool silent() const { return silent_; }
+  bool IsSilent() const { return silent_; }
 
  private:
   using Parser =
--- a/include/pathcleat/http/http_exchange.hpp
+++ b/include/pathcleat/http/http_exchange.hpp
@@ -15,24 +15,24 @@
 /// @brief One request that a caller sent and the place for its answer.
 /// Answering after the caller has left is allowed and does nothing.
 /// @ingroup http
-class Exchange {
+class HttpExchange {
  public:
   /// @param caller the caller's IP address as text.
   /// @param received when the request's last byte was read.
-  Exchange(HttpRequest request, std::string caller, Time received)
+  HttpExchange(HttpRequest request, std::string caller, Time received)
       : request_(std::move(request)),
         caller_(std::move(caller)),
         received_(received) {}
 
   const HttpRequest& request() const { return request_; }
-  const std::string& caller() const { return caller_; }
-  Time received() const { return received_; }
+  const std::string& caller_ip() const { return caller_; }
+  Time received_at() const { return received_; }
 
   /// @brief Gives the answer. Only the first call counts.
   void Respond(HttpResponse response);
 
   /// @brief Ends the connection without an answer: for stand-ins that fail.
-  void Drop();
+  void DropConnection();
 
   /// @brief Called once if the caller leaves before the answer is given.
   void OnAbandoned(std::function<void()> callback);
@@ -41,12 +41,12 @@
   /// the answer is given: most have gone then, some wait for their answer, and
   /// one that is given is still written. Without this the caller counts as
   /// gone.
-  void OnCallerEnded(std::function<void()> callback);
+  void OnCallerHalfClosed(std::function<void()> callback);
 
   /// @brief Asks the connection itself whether the caller has left, which it
   /// may have done behind bytes that are not read yet. If so, OnCallerEnded
   /// or OnAbandoned is called inside this call.
-  void CheckCaller();
+  void CheckConnection();
 
   /// @brief Whether the caller is there and has no answer yet.
   bool IsOpen() const { return !response_ && !abandoned_; }
@@ -55,7 +55,7 @@
   bool answered() const { return response_.has_value(); }
   const HttpResponse& response() const { return *response_; }
   void OnAnswered(std::function<void()> callback);
-  void OnDropped(std::function<void()> callback);
+  void OnConnectionDropped(std::function<void()> callback);
   void OnConnectionCheck(std::function<void()> callback);
   void Abandon();
 
@@ -75,7 +75,7 @@
   std::function<void()> on_dropped_;
 };
 
-using HttpExchangePtr = std::shared_ptr<Exchange>;
+using HttpExchangePtr = std::shared_ptr<HttpExchange>;
 
 /// @brief Takes each request; the answer may come at any later time.
 /// @ingroup http
--- a/include/pathcleat/http/http_server.hpp
+++ b/include/pathcleat/http/http_server.hpp
@@ -63,7 +63,7 @@
   /// @brief Ends idle connections now and the others after their answers.
   void CloseGracefully();
 
-  std::size_t connections() const { return sessions_.size(); }
+  std::size_t connection_count() const { return sessions_.size(); }
 
  private:
   friend class ServerSession;
--- a/include/pathcleat/http/listen_probe.hpp
+++ b/include/pathcleat/http/listen_probe.hpp
@@ -21,9 +21,9 @@
   /// @param timeout for the machine to answer.
   /// @param refused called if the connection is refused, and never otherwise:
   /// silence says nothing of the process.
-  void Ask(const boost::asio::ip::tcp::endpoint& endpoint,
-           Duration timeout,
-           std::function<void()> refused);
+  void Probe(const boost::asio::ip::tcp::endpoint& endpoint,
+             Duration timeout,
+             std::function<void()> refused);
 
  private:
   boost::asio::io_context& loop_;
--- a/include/pathcleat/lab/crash_model.hpp
+++ b/include/pathcleat/lab/crash_model.hpp
@@ -17,7 +17,7 @@
   /// Callers that send the same request over and over.
   int repeating_callers = 200;
   Duration repeat_interval{1'000'000};
-  Duration run_time{500'000};  ///< of a request, on average
+  Duration mean_run_time{500'000};  ///< of a request, on average
   /// The request that crashes upstreams: how often it comes. Zero: never.
   Duration fatal_interval{0};
   Duration fatal_crash_delay{30'000};
@@ -26,8 +26,8 @@
   double crashing_share = 0;
   Duration crash_interval{5'000'000};
   Duration restart_delay{3'000'000};
-  Duration one_way{12'000};  ///< between hosts
-  Duration lasts{60'000'000};
+  Duration one_way_delay{12'000};  ///< between hosts
+  Duration duration{60'000'000};
   bool answer_clears_request = true;  ///< an answer clears a request
   bool retry_suspected = false;  ///< also where others ended under it before
   std::uint64_t seed = 1;
@@ -36,9 +36,9 @@
 /// @brief What came of it.
 /// @ingroup lab
 struct CrashModelResult {
-  int fatal_crashes = 0;    ///< upstreams that the fatal request brought down
-  int repeats = 0;          ///< requests of the repeaters
-  int wrongly_refused = 0;  ///< of them, as they were taken for the cause
+  int fatal_crashes = 0;      ///< upstreams that the fatal request brought down
+  int repeated_requests = 0;  ///< requests of the repeaters
+  int wrongly_refused = 0;    ///< of them, as they were taken for the cause
   int with_two_crashes =
       0;  ///< of them, with two crashes: refused if two sufficed
   int max_tracked_requests = 0;  ///< requests that one host knew at once
--- a/include/pathcleat/lab/deployment_config.hpp
+++ b/include/pathcleat/lab/deployment_config.hpp
@@ -17,7 +17,7 @@
 /// @brief The routes and services of a deployment file, as operators would
 /// write them to the platform. One route a kind of request.
 /// @ingroup lab
-RoutingConfig ConfigOf(const Deployment& deployment);
+RoutingConfig RoutingConfigOf(const Deployment& deployment);
 
 /// @brief The entries that the upstreams of a deployment file would write.
 /// @ingroup lab
--- a/include/pathcleat/lab/load_audit.hpp
+++ b/include/pathcleat/lab/load_audit.hpp
@@ -13,11 +13,11 @@
 /// upstreams ran.
 /// @ingroup lab
 struct LoadAudit {
-  int duplicate_runs = 0;  ///< keys that ran more than once
-  int false_not_run = 0;   ///< tries told "not run" that ran
-  int over_slots = 0;      ///< upstreams that ran more than their slots
-  int turned_away = 0;     ///< requests that an upstream did not run
-  int cut = 0;             ///< answers not whole or not the caller's own
+  int duplicate_runs = 0;        ///< keys that ran more than once
+  int false_not_run = 0;         ///< tries told "not run" that ran
+  int upstreams_over_slots = 0;  ///< upstreams that ran more than their slots
+  int rejected = 0;              ///< requests that an upstream did not run
+  int corrupt_answers = 0;       ///< answers not whole or not the caller's own
 };
 
 /// @brief Compares a load's records with the upstreams' ledger.
--- a/include/pathcleat/lab/load_generator.hpp
+++ b/include/pathcleat/lab/load_generator.hpp
@@ -31,8 +31,8 @@
 /// @ingroup lab
 struct LoadPlan {
   std::vector<LoadKind> kinds;
-  double per_second = 50;
-  std::chrono::milliseconds length{10'000};
+  double requests_per_second = 50;
+  std::chrono::milliseconds duration{10'000};
   int callers = 50;
   /// First two numbers of the callers' addresses, one entry a region; the
   /// third number is the caller's.
@@ -53,7 +53,8 @@
   int not_run = 0;
   int unknown = 0;
   int connection_lost = 0;  ///< the connection ended without an answer
-  int cut = 0;  ///< an answer that is not the whole answer to the request
+  int corrupt_answers =
+      0;  ///< an answer that is not the whole answer to the request
   std::vector<double> latency_ms;  ///< from the scheduled arrival; answered
   std::vector<double> refusal_ms;  ///< the same, of those told "not run"
 };
@@ -63,7 +64,7 @@
 struct LoadRecord {
   std::string run_id;
   std::string key;
-  bool told_not_run = false;  ///< by the last word on this attempt
+  bool reported_not_run = false;  ///< by the last word on this attempt
 };
 
 /// @brief Sends a load from many local addresses, as callers would: asks an
--- a/include/pathcleat/lab/quota_model.hpp
+++ b/include/pathcleat/lab/quota_model.hpp
@@ -13,23 +13,24 @@
 /// @brief How the hosts of the model share an account's limit.
 /// @ingroup lab
 enum class QuotaPolicy {
-  kAdaptive,  ///< QuotaControl, as entry hosts do
-  kEven,      ///< each host has an equal part of rate and burst
-  kOwner,     ///< one host, chosen by hash, counts for all; asked each time
+  kAdaptive,    ///< QuotaControl, as entry hosts do
+  kEqualShare,  ///< each host has an equal part of rate and burst
+  kOwner,       ///< one host, chosen by hash, counts for all; asked each time
 };
 
 /// @brief What befalls one account during a model run. Times are seconds from
 /// its start.
 /// @ingroup lab
-struct QuotaTrace {
+struct QuotaScenario {
   std::string name;
   AccountLimit limit;
-  double usual = 0;  ///< requests a second
-  double rush = 1;   ///< times the usual, while it lasts
+  double usual_per_second = 0;  ///< requests a second
+  double peak_factor = 1;       ///< times the usual, while it lasts
   double peak_from = 8;
   double peak_seconds = 6.5;
-  int peak_hosts = 0;   ///< the account comes to so many hosts then; 0: all
-  double cut_from = 0;  ///< half of the domains hear nothing of the others
+  int peak_hosts = 0;  ///< the account comes to so many hosts then; 0: all
+  double partition_from =
+      0;  ///< half of the domains hear nothing of the others
   double partition_seconds = 0;
   double kill_at = 0;  ///< so many hosts lose their memory
   double killed_share = 0;
@@ -45,7 +46,7 @@
   int domains = 6;
   int hosts_in_domain = 11;
   double seconds = 24;
-  double loss = 0.01;  ///< share of datagrams
+  double datagram_loss = 0.01;  ///< share of datagrams
   QuotaBounds bounds;
   std::uint64_t seed = 1;
 };
@@ -64,12 +65,12 @@
 /// each other late, lossily, or not at all.
 /// @ingroup lab
 QuotaModelResult RunQuotaModel(QuotaPolicy policy,
-                               const QuotaTrace& trace,
+                               const QuotaScenario& trace,
                                const QuotaModelPlan& plan);
 
 /// @brief The traces that the policies are compared on.
 /// @ingroup lab
-std::vector<QuotaTrace> QuotaScenarios();
+std::vector<QuotaScenario> QuotaScenarios();
 
 /// @brief A table of all policies on all traces.
 /// @ingroup lab
--- a/include/pathcleat/lab/return_model.hpp
+++ b/include/pathcleat/lab/return_model.hpp
@@ -18,20 +18,22 @@
   double weight = 1;  ///< share of the arrivals
   Duration target_latency{400'000};
   Duration deadline{2'500'000};  ///< that its callers wait
-  Duration run{480'000};         ///< mean run time of a key not lately served
-  double warm_share = 0.3;       ///< of it, where the key was lately served
-  int keys = 80;                 ///< 0: each request has one of its own
+  Duration mean_run_time{
+      480'000};                 ///< mean run time of a key not lately served
+  double warm_run_share = 0.3;  ///< of it, where the key was lately served
+  int keys = 80;                ///< 0: each request has one of its own
 };
 
 /// @brief What befalls the model's world for a while.
 /// @ingroup lab
 struct CallerRetryFault {
   Duration at{10'000'000};
-  Duration length{3'000'000};
-  double load = 1;             ///< arrivals are this many times as many
-  bool domain_fails = false;   ///< the first domain's upstreams are gone
-  double cold_per_second = 0;  ///< what each bears when back; 0: warm at once
-  Duration cold_for{4'000'000};
+  Duration duration{3'000'000};
+  double load_factor = 1;     ///< arrivals are this many times as many
+  bool domain_fails = false;  ///< the first domain's upstreams are gone
+  double cold_requests_per_second =
+      0;  ///< what each bears when back; 0: warm at once
+  Duration cold_duration{4'000'000};
 };
 
 /// @brief A run of the model: callers who come back once when they are told
@@ -43,17 +45,17 @@
   int hosts_in_domain = 3;
   int upstreams_in_domain = 8;
   int slots = 3;
-  int queue = 9;
-  int keys_remembered = 50;  ///< by an upstream
+  int queue_capacity = 9;
+  int cached_keys = 50;  ///< by an upstream
   Duration round_trip{2'000};
   /// Of what a caller has left, it heeds at most this much of Retry-After, as
   /// the users' callers do.
   double max_wait_share = 1.0 / 3;
-  int returns = 1;  ///< times that a caller comes back
-  double per_second = 200;
-  CallerRetryFault trouble;
+  int max_retries = 1;  ///< times that a caller comes back
+  double requests_per_second = 200;
+  CallerRetryFault fault;
   Duration warm_up{8'000'000};  ///< not counted
-  Duration length{20'000'000};
+  Duration duration{20'000'000};
   std::uint64_t seed = 1;
 };
 
--- a/include/pathcleat/lab/routing_model.hpp
+++ b/include/pathcleat/lab/routing_model.hpp
@@ -31,19 +31,19 @@
   int hosts_in_region = 3;
   int upstreams_in_region = 8;
   int slots = 3;
-  int queue = 9;
+  int queue_capacity = 9;
   int keys = 120;
-  int keys_remembered = 50;  ///< by an upstream
+  int cached_keys = 50;  ///< by an upstream
   Duration round_trip_between_regions{24'000};
   Duration mean_cold_run_time{
-      640'000};             ///< mean run time of a key not lately served
-  double warm_share = 0.3;  ///< of it, where the key was lately served
+      640'000};                 ///< mean run time of a key not lately served
+  double warm_run_share = 0.3;  ///< of it, where the key was lately served
   Duration target_latency{400'000};
   Duration timeout{3'000'000};
-  double per_second = 200;
+  double requests_per_second = 200;
   std::vector<double> region_shares{0.5, 0.3, 0.2};  ///< of arrivals
   Duration warm_up{10'000'000};                      ///< not counted
-  Duration length{40'000'000};
+  Duration duration{40'000'000};
   std::uint64_t seed = 1;
 };
 
@@ -53,9 +53,9 @@
   int offered = 0;
   int in_target = 0;
   int late = 0;
-  int refused = 0;      ///< by a host, at once
-  int turned_away = 0;  ///< by a full upstream
-  double p50_ms = 0;    ///< of the answered
+  int refused = 0;    ///< by a host, at once
+  int rejected = 0;   ///< by a full upstream
+  double p50_ms = 0;  ///< of the answered
   double p99_ms = 0;
   double other_region_share = 0;  ///< run in another region than the caller's
 
--- a/include/pathcleat/lab/upstream_stand_in.hpp
+++ b/include/pathcleat/lab/upstream_stand_in.hpp
@@ -20,13 +20,14 @@
 /// @ingroup lab
 struct UpstreamLedger {
   int runs = 0;
-  int most_in_flight = 0;
+  int peak_in_flight = 0;
   double slot_seconds = 0;  ///< of work, up to the last begin or end of one
-  int turned_away = 0;      ///< requests told that they were not run
+  int rejected = 0;         ///< requests told that they were not run
   std::map<std::string, int> runs_by_id;       ///< by the caller's X-Run-Id
   std::map<std::string, int> runs_by_key;      ///< by Idempotency-Key
   std::map<std::string, int> runs_by_account;  ///< by the account told
-  int keys_seen = 0;           ///< requests with an Authorization field
+  int requests_with_authorization =
+      0;                       ///< requests with an Authorization field
   std::vector<Time> arrivals;  ///< of requests, also those turned away
 };
 
@@ -36,7 +37,7 @@
   std::string id = "upstream";
   HeaderNames headers;
   int slots = 2;
-  int queue = 4;  ///< requests that may wait for a slot
+  int queue_capacity = 4;  ///< requests that may wait for a slot
   std::chrono::microseconds mean_service_time{20'000};  ///< exponential
   std::uint64_t seed = 1;
   /// Work ends at the time that the request tells: in the queue as not run,
@@ -50,7 +51,7 @@
   kNone,
   kNoSignature,     ///< a success that lacks its signature
   kWrongRequestId,  ///< another request's id
-  kLost,            ///< runs, then closes without an answer
+  kNoAnswer,        ///< runs, then closes without an answer
 };
 
 /// @brief What a stand-in does with one request, and when.
@@ -88,14 +89,14 @@
   void ReleaseAnswerOfRun(const std::string& run_id);
 
   /// @brief Spoils all answers from now on.
-  void Spoil(AnswerCorruption how) { spoilt_ = how; }
+  void CorruptAnswers(AnswerCorruption how) { spoilt_ = how; }
 
   /// @brief Says that it has not run any request from now on.
-  void TurnAway(bool turn_away) { turn_away_ = turn_away; }
+  void RejectRequests(bool turn_away) { turn_away_ = turn_away; }
 
   /// @brief Names a limit of requests a second in all answers from now on, in
   /// these words; empty: none.
-  void NameLimit(std::string limit) { limit_ = std::move(limit); }
+  void SetLimitHeader(std::string limit) { limit_ = std::move(limit); }
 
   /// @brief Asked what to do with each request from now on.
   using ActionChooser = std::function<UpstreamAction()>;
--- a/include/pathcleat/query/command.hpp
+++ b/include/pathcleat/query/command.hpp
@@ -29,7 +29,7 @@
 /// @brief "why REQUEST-ID"
 /// @ingroup query
 struct WhyQuery {
-  std::string id;
+  std::string request_id;
 };
 
 /// @brief What "show" can show.
--- a/include/pathcleat/records/command_log.hpp
+++ b/include/pathcleat/records/command_log.hpp
@@ -37,7 +37,7 @@
 
   /// @brief A row that was read at the start.
   /// @return whether it is one of the commands' rows.
-  bool Take(const TableRow& row);
+  bool HandleRow(const TableRow& row);
 
   /// @brief All rows have been read: the commands among them come into force.
   void OnRowsRead();
--- a/include/pathcleat/records/fleet_rows.hpp
+++ b/include/pathcleat/records/fleet_rows.hpp
@@ -16,15 +16,15 @@
 /// hosts that start together at least one finds the other; where that write is
 /// not known to be done, both are repeated.
 /// @ingroup records
-class FleetRows {
+class StartupLoader {
  public:
   /// @param on_row given each row that is no host's.
   /// @param on_read called when all rows have been read.
-  FleetRows(boost::asio::io_context& loop,
-            TableStore& store,
-            HostTable& hosts,
-            std::function<void(const TableRow&)> on_row,
-            std::function<void()> on_read);
+  StartupLoader(boost::asio::io_context& loop,
+                TableStore& store,
+                HostTable& hosts,
+                std::function<void(const TableRow&)> on_row,
+                std::function<void()> on_read);
 
   void Start();
 
--- a/include/pathcleat/records/fleet_secrets.hpp
+++ b/include/pathcleat/records/fleet_secrets.hpp
@@ -25,7 +25,7 @@
 
   /// @brief A row that was read at the start.
   /// @return whether it is the secrets' row.
-  bool Take(const TableRow& row);
+  bool HandleRow(const TableRow& row);
 
   /// @brief All rows have been read: without secrets among them, some are made.
   void OnRowsRead();
--- a/include/pathcleat/rollouts/answer_judge.hpp
+++ b/include/pathcleat/rollouts/answer_judge.hpp
@@ -14,7 +14,7 @@
 /// so that a version which turns bad later is found as fast. Both at 1 error
 /// in 1,000. Not thread-safe.
 /// @ingroup rollouts
-class AnswerJudge {
+class VersionEvaluator {
  public:
   /// @brief Answers that came since the last call.
   /// @param usual share of bad answers at the other versions meanwhile.
--- a/include/pathcleat/rollouts/canary_gate.hpp
+++ b/include/pathcleat/rollouts/canary_gate.hpp
@@ -23,13 +23,13 @@
   }
 
   /// @brief Whether the next request may go to the new version.
-  bool IsOpen() const {
+  bool MaySend() const {
     return static_cast<double>(fresh_ + 1) <=
            share_ * static_cast<double>(sent_ + 1);
   }
 
   std::uint64_t sent() const { return sent_; }
-  std::uint64_t fresh() const { return fresh_; }
+  std::uint64_t new_version_sent() const { return fresh_; }
 
  private:
   double share_;
--- a/include/pathcleat/rollouts/rollout.hpp
+++ b/include/pathcleat/rollouts/rollout.hpp
@@ -22,7 +22,7 @@
 struct RolloutInput {
   bool is_order_active = true;  ///< the order stands, or is withdrawn
   Duration elapsed{0};          ///< since the rollout began
-  int hosts = 1;                ///< that may be sending, this one included
+  int host_count = 1;           ///< that may be sending, this one included
 };
 
 /// @brief One order to move a service to a version, as this host follows and
@@ -61,15 +61,15 @@
   /// @brief What this host alone has counted.
   const RolloutTally& OwnTally() const { return own_; }
 
-  TallyBoard& tally_table() { return board_; }
-  const TallyBoard& tally_table() const { return board_; }
-  const CanaryLimiter& gate() const { return gate_; }
+  TallyTable& tally_table() { return board_; }
+  const TallyTable& tally_table() const { return board_; }
+  const CanaryLimiter& canary_limiter() const { return gate_; }
 
   /// @brief Answers of the whole fleet, as they were last judged.
   const RolloutTally& evaluated_tally() const { return judged_; }
 
   /// @brief Takes the answers that came since the last call into the tests.
-  void Judge(Time now);
+  void Evaluate(Time now);
 
   /// @brief The decision that is due, if any.
   /// @param reason set to what led to it, for the log.
@@ -100,10 +100,10 @@
   // Until the list is known, a rule holds as if both ran.
   bool others_run_ = true;
   bool fresh_runs_ = true;
-  TallyBoard board_;
+  TallyTable board_;
   RolloutTally judged_;  ///< answers that the tests have seen
-  AnswerJudge all_;
-  std::map<std::uint64_t, AnswerJudge> by_route_;
+  VersionEvaluator all_;
+  std::map<std::uint64_t, VersionEvaluator> by_route_;
   VersionRulePtr canary_;
   VersionRulePtr others_;
   VersionRulePtr promoted_;
--- a/include/pathcleat/rollouts/rollout_control.hpp
+++ b/include/pathcleat/rollouts/rollout_control.hpp
@@ -23,7 +23,7 @@
 /// @brief The fleet as it matters to rollouts.
 /// @ingroup rollouts
 struct RolloutContext {
-  int hosts = 1;  ///< that may be sending, this one included
+  int host_count = 1;  ///< that may be sending, this one included
   HybridTime time;
 };
 
@@ -39,10 +39,10 @@
       : domain_(std::move(domain)), incarnation_(incarnation) {}
 
   /// @brief All orders that stand.
-  void OnOrders(const std::vector<RolloutOrder>& orders);
+  void SetOrders(const std::vector<RolloutOrder>& orders);
 
   /// @brief All decisions in force.
-  void Adopt(const RolloutStates& states);
+  void SetStates(const RolloutStates& states);
 
   /// @brief Whether a service is moved, or was moved lately.
   Rollout* Find(const std::string& service);
@@ -61,7 +61,7 @@
 
   /// @brief Judges what has come and says what is to be decided now. Call a
   /// few times a second.
-  std::vector<ProposedStep> Judge(const RolloutContext& fleet, Time now);
+  std::vector<ProposedStep> Evaluate(const RolloutContext& fleet, Time now);
 
  private:
   bool IsOrdered(const Rollout& rollout) const;
--- a/include/pathcleat/rollouts/rollout_order.hpp
+++ b/include/pathcleat/rollouts/rollout_order.hpp
@@ -13,20 +13,20 @@
 struct RolloutOrder {
   std::string service;
   std::string version;
-  Duration allowed{0};   ///< from the order to its end, either way
+  Duration timeout{0};   ///< from the order to its end, either way
   std::uint64_t id = 0;  ///< rises with each order of the service
 
   bool operator==(const RolloutOrder&) const = default;
 
   template <class Archive>
   void save(Archive& archive) const {  // NOLINT: named by cereal
-    archive(service, version, static_cast<std::int64_t>(allowed.count()), id);
+    archive(service, version, static_cast<std::int64_t>(timeout.count()), id);
   }
   template <class Archive>
   void load(Archive& archive) {  // NOLINT: named by cereal
     std::int64_t micros = 0;
     archive(service, version, micros, id);
-    allowed = Duration(micros);
+    timeout = Duration(micros);
   }
 };
 
--- a/include/pathcleat/rollouts/rollout_tally.hpp
+++ b/include/pathcleat/rollouts/rollout_tally.hpp
@@ -29,19 +29,20 @@
 /// @brief What a host, or all hosts of a failure domain, saw of a rollout.
 /// @ingroup rollouts
 struct RolloutTally {
-  std::uint64_t order = 0;
-  AnswerCounts others;  ///< of all versions but the new one
-  AnswerCounts fresh;   ///< of the new one
+  std::uint64_t order_id = 0;
+  AnswerCounts other_versions;  ///< of all versions but the new one
+  AnswerCounts new_version;     ///< of the new one
   std::map<std::uint64_t, AnswerCounts>
-      new_version_by_route;     ///< by name's hash
-  std::uint32_t on_others = 0;  ///< requests under way at other versions
+      new_version_by_route;  ///< by name's hash
+  std::uint32_t other_versions_in_flight =
+      0;  ///< requests under way at other versions
   std::uint32_t promoted_host_count =
       0;  ///< hosts that send to the new version alone
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(order, others, fresh, new_version_by_route, on_others,
-            promoted_host_count);
+    archive(order_id, other_versions, new_version, new_version_by_route,
+            other_versions_in_flight, promoted_host_count);
   }
 };
 
--- a/include/pathcleat/rollouts/tally_board.hpp
+++ b/include/pathcleat/rollouts/tally_board.hpp
@@ -15,9 +15,9 @@
 /// of hosts that have died; what is under way counts only as long as it is
 /// told. Not thread-safe.
 /// @ingroup rollouts
-class TallyBoard {
+class TallyTable {
  public:
-  explicit TallyBoard(std::uint64_t order) : order_(order) {}
+  explicit TallyTable(std::uint64_t order) : order_(order) {}
 
   /// @brief A host of the own failure domain tells.
   /// @param incarnation another one at each of its starts: counts begin anew.
--- a/include/pathcleat/rollouts/version_rule.hpp
+++ b/include/pathcleat/rollouts/version_rule.hpp
@@ -10,14 +10,15 @@
 /// @brief Which versions of a service's upstreams a request may go to.
 /// @ingroup rollouts
 struct VersionRule {
-  std::string only;  ///< empty: any that is not avoided
-  std::set<std::string> avoided;
+  std::string required_version;  ///< empty: any that is not avoided
+  std::set<std::string> excluded_versions;
   /// For `only`: the part of that version's upstreams that get requests, so
   /// that these are as busy as the others of the service.
-  double part = 1;
+  double upstream_share = 1;
 
   bool Allows(const std::string& version) const {
-    return only.empty() ? !avoided.contains(version) : version == only;
+    return required_version.empty() ? !excluded_versions.contains(version)
+                                    : version == required_version;
   }
 };
 
--- a/include/pathcleat/routing/admission.hpp
+++ b/include/pathcleat/routing/admission.hpp
@@ -8,11 +8,11 @@
 /// @brief What is known of a request and of the upstream chosen for it.
 /// @ingroup routing
 struct AdmissionInput {
-  Duration wait{0};       ///< until a slot is free
-  Duration service{0};    ///< from then to the answer: its run and the way
-  Duration usual_run{0};  ///< of the route's requests whose key is known
-  int slots = 1;          ///< of the upstream
-  Duration target{0};     ///< latency of the route
+  Duration queue_wait{0};      ///< until a slot is free
+  Duration service_time{0};    ///< from then to the answer: its run and the way
+  Duration usual_run_time{0};  ///< of the route's requests whose key is known
+  int slots = 1;               ///< of the upstream
+  Duration target_latency{0};  ///< latency of the route
   /// From now to the end of its target latency, counted from the caller's
   /// first try; below zero if that is past.
   Duration target_time_left{0};
@@ -27,7 +27,7 @@
 /// @ingroup routing
 enum class AdmissionDecision {
   kAdmitInTime,  ///< send: it would be in time
-  kLate,         ///< send: it may be late, but not for its waiting
+  kAdmitLate,    ///< send: it may be late, but not for its waiting
   kRefuse,       ///< it would be late for its waiting
 };
 
--- a/include/pathcleat/routing/admission_control.hpp
+++ b/include/pathcleat/routing/admission_control.hpp
@@ -44,8 +44,9 @@
 
  private:
   PolicySwitches policy_;
-  std::map<std::string, UrgencyLedger> urgency_;  ///< by service
-  std::map<std::string, Comeback> unknown_;  ///< by service: no time is known
+  std::map<std::string, UrgencyTracker> urgency_;  ///< by service
+  std::map<std::string, RetryScheduler>
+      unknown_;  ///< by service: no time is known
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/routing/bound_room.hpp
+++ b/include/pathcleat/routing/bound_room.hpp
@@ -16,7 +16,7 @@
 /// in steps, as all hosts are to place keys alike though each hears of the
 /// demand a little differently. Not thread-safe.
 /// @ingroup routing
-class BoundRoom {
+class PinnedCapacity {
  public:
   /// @brief A request was placed: from these the services' parts of all
   /// requests and their run times are learned.
--- a/include/pathcleat/routing/comeback.hpp
+++ b/include/pathcleat/routing/comeback.hpp
@@ -18,8 +18,9 @@
 /// Times count from now.
 /// @ingroup routing
 struct RetryWindow {
-  Duration room{0};     ///< until there is room for it
-  Duration in_time{0};  ///< latest return that is answered within the target
+  Duration earliest{0};  ///< until there is room for it
+  Duration latest_in_time{
+      0};               ///< latest return that is answered within the target
   Duration latest{0};   ///< latest return that is of use to its caller
   Duration spacing{0};  ///< between two returns that there is room for
 };
@@ -29,7 +30,7 @@
 /// place; what is late in any case the last one that it can use, so that the
 /// first ones stay for those whom they serve in time. Not thread-safe.
 /// @ingroup routing
-class Comeback {
+class RetryScheduler {
  public:
   /// @brief Promises a place.
   /// @return how long to stay away; never longer than window.latest.
--- a/include/pathcleat/routing/key_placement.hpp
+++ b/include/pathcleat/routing/key_placement.hpp
@@ -15,8 +15,8 @@
 struct Candidate {
   UpstreamPtr upstream;
   double distance = 0;  ///< from the key; the nearest is the first choice
-  WarmthEvidence sign;  ///< why it may be quick at the key
-  double warmth = 0;    ///< probability that it is
+  WarmthEvidence warmth_evidence;  ///< why it may be quick at the key
+  double warm_probability = 0;     ///< probability that it is
 };
 
 /// @brief Distance of an upstream from a key in weighted rendezvous hashing:
--- a/include/pathcleat/routing/limit_exchange.hpp
+++ b/include/pathcleat/routing/limit_exchange.hpp
@@ -37,7 +37,7 @@
   void Tick(Time now);
 
   /// @brief The upstreams that limits hold for, by id.
-  const std::map<std::string, UpstreamPtr>& in_force() const {
+  const std::map<std::string, UpstreamPtr>& limited_upstreams() const {
     return in_force_;
   }
 
--- a/include/pathcleat/routing/limit_report.hpp
+++ b/include/pathcleat/routing/limit_report.hpp
@@ -19,13 +19,13 @@
 /// @brief What is known of one upstream's limit.
 /// @ingroup routing
 struct LimitEntry {
-  std::string upstream;             ///< id
+  std::string upstream_id;          ///< id
   float per_second = kNoRateLimit;  ///< requests that it takes from all hosts
   std::uint32_t age_ms = 0;         ///< since that was known to hold
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(upstream, per_second, age_ms);
+    archive(upstream_id, per_second, age_ms);
   }
 };
 
@@ -36,14 +36,14 @@
 /// @brief What hosts tell each other of the limits that upstreams name.
 /// @ingroup routing
 struct LimitReport {
-  std::string domain;    ///< of the host that makes it
-  std::string host;      ///< that makes it
-  bool pass_on = false;  ///< the receiver is to tell its own domain
+  std::string domain;              ///< of the host that makes it
+  std::string host;                ///< that makes it
+  bool forward_to_domain = false;  ///< the receiver is to tell its own domain
   std::vector<LimitEntry> entries;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(domain, host, pass_on, entries);
+    archive(domain, host, forward_to_domain, entries);
   }
 };
 
--- a/include/pathcleat/routing/list_delta.hpp
+++ b/include/pathcleat/routing/list_delta.hpp
@@ -21,8 +21,8 @@
 /// @ingroup routing
 template <class Entry>
 struct ListDeltaStep {
-  std::uint32_t first = 0;  ///< place in the old list
-  std::uint32_t count = 0;  ///< entries taken from there
+  std::uint32_t copy_from = 0;   ///< place in the old list
+  std::uint32_t copy_count = 0;  ///< entries taken from there
   std::vector<Entry> added;
 };
 
@@ -33,7 +33,7 @@
   ListHashes marks;
   marks.reserve(entries.size());
   for (const Entry& entry : entries) {
-    marks.push_back(MarkOf(entry));
+    marks.push_back(ContentHash(entry));
   }
   return marks;
 }
@@ -68,8 +68,9 @@
       continue;
     }
     ListDeltaStep<Entry>& step = steps.back();
-    if (step.added.empty() && step.first + step.count == place->second) {
-      ++step.count;
+    if (step.added.empty() &&
+        step.copy_from + step.copy_count == place->second) {
+      ++step.copy_count;
     } else {
       steps.push_back({place->second, 1, {}});
     }
@@ -88,13 +89,14 @@
     std::uint64_t digest) {
   std::vector<Entry> entries;
   for (const ListDeltaStep<Entry>& step : steps) {
-    const bool has_places = step.first <= old_entries.size() &&
-                            step.count <= old_entries.size() - step.first;
+    const bool has_places =
+        step.copy_from <= old_entries.size() &&
+        step.copy_count <= old_entries.size() - step.copy_from;
     if (!has_places) {
       return std::nullopt;
     }
-    const auto from = old_entries.begin() + step.first;
-    entries.insert(entries.end(), from, from + step.count);
+    const auto from = old_entries.begin() + step.copy_from;
+    entries.insert(entries.end(), from, from + step.copy_count);
     entries.insert(entries.end(), step.added.begin(), step.added.end());
   }
   if (DigestOf(ContentHashes(entries)) != digest) {
--- a/include/pathcleat/routing/pick.hpp
+++ b/include/pathcleat/routing/pick.hpp
@@ -38,8 +38,8 @@
   /// @brief Whether it may run, or its answer be, in a region: what the route
   /// allows and its account as well.
   bool MayRunIn(const std::string& region) const {
-    return IsAmong(route->home_regions, region) &&
-           (account == nullptr || IsAmong(account->home_regions, region));
+    return IsAmong(route->allowed_regions, region) &&
+           (account == nullptr || IsAmong(account->allowed_regions, region));
   }
 
   /// @brief Until its caller gives up; a route may hold it for less.
@@ -78,13 +78,13 @@
 struct Pick {
   UpstreamPtr upstream;  ///< null: see failure
   PickFailure failure = PickFailure::kNone;
-  Duration expected{0};  ///< until the answer
-  Duration wait{0};      ///< of it, before a slot is free
+  Duration expected_latency{0};  ///< until the answer
+  Duration expected_wait{0};     ///< of it, before a slot is free
   Duration expected_latency_if_cold{
       0};                   ///< until the answer, where its key is new
   Duration retry_after{0};  ///< of a failure: when there may be room
   bool warm = false;
-  WarmthEvidence sign;  ///< of the upstream for the key
+  WarmthEvidence warmth_evidence;  ///< of the upstream for the key
   bool leaves_region = false;
   int candidates = 0;
   int passed_over = 0;  ///< upstreams whose bounded rate had no room
--- a/include/pathcleat/routing/rate_share.hpp
+++ b/include/pathcleat/routing/rate_share.hpp
@@ -41,7 +41,7 @@
       : self_(self), region_(std::move(region)) {}
 
   /// @brief Another host that may send.
-  void Add(std::uint64_t hash, const std::string& region) {
+  void AddHost(std::uint64_t hash, const std::string& region) {
     others_[region].push_back(hash);
     ++count_;
   }
@@ -58,7 +58,7 @@
               const std::string& upstream_region) const;
 
   /// @brief Hosts that were ranked until now, to measure what it costs.
-  std::uint64_t ranked() const { return ranked_; }
+  std::uint64_t ranked_count() const { return ranked_; }
 
  private:
   double PartOfFleet() const;
--- a/include/pathcleat/routing/region_shares.hpp
+++ b/include/pathcleat/routing/region_shares.hpp
@@ -14,7 +14,8 @@
 struct RegionCapacity {
   double slots = 0;  ///< of its open upstreams
   int hosts = 0;     ///< entry hosts alive in it; callers spread over them
-  double bound = 0;  ///< part of the slots taken by what may run nowhere else
+  double pinned_share =
+      0;  ///< part of the slots taken by what may run nowhere else
 };
 
 /// @brief Which part of a service's keys the regions serve for the callers of
--- a/include/pathcleat/routing/request_profile.hpp
+++ b/include/pathcleat/routing/request_profile.hpp
@@ -13,9 +13,9 @@
   RequestProfile(Duration target_latency, bool learns_warmth)
       : warmth(target_latency, learns_warmth) {}
 
-  Warmth warmth;                ///< run times, and where they are short
-  double answer_bytes = 1'000;  ///< moving average
-  UsualDeadline deadline;       ///< that callers send with first tries
+  WarmthModel warmth;            ///< run times, and where they are short
+  double answer_bytes = 1'000;   ///< moving average
+  UsualDeadline usual_deadline;  ///< that callers send with first tries
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/routing/route.hpp
+++ b/include/pathcleat/routing/route.hpp
@@ -32,12 +32,12 @@
   int max_attempts = 1;  ///< most upstreams that one request may go to
   Duration timeout{5'000'000};
   Duration target_latency{1'000'000};
-  std::vector<std::string> home_regions;  ///< empty: any region
+  std::vector<std::string> allowed_regions;  ///< empty: any region
 };
 
 /// @brief Hash of all fields of a route. Equal routes have equal marks on
 /// every host.
 /// @ingroup routing
-std::uint64_t MarkOf(const Route& route);
+std::uint64_t ContentHash(const Route& route);
 
 }  // namespace pathcleat
--- a/include/pathcleat/routing/route_table.hpp
+++ b/include/pathcleat/routing/route_table.hpp
@@ -19,7 +19,7 @@
  public:
   /// @brief Takes a newer version over.
   /// @return false, and nothing changed, if it is not newer.
-  bool Adopt(RoutingConfig config);
+  bool ReplaceIfNewer(RoutingConfig config);
 
   bool IsLoaded() const { return config_ != nullptr; }
   std::uint64_t version() const { return config_ ? config_->version : 0; }
--- a/include/pathcleat/routing/shift_table.hpp
+++ b/include/pathcleat/routing/shift_table.hpp
@@ -15,10 +15,10 @@
 /// @ingroup routing
 struct ShiftStatus {
   ShiftPlan plan;
-  double fraction = 0;
+  double current_share = 0;
   std::uint64_t offered = 0;  ///< requests of the place, at this host
   std::uint64_t moved = 0;    ///< of these, sent elsewhere
-  RampDecision step = RampDecision::kHeldStaleData;
+  RampDecision last_decision = RampDecision::kHeldStaleData;
 };
 
 /// @brief The shifts in force, as they concern this host: those that lead
@@ -45,13 +45,13 @@
 
   /// @brief The gate that a service's requests pass before they leave this
   /// region; null if no shift is in force.
-  ShiftGate* Find(const std::string& service);
+  ShiftControl* Find(const std::string& service);
 
   std::vector<ShiftStatus> All() const;
 
  private:
   std::string own_region_;
-  std::map<std::string, ShiftGate> gates_;  ///< by service
+  std::map<std::string, ShiftControl> gates_;  ///< by service
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/routing/upstream.hpp
+++ b/include/pathcleat/routing/upstream.hpp
@@ -27,14 +27,15 @@
   UpstreamLoad load;
   UpstreamHealth health;
   RecentKeys keys;
-  Comeback comeback;              ///< of requests refused for its queue
-  Time cold_until;                ///< bears few requests until then
-  TokenBucket share;              ///< this host's share of its bounded rate
-  UpstreamLimit limit;            ///< that it names in its answers
-  bool limit_unreadable = false;  ///< its last answer named one that is none
-  bool watched = false;  ///< whether the table looks after its bounded rate
+  RetryScheduler retry_scheduler;  ///< of requests refused for its queue
+  Time cold_until;                 ///< bears few requests until then
+  TokenBucket rate_share;          ///< this host's share of its bounded rate
+  UpstreamLimit limit;             ///< that it names in its answers
+  bool limit_unreadable = false;   ///< its last answer named one that is none
+  bool may_be_rate_bounded =
+      false;  ///< whether the table looks after its bounded rate
   std::uint64_t passed_over = 0;  ///< requests that its share had no room for
-  std::uint64_t turned_away = 0;  ///< requests that it said it did not run
+  std::uint64_t not_run = 0;      ///< requests that it said it did not run
   Slowness slowness;
   std::optional<Time> lapse_deadline;  ///< its entry is gone; it may come back
   Time open_from;                      ///< no requests before
--- a/include/pathcleat/routing/upstream_health.hpp
+++ b/include/pathcleat/routing/upstream_health.hpp
@@ -25,7 +25,7 @@
   void OnEndReverted() { ++under_way_; }
 
   /// @brief It gave an answer of any kind.
-  void OnHeard(Time now) {
+  void OnResponse(Time now) {
     quiet_since_ = now;
     heard_ = now;
   }
--- a/include/pathcleat/routing/upstream_info.hpp
+++ b/include/pathcleat/routing/upstream_info.hpp
@@ -21,7 +21,8 @@
   std::uint64_t started_ms = 0;
   int slots = 1;
   bool leaving = false;
-  Duration cold_for{0};  ///< how much longer it bears little, when it was told
+  Duration cold_remaining{
+      0};  ///< how much longer it bears little, when it was told
 
   bool operator==(const UpstreamInfo&) const = default;
 };
--- a/include/pathcleat/routing/upstream_limit.hpp
+++ b/include/pathcleat/routing/upstream_limit.hpp
@@ -14,7 +14,7 @@
 /// @ingroup routing
 struct LimitObservation {
   std::optional<double> per_second;  ///< nothing: it names no limit
-  Time at;                           ///< when that was known to hold
+  Time observed_at;                  ///< when that was known to hold
   std::string host;                  ///< that got the answer
   std::string domain;                ///< failure domain of that host
 };
@@ -44,7 +44,7 @@
 
   /// @brief Takes what is newer than what is known.
   /// @return whether it was newer.
-  bool Take(const LimitObservation& sign);
+  bool Update(const LimitObservation& sign);
 
   /// @brief Whether a limit binds.
   bool IsInForce(Time now) const;
@@ -56,7 +56,7 @@
   double PerSecond(Time now) const;
 
   /// @brief The newest sign; null if nothing was ever told.
-  const LimitObservation* sign() const { return sign_.get(); }
+  const LimitObservation* observation() const { return sign_.get(); }
 
  private:
   double capacity_ = 0;
--- a/include/pathcleat/routing/upstream_load.hpp
+++ b/include/pathcleat/routing/upstream_load.hpp
@@ -40,14 +40,14 @@
   /// @brief A report came with an answer; call before OnEnded.
   void OnReport(const LoadReport& report, Time now);
 
-  int own() const { return own_; }
+  int own_in_flight() const { return own_; }
 
   /// @brief Expected requests running or waiting there now, from all hosts.
-  double Expected(Time now) const;
+  double ExpectedRequests(Time now) const;
 
   /// @brief The same by what this upstream itself told, without the average of
   /// others: few that are busy would else move all that told nothing of late.
-  double Told(Time now) const;
+  double ExpectedFromReports(Time now) const;
 
  private:
   double AgeMicros(Time now) const;
--- a/include/pathcleat/routing/upstream_picker.hpp
+++ b/include/pathcleat/routing/upstream_picker.hpp
@@ -55,15 +55,17 @@
 
   /// @brief How long a request that is refused after it was tried should stay
   /// away: until there is room at the next choice.
-  Duration ReturnAfter(const PickRequest& request, const Pick& next, Time now);
+  Duration RetryDelay(const PickRequest& request, const Pick& next, Time now);
 
   /// @brief What is known of a region's upstreams of a service.
-  ShiftTargetState StateOf(const std::string& service,
-                           const std::string& region,
-                           Time now) const;
+  ShiftTargetState TargetStateOf(const std::string& service,
+                                 const std::string& region,
+                                 Time now) const;
 
   /// @brief Entry hosts alive, by region.
-  void SetHosts(std::map<std::string, int> hosts) { hosts_ = std::move(hosts); }
+  void SetHostCounts(std::map<std::string, int> hosts) {
+    hosts_ = std::move(hosts);
+  }
 
   /// @brief Requests a second of client accounts that may run nowhere else, by
   /// region. Call a few times a second.
@@ -136,7 +138,7 @@
   AdmissionControl admission_;
   ShiftTable shifts_;
   LinkLimits links_;
-  BoundRoom bound_;
+  PinnedCapacity bound_;
   std::map<std::string, int> hosts_;                  ///< alive, by region
   std::map<std::string, SharesEntry> shares_;         ///< by service
   std::map<std::string, RequestProfile> profiles_;    ///< by route name
--- a/include/pathcleat/routing/upstream_table.hpp
+++ b/include/pathcleat/routing/upstream_table.hpp
@@ -55,7 +55,7 @@
   UpstreamPtr Find(const std::string& id) const;
 
   /// @brief All listed upstreams of a service.
-  const std::vector<UpstreamPtr>& Of(std::string_view service) const;
+  const std::vector<UpstreamPtr>& ForService(std::string_view service) const;
 
   /// @brief Upstreams whose rate may be bounded. Few are, so that looking after
   /// them several times a second does not grow with the list.
--- a/include/pathcleat/routing/urgency_ledger.hpp
+++ b/include/pathcleat/routing/urgency_ledger.hpp
@@ -22,10 +22,12 @@
 /// on of late, so that no kind is served less often than a less urgent one.
 /// Not thread-safe.
 /// @ingroup routing
-class UrgencyLedger {
+class UrgencyTracker {
  public:
   /// @brief A first try of a kind came.
-  void OnOffered(const std::string& kind, const Urgency& urgency, Time now);
+  void OnFirstAttempt(const std::string& kind,
+                      const Urgency& urgency,
+                      Time now);
 
   /// @brief A request of the kind was sent on.
   void OnSent(const std::string& kind, Time now);
--- a/include/pathcleat/routing/warmth.hpp
+++ b/include/pathcleat/routing/warmth.hpp
@@ -13,18 +13,18 @@
 /// there itself, or others are likely to have, as they rank it alike.
 /// @ingroup routing
 struct WarmthEvidence {
-  bool sent = false;     ///< by this host, lately
+  bool sent_recently = false;  ///< by this host, lately
   std::size_t rank = 0;  ///< of the upstream for the key; 0 is the nearest
 };
 
 /// @brief Learns from run times how often an upstream is quick at a key, by
 /// sign, and how long quick and slow runs take. Not thread-safe.
 /// @ingroup routing
-class Warmth {
+class WarmthModel {
  public:
   /// @param target_latency of the route: the first guess of both run times.
   /// @param learns whether chances are learned; else the first guesses stay.
-  explicit Warmth(Duration target_latency, bool learns = true);
+  explicit WarmthModel(Duration target_latency, bool learns = true);
 
   /// @brief Probability that it is quick.
   double Probability(const WarmthEvidence& sign) const;
--- a/include/pathcleat/settings/deployment.hpp
+++ b/include/pathcleat/settings/deployment.hpp
@@ -60,7 +60,7 @@
 
 /// @brief Bound on requests in flight from one region to another.
 /// @ingroup settings
-struct Link {
+struct RegionLink {
   RegionIndex from;
   RegionIndex to;
   int max_in_flight = 0;
@@ -92,7 +92,7 @@
   std::vector<EntryHost> hosts;
   std::vector<Service> services;
   std::vector<Upstream> upstreams;
-  std::vector<Link> links;
+  std::vector<RegionLink> links;
   std::vector<ClientBlock> client_blocks;
   PlatformEndpoint platform;
   Duration latency_in_domain{200};
--- a/include/pathcleat/settings/entry_settings.hpp
+++ b/include/pathcleat/settings/entry_settings.hpp
@@ -77,7 +77,7 @@
   /// for others only if none is wider.
   double link_mbps = 10;
   FleetBounds bounds;
-  TransferCosts costs;
+  TransferCosts transfer_costs;
   RequestLogSettings request_log;
   PolicySwitches policy;  ///< mechanisms switched off, for measurements
   std::map<std::string, int> link_limits;  ///< in flight, by other region
--- a/include/pathcleat/steer/block_table.hpp
+++ b/include/pathcleat/steer/block_table.hpp
@@ -13,7 +13,7 @@
 /// @ingroup steer
 struct ClientBlockRow {
   std::uint32_t first_address = 0;
-  std::uint16_t site = 0;
+  std::uint16_t region_number = 0;
 };
 
 /// @brief Looks client addresses up among millions of blocks. The rows lie
@@ -22,11 +22,11 @@
 /// overlay that is merged in when it has grown, one pair of arrays after the
 /// other, so that a merge needs little memory beside them. Not thread-safe.
 /// @ingroup steer
-class BlockTable {
+class ClientBlockTable {
  public:
   /// @param rows sorted by first_address, without repeats; an address before
   /// the first row belongs to site 0.
-  explicit BlockTable(const std::vector<ClientBlockRow>& rows);
+  explicit ClientBlockTable(const std::vector<ClientBlockRow>& rows);
 
   /// @brief Site of an address.
   std::uint16_t Find(std::uint32_t address) const;
@@ -38,7 +38,7 @@
   void Compact();
 
   std::size_t rows() const;
-  std::size_t pending() const { return overlay_.size(); }
+  std::size_t pending_changes() const { return overlay_.size(); }
 
   /// @brief Bytes held by the arrays and the overlay, as reckoned.
   std::size_t MemoryBytes() const;
--- a/include/pathcleat/steer/config_change.hpp
+++ b/include/pathcleat/steer/config_change.hpp
@@ -50,11 +50,11 @@
 /// @ingroup steer
 struct StopShift {
   std::string service;
-  std::string from;
+  std::string from_region;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(service, from);
+    archive(service, from_region);
   }
 };
 
--- a/include/pathcleat/steer/config_log.hpp
+++ b/include/pathcleat/steer/config_log.hpp
@@ -28,7 +28,7 @@
 
   /// @brief Takes over a whole state, if it is newer.
   /// @return whether it was.
-  bool Adopt(const ConfigState& state);
+  bool ReplaceIfNewer(const ConfigState& state);
 
   /// @brief The changes after a version, oldest first.
   /// @param most largest number to return.
--- a/include/pathcleat/steer/retry_budget.hpp
+++ b/include/pathcleat/steer/retry_budget.hpp
@@ -23,10 +23,10 @@
   bool TryAcquire();
 
   /// @brief Retries taken since the start.
-  std::uint64_t taken() const { return taken_; }
+  std::uint64_t used() const { return taken_; }
 
   /// @brief Retries that may be taken now.
-  double left() const { return saved_; }
+  double remaining() const { return saved_; }
 
  private:
   double share_;
--- a/include/pathcleat/steer/rollout_step.hpp
+++ b/include/pathcleat/steer/rollout_step.hpp
@@ -27,25 +27,26 @@
 /// @ingroup steer
 struct RolloutStep {
   std::string service;
-  std::uint64_t order = 0;  ///< which one; 0: whichever is in force
-  std::string version;      ///< that the order asks for
+  std::uint64_t order_id = 0;  ///< which one; 0: whichever is in force
+  std::string version;         ///< that the order asks for
   RolloutPhase phase = RolloutPhase::kRunning;
-  std::set<std::string> replaced;  ///< for kPromoted: versions to leave
+  std::set<std::string>
+      replaced_versions;  ///< for kPromoted: versions to leave
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(service, order, version, phase, replaced);
+    archive(service, order_id, version, phase, replaced_versions);
   }
 };
 
 /// @brief What has been decided on a service's newest rollout.
 /// @ingroup steer
 struct RolloutState {
-  std::uint64_t order = 0;
+  std::uint64_t order_id = 0;
   std::string version;
   RolloutPhase phase = RolloutPhase::kRunning;
-  HybridTime started;
-  std::set<std::string> replaced;
+  HybridTime start_time;
+  std::set<std::string> replaced_versions;
 
   bool IsFinal() const {
     return phase == RolloutPhase::kCompleted ||
@@ -54,7 +55,7 @@
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(order, version, phase, started, replaced);
+    archive(order_id, version, phase, start_time, replaced_versions);
   }
 };
 
--- a/include/pathcleat/steer/shift.hpp
+++ b/include/pathcleat/steer/shift.hpp
@@ -13,21 +13,21 @@
 struct ShiftPlan {
   std::uint64_t id = 0;  ///< configuration version that started it
   std::string service;
-  std::string from;  ///< region
-  std::string to;    ///< region
-  double cap = 0;    ///< largest share of offered requests, 0 to 1
-  Duration over{0};  ///< time from nothing moved to the cap, at best
+  std::string from_region;  ///< region
+  std::string to_region;    ///< region
+  double cap = 0;           ///< largest share of offered requests, 0 to 1
+  Duration ramp_time{0};    ///< time from nothing moved to the cap, at best
 
   template <class Archive>
   void save(Archive& archive) const {  // NOLINT: named by cereal
-    archive(id, service, from, to, cap,
-            static_cast<std::int64_t>(over.count()));
+    archive(id, service, from_region, to_region, cap,
+            static_cast<std::int64_t>(ramp_time.count()));
   }
   template <class Archive>
   void load(Archive& archive) {  // NOLINT: named by cereal
     std::int64_t micros = 0;
-    archive(id, service, from, to, cap, micros);
-    over = Duration(micros);
+    archive(id, service, from_region, to_region, cap, micros);
+    ramp_time = Duration(micros);
   }
 };
 
@@ -57,9 +57,9 @@
 /// holds at every prefix of this host's own count, so it holds for the sum
 /// over all hosts without any talk between them. Not thread-safe.
 /// @ingroup steer
-class ShiftGate {
+class ShiftControl {
  public:
-  ShiftGate(const ShiftPlan& plan, Time now);
+  ShiftControl(const ShiftPlan& plan, Time now);
 
   const ShiftPlan& plan() const { return plan_; }
 
@@ -78,7 +78,7 @@
   /// @brief Decides the pace; call about once a second.
   RampDecision Advance(const ShiftTargetState& target, Time now);
 
-  double fraction() const { return fraction_; }
+  double current_share() const { return fraction_; }
   std::uint64_t offered() const { return offered_; }
   std::uint64_t moved() const { return moved_; }
   RampDecision last_decision() const { return last_step_; }
--- a/include/pathcleat/steer/token_bucket.hpp
+++ b/include/pathcleat/steer/token_bucket.hpp
@@ -29,7 +29,7 @@
   /// rate.
   std::optional<Duration> TimeUntilAvailable(Time now) const;
 
-  double per_second() const { return per_second_; }
+  double rate_per_second() const { return per_second_; }
 
   /// @brief Changes the long-term rate; what is saved up stays.
   void SetRate(double per_second, Time now);
--- a/include/pathcleat/store/fleet_source.hpp
+++ b/include/pathcleat/store/fleet_source.hpp
@@ -33,12 +33,13 @@
   StoreOutcome outcome = StoreOutcome::kNotDone;
   std::vector<FleetChange> changes;
   std::uint64_t version = 0;  ///< watch from here on
-  std::uint64_t changed = 0;  ///< version of the newest change told, or 0
-  std::string next;           ///< for a read: the rest begins here, if any
-  bool whole = false;         ///< to a watch: the changes are all there is
-  bool relayed = false;       ///< another host answered, not the store
-  bool unsettled = false;     ///< what is gone may have lapsed by itself
-  Transfer transfer;          ///< how it came here
+  std::uint64_t newest_change_version =
+      0;                  ///< version of the newest change told, or 0
+  std::string next_page;  ///< for a read: the rest begins here, if any
+  bool is_full = false;   ///< to a watch: the changes are all there is
+  bool relayed = false;   ///< another host answered, not the store
+  bool removals_uncertain = false;  ///< what is gone may have lapsed by itself
+  Transfer transfer;                ///< how it came here
 };
 
 /// @brief Where a host learns the configuration, the drains and the list of
@@ -66,7 +67,7 @@
   virtual void StopWatch(SourceTopic /*topic*/) {}
 
   /// @brief When bytes of a watch's answer last came, if any have.
-  virtual std::optional<Time> WatchHeard(SourceTopic /*topic*/) const {
+  virtual std::optional<Time> WatchLastReceived(SourceTopic /*topic*/) const {
     return std::nullopt;
   }
 };
--- a/include/pathcleat/store/table_store.hpp
+++ b/include/pathcleat/store/table_store.hpp
@@ -23,7 +23,7 @@
 struct TableScanResult {
   StoreOutcome outcome = StoreOutcome::kNotDone;
   std::vector<TableRow> rows;
-  bool more = false;  ///< the rest follows the last row
+  bool has_more = false;  ///< the rest follows the last row
 };
 
 /// @brief Answer to a write.
--- a/include/pathcleat/telemetry/account_stats.hpp
+++ b/include/pathcleat/telemetry/account_stats.hpp
@@ -12,7 +12,7 @@
 /// @brief What this host has done with one account's requests.
 /// @ingroup telemetry
 struct AccountCounts {
-  std::uint64_t taken = 0;
+  std::uint64_t accepted = 0;
   std::uint64_t over_limit = 0;  ///< refused beyond the account's limit
 };
 
@@ -27,7 +27,7 @@
   void OnOverLimit(const std::string& account);
 
   /// @brief The counts of one account; zero if nothing came.
-  AccountCounts Of(const std::string& account) const;
+  AccountCounts CountsOf(const std::string& account) const;
 
   /// @brief The accounts with the most requests and with the most refusals, a
   /// few of each: as many as a page of metrics should name.
--- a/include/pathcleat/telemetry/metrics.hpp
+++ b/include/pathcleat/telemetry/metrics.hpp
@@ -79,7 +79,7 @@
     std::uint64_t unknown = 0;
   };
 
-  const std::map<std::string, RouteMetrics>& kinds() const { return kinds_; }
+  const std::map<std::string, RouteMetrics>& by_route() const { return kinds_; }
   const std::map<std::string, std::uint64_t>& refusals() const {
     return refusals_;
   }
@@ -93,7 +93,7 @@
   const std::map<AbortCause, std::uint64_t>& aborted() const {
     return broken_off_;
   }
-  const Histogram& waits() const { return waits_; }
+  const Histogram& expected_waits() const { return waits_; }
 
  private:
   std::map<std::string, std::uint64_t> refusals_;  ///< by reason
--- a/include/pathcleat/telemetry/request_log.hpp
+++ b/include/pathcleat/telemetry/request_log.hpp
@@ -22,10 +22,10 @@
   /// @brief A request is over.
   /// @param failed it was refused, retried, slow, left by its caller or may
   /// have run without an answer.
-  void Finish(const std::string& request_id,
-              bool failed,
-              const std::vector<Event>& events,
-              Time now);
+  void LogRequest(const std::string& request_id,
+                  bool failed,
+                  const std::vector<Event>& events,
+                  Time now);
 
   /// @brief Requests that failed and were not logged, for their number.
   std::uint64_t suppressed_failures() const { return left_out_; }
--- a/src/pathcleat/accounts/account.cpp
+++ b/src/pathcleat/accounts/account.cpp
@@ -27,19 +27,19 @@
   return StableHash(account.name);
 }
 
-std::uint64_t MarkOf(const Account& account) {
+std::uint64_t ContentHash(const Account& account) {
   FieldHash mark;
   mark.Add(account.name);
-  mark.Add(account.keys.size());
-  for (const KeyedDigest& key : account.keys) {
+  mark.Add(account.key_digests.size());
+  for (const KeyedDigest& key : account.key_digests) {
     mark.Add(TextOf(key));
   }
   mark.Add(account.priority.has_value());
   mark.Add(account.priority.value_or(0));
   mark.Add(account.limit.per_second);
   mark.Add(account.limit.burst);
-  mark.Add(account.home_regions.size());
-  for (const std::string& region : account.home_regions) {
+  mark.Add(account.allowed_regions.size());
+  for (const std::string& region : account.allowed_regions) {
     mark.Add(region);
   }
   return mark.hash();
@@ -61,7 +61,7 @@
       return "the limit of account '" + account.name +
              "' is below zero or beyond any sense";
     }
-    for (const KeyedDigest& key : account.keys) {
+    for (const KeyedDigest& key : account.key_digests) {
       if (!keys.insert(key).second) {
         return "a key of account '" + account.name + "' stands twice";
       }
--- a/src/pathcleat/accounts/account_meter.cpp
+++ b/src/pathcleat/accounts/account_meter.cpp
@@ -75,61 +75,61 @@
 
 }  // namespace
 
-AccountMeter::AccountMeter(const AccountLimit& limit,
-                           const QuotaBounds& bounds,
-                           std::uint64_t seed)
+AccountLimiter::AccountLimiter(const AccountLimit& limit,
+                               const QuotaBounds& bounds,
+                               std::uint64_t seed)
     : limit_(limit), bounds_(bounds), random_(seed) {}
 
 // What may be taken at once, by all hosts, on top of the rate.
-double AccountMeter::Depth() const {
+double AccountLimiter::Depth() const {
   const double window = limit_.per_second * Seconds(bounds_.window);
   return limit_.burst +
          kOverageUsed * bounds_.overage * (window + limit_.burst) +
          kSlackUsed * bounds_.slack;
 }
 
-void AccountMeter::SetLimit(const AccountLimit& limit) {
+void AccountLimiter::SetLimit(const AccountLimit& limit) {
   limit_ = limit;
   level_ = std::min(level_, Depth());
 }
 
-double AccountMeter::HostShare(const QuotaInput& fleet) const {
-  const double hosts = std::max(1, fleet.hosts);
-  const double weights = fleet.others.weight + told_;
+double AccountLimiter::HostShare(const QuotaInput& fleet) const {
+  const double hosts = std::max(1, fleet.host_count);
+  const double weights = fleet.other_usage.share_weight + told_;
   if (weights <= 0) {
     return 1 / hosts;
   }
   const double even = kEvenPart * weights / hosts;
-  const double heard = 1 - fleet.unheard / hosts;
+  const double heard = 1 - fleet.never_seen_count / hosts;
   return heard * (told_ + even) / (weights * (1 + kEvenPart));
 }
 
-double AccountMeter::Capacity(double share) const {
+double AccountLimiter::Capacity(double share) const {
   if (shared_) {
     return share * limit_.per_second * kSavedSeconds + 1;
   }
   return std::max(kLooseShares * share * Depth(), kLooseRequests);
 }
 
-double AccountMeter::DemandOfAll(const QuotaInput& fleet, Time now) const {
-  return fleet.others.demand + demand_.PerSecond(now);
+double AccountLimiter::DemandOfAll(const QuotaInput& fleet, Time now) const {
+  return fleet.other_usage.demand + demand_.PerSecond(now);
 }
 
 // What all hosts together may take a second now: near the limit the rate, and
 // what is left of the level beside, or less where it was passed.
 // What silent hosts take now is not known, so nothing is left beside then.
-double AccountMeter::RateOfAll(const QuotaInput& fleet) const {
+double AccountLimiter::RateOfAll(const QuotaInput& fleet) const {
   if (!shared_) {
     return limit_.per_second * kLooseRate;
   }
   const double left = level_ - unseen_ - limit_.per_second * kKeptBackSeconds;
-  const double beside = left < 0           ? left / kRepaidSeconds
-                        : fleet.has_silent ? 0
-                                           : left / kLevelSeconds;
+  const double beside = left < 0                ? left / kRepaidSeconds
+                        : fleet.has_silent_host ? 0
+                                                : left / kLevelSeconds;
   return std::max(limit_.per_second * kLeastRate, limit_.per_second + beside);
 }
 
-bool AccountMeter::IsRush(const QuotaInput& fleet, Time now) const {
+bool AccountLimiter::IsRush(const QuotaInput& fleet, Time now) const {
   const double rush = limit_.per_second * kRushFactor +
                       kRushNoise * std::sqrt(limit_.per_second);
   return DemandOfAll(fleet, now) > rush || level_ < kLowLevel * Depth();
@@ -137,33 +137,34 @@
 
 // Much more comes here than was told. Others may see the same, and will only be
 // heard of later.
-bool AccountMeter::IsLocalRush(Time now) const {
+bool AccountLimiter::IsLocalRush(Time now) const {
   return demand_.PerSecond(now) > told_ * kLocalRushFactor +
                                       kLocalRushNoise * std::sqrt(told_) +
                                       kLocalRushLeast / (1 + told_);
 }
 
 // Requests a second beyond the limit, if the others see what this host sees.
-double AccountMeter::BeyondLimit(const QuotaInput& fleet, Time now) const {
+double AccountLimiter::BeyondLimit(const QuotaInput& fleet, Time now) const {
   const double own = demand_.PerSecond(now);
   const double growth = told_ < 1 ? 1 : std::max(1.0, own / told_);
-  return std::max(0.0, fleet.others.demand * growth + own - limit_.per_second);
+  return std::max(0.0,
+                  fleet.other_usage.demand * growth + own - limit_.per_second);
 }
 
 // Spreads hosts evenly over the part of a request that each may take.
-double AccountMeter::NextFraction() {
+double AccountLimiter::NextFraction() {
   random_ = MixHashes(random_, random_ + 1);
   return ToUnitInterval(random_);
 }
 
-void AccountMeter::Share(const QuotaInput& fleet, Time now) {
+void AccountLimiter::Share(const QuotaInput& fleet, Time now) {
   unseen_ = std::min(Depth(), kToldAfterSeconds * BeyondLimit(fleet, now));
   shared_ = true;
   quiet_since_ = now;
   tokens_ = std::min(tokens_, NextFraction());
 }
 
-void AccountMeter::Advance(const QuotaInput& fleet, Time now) {
+void AccountLimiter::Advance(const QuotaInput& fleet, Time now) {
   const double share = HostShare(fleet);
   if (!started_) {
     started_ = true;
@@ -173,9 +174,9 @@
   }
   const double elapsed = std::max(0.0, Seconds(now - last_));
   last_ = std::max(last_, now);
-  level_ =
-      std::clamp(level_ + (limit_.per_second - fleet.others.admitted) * elapsed,
-                 -Depth(), Depth());
+  level_ = std::clamp(
+      level_ + (limit_.per_second - fleet.other_usage.admitted) * elapsed,
+      -Depth(), Depth());
   unseen_ *= std::exp(-elapsed / kToldAfterSeconds);
   tokens_ =
       std::min(Capacity(share), tokens_ + share * RateOfAll(fleet) * elapsed);
@@ -190,11 +191,11 @@
   }
 }
 
-bool AccountMeter::TryAcquire(const QuotaInput& fleet, Time now) {
+bool AccountLimiter::TryAcquire(const QuotaInput& fleet, Time now) {
   demand_.Add(1, now);
   Advance(fleet, now);
   if (!shared_ && tokens_ < 1) {
-    if (fleet.has_silent || IsLocalRush(now)) {
+    if (fleet.has_silent_host || IsLocalRush(now)) {
       Share(fleet, now);
     } else {
       tokens_ = 1;
@@ -209,27 +210,27 @@
   return true;
 }
 
-void AccountMeter::Release(Time now) {
+void AccountLimiter::Release(Time now) {
   tokens_ += 1;
   level_ += 1;
   admitted_.Add(-1, now);
 }
 
-Duration AccountMeter::TimeUntilAvailable(const QuotaInput& fleet,
-                                          Time now) const {
+Duration AccountLimiter::TimeUntilAvailable(const QuotaInput& fleet,
+                                            Time now) const {
   const double missing = 1 - tokens_;
   const double rate = HostShare(fleet) * RateOfAll(fleet);
   return missing <= 0 ? Duration::zero()
                       : FromSeconds(missing / rate) - (now - last_);
 }
 
-Duration AccountMeter::MeanInterval(const QuotaInput& fleet) const {
+Duration AccountLimiter::MeanInterval(const QuotaInput& fleet) const {
   return FromSeconds(1 / (HostShare(fleet) * limit_.per_second));
 }
 
 // What was told just before a host fell silent may not have reached it, and
 // rose there as well: the lowest of the time in which it was thought alive.
-AccountUsage AccountMeter::Tell(bool has_silent, Time now) {
+AccountUsage AccountLimiter::ReportUsage(bool has_silent, Time now) {
   const double demand = demand_.PerSecond(now);
   if (has_silent) {
     told_ = std::min(demand, *std::min_element(recent_.begin(), recent_.end()));
@@ -240,7 +241,7 @@
   return {demand, told_, admitted_.PerSecond(now)};
 }
 
-bool AccountMeter::IsIdle(Time now) const {
+bool AccountLimiter::IsIdle(Time now) const {
   constexpr double kNothing = 1e-3;
   return !shared_ && demand_.PerSecond(now) < kNothing;
 }
--- a/src/pathcleat/accounts/account_table.cpp
+++ b/src/pathcleat/accounts/account_table.cpp
@@ -5,19 +5,19 @@
 
 namespace pathcleat {
 
-void AccountTable::Adopt(Accounts accounts) {
+void AccountTable::SetAccounts(Accounts accounts) {
   accounts_ = std::move(accounts);
   by_key_.clear();
   by_key_.shrink_to_fit();
   for (std::uint32_t i = 0; i < accounts_->size(); ++i) {
-    for (const KeyedDigest& key : (*accounts_)[i].keys) {
+    for (const KeyedDigest& key : (*accounts_)[i].key_digests) {
       by_key_.emplace_back(key, i);
     }
   }
   std::sort(by_key_.begin(), by_key_.end());
 }
 
-std::shared_ptr<const Account> AccountTable::Find(
+std::shared_ptr<const Account> AccountTable::FindByKey(
     const KeyedDigest& key) const {
   const auto found = std::lower_bound(
       by_key_.begin(), by_key_.end(), key,
@@ -28,7 +28,7 @@
   return {accounts_, &(*accounts_)[found->second]};
 }
 
-const Account* AccountTable::FindNamed(std::string_view name) const {
+const Account* AccountTable::FindByName(std::string_view name) const {
   const auto& all = All();
   const auto found = std::find_if(
       all.begin(), all.end(),
--- a/src/pathcleat/accounts/account_test.cpp
+++ b/src/pathcleat/accounts/account_test.cpp
@@ -13,7 +13,7 @@
 Account Named(const std::string& name, std::uint8_t key) {
   Account account;
   account.name = name;
-  account.keys = {KeyedDigest{key}};
+  account.key_digests = {KeyedDigest{key}};
   return account;
 }
 
@@ -46,15 +46,15 @@
   const Account plain = Named("a", 1);
   std::vector<Account> accounts(8, plain);
   accounts[1].name = "b";
-  accounts[2].keys = {KeyedDigest{2}};
-  accounts[3].keys.clear();
+  accounts[2].key_digests = {KeyedDigest{2}};
+  accounts[3].key_digests.clear();
   accounts[4].priority = 0;
   accounts[5].limit.per_second = 1;
   accounts[6].limit.burst = 1;
-  accounts[7].home_regions = {"north"};
+  accounts[7].allowed_regions = {"north"};
   std::vector<std::uint64_t> marks;
   for (const Account& account : accounts) {
-    marks.push_back(MarkOf(account));
+    marks.push_back(ContentHash(account));
   }
   std::sort(marks.begin(), marks.end());
   cr_assert(std::adjacent_find(marks.begin(), marks.end()) == marks.end());
@@ -63,14 +63,14 @@
 // A request under way keeps the account that it came with.
 Test(account_table, accounts_found_outlive_their_version) {
   AccountTable table;
-  cr_assert_not(table.IsInForce());
-  table.Adopt(std::make_shared<std::vector<Account>>(
+  cr_assert_not(table.RequiresKeys());
+  table.SetAccounts(std::make_shared<std::vector<Account>>(
       std::vector<Account>{Named("a", 1)}));
-  const auto found = table.Find(KeyedDigest{1});
-  table.Adopt(std::make_shared<std::vector<Account>>());
+  const auto found = table.FindByKey(KeyedDigest{1});
+  table.SetAccounts(std::make_shared<std::vector<Account>>());
   cr_assert_eq(found->name, "a");
-  cr_assert_null(table.Find(KeyedDigest{1}).get());
-  cr_assert_not(table.IsInForce());
+  cr_assert_null(table.FindByKey(KeyedDigest{1}).get());
+  cr_assert_not(table.RequiresKeys());
 }
 
 }  // namespace
--- a/src/pathcleat/accounts/caller_identity.cpp
+++ b/src/pathcleat/accounts/caller_identity.cpp
@@ -50,7 +50,7 @@
 
 CallerIdentity IdentifyCaller(const HttpHeaders& headers,
                               const AccountTable& accounts,
-                              const KeyDigester& digester) {
+                              const KeyedHasher& digester) {
   const HttpHeader* field = nullptr;
   for (const HttpHeader& header : headers) {
     if (!boost::beast::iequals(header.name, kField)) {
@@ -68,7 +68,7 @@
   if (!key) {
     return {nullptr, ApiKeyFault::kMalformed};
   }
-  auto account = accounts.Find(digester.Digest(*key));
+  auto account = accounts.FindByKey(digester.Digest(*key));
   if (!account) {
     return {nullptr, ApiKeyFault::kUnknown};
   }
--- a/src/pathcleat/accounts/caller_identity_test.cpp
+++ b/src/pathcleat/accounts/caller_identity_test.cpp
@@ -14,11 +14,12 @@
     digester.SetSecret("a secret of the fleet");
     Account runners;
     runners.name = "runners";
-    runners.keys = {digester.Digest("key-one"), digester.Digest("key-two")};
+    runners.key_digests = {digester.Digest("key-one"),
+                           digester.Digest("key-two")};
     Account clubs;
     clubs.name = "clubs";
-    clubs.keys = {digester.Digest("key-three")};
-    accounts.Adopt(std::make_shared<std::vector<Account>>(
+    clubs.key_digests = {digester.Digest("key-three")};
+    accounts.SetAccounts(std::make_shared<std::vector<Account>>(
         std::vector<Account>{runners, clubs}));
   }
 
@@ -29,7 +30,7 @@
     return Identify({{"Authorization", value}});
   }
 
-  KeyDigester digester;
+  KeyedHasher digester;
   AccountTable accounts;
 };
 
@@ -71,9 +72,9 @@
 
 // Hosts tell each other digests: they must agree, and only by the secret.
 Test(key_digest, digests_go_by_the_secret_and_the_whole_key) {
-  KeyDigester one;
-  KeyDigester same;
-  KeyDigester other;
+  KeyedHasher one;
+  KeyedHasher same;
+  KeyedHasher other;
   one.SetSecret("s");
   same.SetSecret("s");
   other.SetSecret("t");
@@ -84,7 +85,7 @@
 }
 
 Test(key_digest, who_waits_is_called_once_the_secret_is_known) {
-  KeyDigester digester;
+  KeyedHasher digester;
   int called = 0;
   digester.WhenReady([&called] { ++called; });
   cr_assert_eq(called, 0);
--- a/src/pathcleat/accounts/fleet_usage.cpp
+++ b/src/pathcleat/accounts/fleet_usage.cpp
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-void FleetUsage::Take(const UsageReport& report, Time now) {
+void PeerUsage::OnReport(const UsageReport& report, Time now) {
   const bool own = report.domain == own_domain_;
   if (own && (report.host.empty() || report.host == own_host_)) {
     return;
@@ -31,30 +31,30 @@
   Count(report, 1);
 }
 
-void FleetUsage::Count(const UsageReport& report, double sign) {
+void PeerUsage::Count(const UsageReport& report, double sign) {
   for (const UsageEntry& entry : report.entries) {
-    AccountUsage& sum = sums_[entry.account];
+    AccountUsage& sum = sums_[entry.account_id];
     sum.demand += sign * entry.demand;
-    sum.weight += sign * entry.weight;
+    sum.share_weight += sign * entry.share_weight;
     sum.admitted += sign * entry.admitted;
     if (sum.demand < kNothing) {
-      sums_.erase(entry.account);
+      sums_.erase(entry.account_id);
     }
   }
 }
 
-AccountUsage FleetUsage::Of(std::uint64_t account) const {
+AccountUsage PeerUsage::UsageOf(std::uint64_t account) const {
   const auto found = sums_.find(account);
   return found == sums_.end() ? AccountUsage() : found->second;
 }
 
-bool FleetUsage::HasSilent(Time now) const {
+bool PeerUsage::HasSilentSource(Time now) const {
   return std::any_of(sources_.begin(), sources_.end(), [now](const auto& s) {
     return now - s.second.heard > kSilence && !s.second.report.entries.empty();
   });
 }
 
-void FleetUsage::ExpireSilentSources(bool hears_most, Time now) {
+void PeerUsage::ExpireSilentSources(bool hears_most, Time now) {
   if (!hears_most) {
     return;
   }
@@ -68,7 +68,7 @@
   }
 }
 
-void FleetUsage::Forget(const std::string& host) {
+void PeerUsage::RemoveHost(const std::string& host) {
   const auto source = sources_.find({own_domain_, host});
   if (source != sources_.end()) {
     Count(source->second.report, -1);
@@ -76,7 +76,7 @@
   }
 }
 
-std::unordered_map<std::uint64_t, AccountUsage> FleetUsage::OwnDomainUsage()
+std::unordered_map<std::uint64_t, AccountUsage> PeerUsage::OwnDomainUsage()
     const {
   std::unordered_map<std::uint64_t, AccountUsage> sums;
   for (const auto& [name, source] : sources_) {
@@ -84,16 +84,16 @@
       continue;
     }
     for (const UsageEntry& entry : source.report.entries) {
-      AccountUsage& sum = sums[entry.account];
+      AccountUsage& sum = sums[entry.account_id];
       sum.demand += entry.demand;
-      sum.weight += entry.weight;
+      sum.share_weight += entry.share_weight;
       sum.admitted += entry.admitted;
     }
   }
   return sums;
 }
 
-std::vector<UsageReport> FleetUsage::OtherDomainReports() const {
+std::vector<UsageReport> PeerUsage::OtherDomainReports() const {
   std::vector<UsageReport> reports;
   for (const auto& [name, source] : sources_) {
     if (name.first != own_domain_) {
--- a/src/pathcleat/accounts/key_digest.cpp
+++ b/src/pathcleat/accounts/key_digest.cpp
@@ -31,7 +31,7 @@
   return text;
 }
 
-void KeyDigester::SetSecret(std::string_view secret) {
+void KeyedHasher::SetSecret(std::string_view secret) {
   static_assert(crypto_shorthash_siphashx24_KEYBYTES == sizeof(Secret));
   if (secret_) {
     return;
@@ -47,7 +47,7 @@
   }
 }
 
-void KeyDigester::WhenReady(std::function<void()> callback) {
+void KeyedHasher::WhenReady(std::function<void()> callback) {
   if (secret_) {
     callback();
   } else {
@@ -57,7 +57,7 @@
 
 // SipHash is a keyed function whose results cannot be foretold without its
 // secret, and takes a tenth of the time of a general hash on so short a text.
-KeyedDigest KeyDigester::Digest(std::string_view key) const {
+KeyedDigest KeyedHasher::Digest(std::string_view key) const {
   static_assert(crypto_shorthash_siphashx24_BYTES == sizeof(KeyedDigest));
   KeyedDigest digest{};
   crypto_shorthash_siphashx24(digest.data(), Bytes(key), key.size(),
--- a/src/pathcleat/accounts/quota_control.cpp
+++ b/src/pathcleat/accounts/quota_control.cpp
@@ -20,7 +20,7 @@
   entries.reserve(uses.size());
   for (const auto& [account, use] : uses) {
     entries.push_back({account, static_cast<float>(use.demand),
-                       static_cast<float>(use.weight),
+                       static_cast<float>(use.share_weight),
                        static_cast<float>(use.admitted)});
   }
   if (entries.size() > kMaxUsageEntries) {
@@ -42,7 +42,7 @@
                            std::uint64_t seed)
     : domain_(domain), host_(host), seed_(seed), fleet_(domain, host) {}
 
-void QuotaControl::Adopt(const std::vector<Account>& accounts) {
+void QuotaControl::SetAccounts(const std::vector<Account>& accounts) {
   std::unordered_map<std::uint64_t, AccountLimit> limits;
   for (const Account& account : accounts) {
     if (account.limit.IsSet()) {
@@ -61,37 +61,38 @@
 
 void QuotaControl::SetHosts(const QuotaHosts& sharers, Time now) {
   sharers_ = sharers;
-  fleet_.ExpireSilentSources(sharers.hears_most, now);
+  fleet_.ExpireSilentSources(sharers.sees_majority, now);
   std::erase_if(meters_,
                 [now](const auto& meter) { return meter.second.IsIdle(now); });
 }
 
 bool QuotaControl::HasSilent(Time now) const {
-  return sharers_.unheard > 0 || fleet_.HasSilent(now);
+  return sharers_.never_seen_count > 0 || fleet_.HasSilentSource(now);
 }
 
 QuotaInput QuotaControl::StateOf(std::uint64_t account, Time now) const {
-  return {fleet_.Of(account), sharers_.known, sharers_.unheard, HasSilent(now)};
+  return {fleet_.UsageOf(account), sharers_.host_count,
+          sharers_.never_seen_count, HasSilent(now)};
 }
 
-QuotaDecision QuotaControl::DecisionOf(const AccountMeter& meter,
+QuotaDecision QuotaControl::DecisionOf(const AccountLimiter& meter,
                                        const QuotaInput& state,
                                        Time now) const {
   QuotaDecision decision;
   decision.limit_per_second = meter.limit().per_second;
-  decision.fleet_demand = state.others.demand + meter.Demand(now);
+  decision.fleet_demand = state.other_usage.demand + meter.Demand(now);
   decision.share = meter.HostShare(state);
   decision.time_until_available = meter.TimeUntilAvailable(state, now);
-  decision.spacing = meter.MeanInterval(state);
+  decision.mean_interval = meter.MeanInterval(state);
   return decision;
 }
 
-QuotaDecision QuotaControl::Take(const Account& account, Time now) {
+QuotaDecision QuotaControl::Admit(const Account& account, Time now) {
   if (!account.limit.IsSet()) {
     return {};
   }
   const std::uint64_t id = AccountId(account);
-  AccountMeter& meter =
+  AccountLimiter& meter =
       meters_.try_emplace(id, account.limit, bounds_, MixHashes(seed_, id))
           .first->second;
   const QuotaInput state = StateOf(id, now);
@@ -118,14 +119,14 @@
     Time now) const {
   std::map<std::string, double> demand;
   for (const Account& account : accounts) {
-    if (account.home_regions.empty() || !account.limit.IsSet()) {
+    if (account.allowed_regions.empty() || !account.limit.IsSet()) {
       continue;
     }
     const QuotaDecision use = Explain(account, now);
     const double taken = std::min(use.fleet_demand, use.limit_per_second);
-    for (const std::string& region : account.home_regions) {
+    for (const std::string& region : account.allowed_regions) {
       demand[region] +=
-          taken / static_cast<double>(account.home_regions.size());
+          taken / static_cast<double>(account.allowed_regions.size());
     }
   }
   return demand;
@@ -139,7 +140,7 @@
   const QuotaInput state = StateOf(id, now);
   const auto known = meters_.find(id);
   return known == meters_.end()
-             ? DecisionOf(AccountMeter(account.limit, bounds_, seed_), state,
+             ? DecisionOf(AccountLimiter(account.limit, bounds_, seed_), state,
                           now)
              : DecisionOf(known->second, state, now);
 }
@@ -149,8 +150,9 @@
   has_news_ = false;
   told_.clear();
   for (auto& [account, meter] : meters_) {
-    const AccountUsage use = meter.Tell(has_silent, now);
-    if (use.demand * sharers_.known > kToldFrom * meter.limit().per_second) {
+    const AccountUsage use = meter.ReportUsage(has_silent, now);
+    if (use.demand * sharers_.host_count >
+        kToldFrom * meter.limit().per_second) {
       told_.emplace(account, use);
     }
   }
@@ -167,12 +169,12 @@
   for (const auto& [account, use] : told_) {
     AccountUsage& sum = sums[account];
     sum.demand += use.demand;
-    sum.weight += use.weight;
+    sum.share_weight += use.share_weight;
     sum.admitted += use.admitted;
   }
   UsageReport report;
   report.domain = domain_;
-  report.pass_on = true;
+  report.forward_to_domain = true;
   report.entries = Busiest(sums);
   return report;
 }
@@ -182,7 +184,7 @@
 }
 
 void QuotaControl::OnUsageReport(const UsageReport& report, Time now) {
-  fleet_.Take(report, now);
+  fleet_.OnReport(report, now);
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/app/pathcleat.cpp
+++ b/src/pathcleat/app/pathcleat.cpp
@@ -127,9 +127,9 @@
   options.address = loaded.settings.store_address;
   options.stats = &store_calls;
   platform::PlatformTable table(loop, options);
-  KeyDigester digester;
+  KeyedHasher digester;
   platform::FleetFeed feed(loop, options, digester);
-  platform::RolloutRows rollouts(loop, options);
+  platform::RolloutStatusTable rollouts(loop, options);
   Gateway gateway(loop, loaded.settings, platform::PlatformHeaderNames(), table,
                   feed, rollouts, digester);
   gateway.SetProcessStats({[&log] { return log.dropped(); }, &store_calls});
--- a/src/pathcleat/app/pathcleat_lab.cpp
+++ b/src/pathcleat/app/pathcleat_lab.cpp
@@ -109,7 +109,7 @@
 Result<int> RunPlatform(const Deployment& deployment) {
   boost::asio::io_context loop;
   platform::PlatformStandIn stand_in(loop, 1);
-  stand_in.PutConfig(ConfigOf(deployment));
+  stand_in.PutConfig(RoutingConfigOf(deployment));
   for (const UpstreamInfo& upstream : UpstreamInfosOf(deployment)) {
     stand_in.PutUpstream(upstream);
   }
@@ -171,8 +171,9 @@
   for (std::size_t i = 0; i < deployment.regions.size(); ++i) {
     plan.caller_address_prefixes.push_back("127." + std::to_string(101 + i));
   }
-  plan.per_second = static_cast<double>(arguments.at("--rate").asLong());
-  plan.length = std::chrono::seconds(arguments.at("--seconds").asLong());
+  plan.requests_per_second =
+      static_cast<double>(arguments.at("--rate").asLong());
+  plan.duration = std::chrono::seconds(arguments.at("--seconds").asLong());
   plan.seed = static_cast<std::uint64_t>(arguments.at("--seed").asLong());
   plan.host_header = HostHeaderOf(deployment);
   return plan;
@@ -212,7 +213,8 @@
   BOOST_LEAF_AUTO(audit, AuditLoad(load, ledger));
   std::cout << ReportLoad(load, audit);
   const bool kept = audit.duplicate_runs == 0 && audit.false_not_run == 0 &&
-                    audit.over_slots == 0 && audit.cut == 0;
+                    audit.upstreams_over_slots == 0 &&
+                    audit.corrupt_answers == 0;
   return kept ? kDone : kFailed;
 }
 
--- a/src/pathcleat/calls/break_cause.cpp
+++ b/src/pathcleat/calls/break_cause.cpp
@@ -5,7 +5,7 @@
 
 const char* ToString(AbortCause cause) {
   switch (cause) {
-    case AbortCause::kPatience:
+    case AbortCause::kFailoverTimeout:
       return "patience";
     case AbortCause::kCallerLeft:
       return "caller-left";
--- a/src/pathcleat/calls/key_ledger.cpp
+++ b/src/pathcleat/calls/key_ledger.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-struct KeyLedger::Claiming {
+struct IdempotencyKeyStore::Claiming {
   KeyClaim claim;
   KeyClaimRequest request;
   HttpResponse kept;
@@ -31,17 +31,17 @@
     IdempotencyKeyRow row;
     row.token = claim.token();
     row.fingerprint = request.fingerprint;
-    row.ends_wall_micros = request.ends_wall_micros;
+    row.deadline_wall_micros = request.deadline_wall_micros;
     return row;
   }
 };
 
-KeyLedger::KeyLedger(boost::asio::io_context& loop,
-                     TableStore& store,
-                     EventLog& events)
+IdempotencyKeyStore::IdempotencyKeyStore(boost::asio::io_context& loop,
+                                         TableStore& store,
+                                         EventLog& events)
     : loop_(loop), store_(store), events_(events) {}
 
-void KeyLedger::After(std::function<void()> step) {
+void IdempotencyKeyStore::After(std::function<void()> step) {
   auto timer =
       std::make_shared<boost::asio::steady_timer>(loop_, kSettleAgainAfter);
   timer->async_wait(
@@ -52,8 +52,8 @@
       });
 }
 
-void KeyLedger::Claim(const KeyClaimRequest& request,
-                      std::function<void(ClaimResult)> callback) {
+void IdempotencyKeyStore::Claim(const KeyClaimRequest& request,
+                                std::function<void(ClaimResult)> callback) {
   auto claiming = std::make_shared<Claiming>(
       Claiming{KeyClaim(RandomToken(), request.fingerprint),
                request,
@@ -62,7 +62,7 @@
   Step(claiming, claiming->claim.Start());
 }
 
-void KeyLedger::Step(const ClaimingPtr& claiming, KeyAction action) {
+void IdempotencyKeyStore::Step(const ClaimingPtr& claiming, KeyAction action) {
   if (action == KeyAction::kPut) {
     Put(claiming);
     return;
@@ -73,13 +73,13 @@
   }
   ClaimResult result;
   result.action = action;
-  result.kept = claiming->kept;
+  result.stored_response = claiming->kept;
   result.claimed = {claiming->request.row_name, claiming->Row(),
                     claiming->claim.version()};
   claiming->callback(std::move(result));
 }
 
-void KeyLedger::Put(const ClaimingPtr& claiming) {
+void IdempotencyKeyStore::Put(const ClaimingPtr& claiming) {
   store_.Write(claiming->request.row_name, 0, ToJson(claiming->Row()),
                [this, claiming](const TableWriteResult& write) {
                  Step(claiming,
@@ -87,7 +87,7 @@
                });
 }
 
-void KeyLedger::Read(const ClaimingPtr& claiming) {
+void IdempotencyKeyStore::Read(const ClaimingPtr& claiming) {
   ReadRow(store_, claiming->request.row_name,
           [this, claiming](const RowReadResult& read) {
             if (read.outcome != StoreOutcome::kDone) {
@@ -101,32 +101,33 @@
               observed.token = row->token;
               observed.fingerprint = row->fingerprint;
               observed.is_overdue =
-                  WallMicros() > row->ends_wall_micros + kClockSkewMicros;
+                  WallMicros() > row->deadline_wall_micros + kClockSkewMicros;
               claiming->kept = row->answer;
             }
             Step(claiming, claiming->claim.OnRead(observed));
           });
 }
 
-void KeyLedger::Finish(ClaimedKey key, const HttpResponse& answer) {
+void IdempotencyKeyStore::MarkFinished(ClaimedKey key,
+                                       const HttpResponse& answer) {
   key.row.state = KeyState::kFinished;
   key.row.answer = answer;
   ++pending_;
   Settle(key, kSettleTries);
 }
 
-void KeyLedger::MarkUnknown(ClaimedKey key) {
+void IdempotencyKeyStore::MarkUnknown(ClaimedKey key) {
   key.row.state = KeyState::kUnknown;
   ++pending_;
   Settle(key, kSettleTries);
 }
 
-void KeyLedger::Release(const ClaimedKey& key) {
+void IdempotencyKeyStore::Release(const ClaimedKey& key) {
   ++pending_;
   Delete(key, kSettleTries);
 }
 
-void KeyLedger::Settle(const ClaimedKey& key, int tries_left) {
+void IdempotencyKeyStore::Settle(const ClaimedKey& key, int tries_left) {
   store_.Write(
       key.row_name, key.version, ToJson(key.row),
       [this, key, tries_left](const TableWriteResult& write) {
@@ -150,7 +151,7 @@
       });
 }
 
-void KeyLedger::Delete(const ClaimedKey& key, int tries_left) {
+void IdempotencyKeyStore::Delete(const ClaimedKey& key, int tries_left) {
   store_.Delete(
       key.row_name, key.version,
       [this, key, tries_left](const TableWriteResult& write) {
--- a/src/pathcleat/calls/key_row.cpp
+++ b/src/pathcleat/calls/key_row.cpp
@@ -44,7 +44,7 @@
   }
   const json value = {
       {"state", NameOf(row.state)},       {"token", row.token},
-      {"fingerprint", row.fingerprint},   {"ends", row.ends_wall_micros},
+      {"fingerprint", row.fingerprint},   {"ends", row.deadline_wall_micros},
       {"status", row.answer.status},      {"headers", headers},
       {"body", ToBase64(row.answer.body)}};
   return value.dump(-1, ' ', false, json::error_handler_t::replace);
@@ -61,7 +61,7 @@
     row.state = StateOf(value.at("state").get<std::string>());
     row.token = value.at("token").get<std::string>();
     row.fingerprint = value.at("fingerprint").get<std::uint64_t>();
-    row.ends_wall_micros = value.at("ends").get<std::uint64_t>();
+    row.deadline_wall_micros = value.at("ends").get<std::uint64_t>();
     row.answer.status = value.at("status").get<int>();
     for (const json& header : value.at("headers")) {
       row.answer.headers.push_back(
--- a/src/pathcleat/calls/pick_request.cpp
+++ b/src/pathcleat/calls/pick_request.cpp
@@ -9,19 +9,20 @@
 
 // A caller's /24 block: callers of one household or club share caches.
 double CallerPosition(const std::string& caller) {
-  return UnitHash(std::string_view(caller).substr(0, caller.rfind('.')));
+  return UnitIntervalHash(
+      std::string_view(caller).substr(0, caller.rfind('.')));
 }
 
 }  // namespace
 
 PickRequest MakePickRequest(const HeaderNames& names,
-                            const Exchange& exchange,
+                            const HttpExchange& exchange,
                             const Route& route,
                             const std::string& request_id) {
   const auto key = FindHeader(exchange.request().headers, names.affinity_key);
   PickRequest request;
   request.route = &route;
-  request.shift_position = CallerPosition(exchange.caller());
+  request.shift_position = CallerPosition(exchange.caller_ip());
   request.sticky = route.sticky && key.has_value();
   request.key =
       StableHash(request.sticky ? *key : request_id, StableHash(route.name));
--- a/src/pathcleat/calls/rest_limit.cpp
+++ b/src/pathcleat/calls/rest_limit.cpp
@@ -17,12 +17,12 @@
 
 }  // namespace
 
-void RestLimit::OnStaleConnection(Duration rested, Time now) {
+void IdleReuseLimit::OnStaleConnection(Duration rested, Time now) {
   least_ = std::clamp(rested / kPartTrusted, kShortest, MaxIdle(now));
   learned_ = now;
 }
 
-Duration RestLimit::MaxIdle(Time now) const {
+Duration IdleReuseLimit::MaxIdle(Time now) const {
   const auto age = static_cast<double>((now - learned_).count());
   const double doublings = std::max(0.0, age) / kDoublesInMicros;
   constexpr double kEnough = 16;
--- a/src/pathcleat/calls/stop_plan.cpp
+++ b/src/pathcleat/calls/stop_plan.cpp
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-void StopPlan::Begin(Time now, Duration grace) {
+void ShutdownSchedule::Begin(Time now, Duration grace) {
   if (begun_) {
     return;
   }
@@ -48,15 +48,17 @@
   ends_ = before_end(kEndMargin);
 }
 
-bool StopPlan::ShortensDeadline(Time deadline) const {
+bool ShutdownSchedule::ShortensDeadline(Time deadline) const {
   return begun_ && work_ends_ < deadline;
 }
 
-Time StopPlan::WorkDeadline(Time deadline) const {
+Time ShutdownSchedule::WorkDeadline(Time deadline) const {
   return ShortensDeadline(deadline) ? work_ends_ : deadline;
 }
 
-bool StopPlan::MayStart(const WorkTimes& times, Time deadline, Time now) const {
+bool ShutdownSchedule::MayStart(const WorkTimes& times,
+                                Time deadline,
+                                Time now) const {
   return !ShortensDeadline(deadline) || now + Needed(times) <= work_ends_;
 }
 
--- a/src/pathcleat/calls/unknown_fields.cpp
+++ b/src/pathcleat/calls/unknown_fields.cpp
@@ -39,15 +39,15 @@
 
 }  // namespace
 
-UnknownFields::UnknownFields(const HeaderNames& names) : seen_(HttpFields()) {
+UnknownHeaders::UnknownHeaders(const HeaderNames& names) : seen_(HttpFields()) {
   for (const std::string& name :
-       {names.request_id, names.upstream_id, names.load, names.limit,
+       {names.request_id, names.upstream_id, names.load, names.rate_limit,
         names.not_run, names.cold_ms, names.signature}) {
     seen_.insert(to_lower_copy(name));
   }
 }
 
-HttpHeaders UnknownFields::FindNew(const HttpHeaders& headers) {
+HttpHeaders UnknownHeaders::FindNew(const HttpHeaders& headers) {
   HttpHeaders found;
   for (const HttpHeader& header : headers) {
     if (seen_.size() < kMostNames &&
--- a/src/pathcleat/calls/unknown_fields_test.cpp
+++ b/src/pathcleat/calls/unknown_fields_test.cpp
@@ -8,7 +8,7 @@
 
 Test(unknown_fields, are_told_once_and_known_ones_never) {
   HeaderNames names;
-  UnknownFields fields(names);
+  UnknownHeaders fields(names);
   const HttpHeaders answer = {{"Content-Length", "3"},
                               {names.load, "1,2,3"},
                               {"X-Novel", "7"},
@@ -22,7 +22,7 @@
 
 // A peer that makes up names must not fill the memory.
 Test(unknown_fields, are_bounded) {
-  UnknownFields fields{HeaderNames()};
+  UnknownHeaders fields{HeaderNames()};
   std::size_t told = 0;
   for (int i = 0; i < 1'000; ++i) {
     told += fields.FindNew({{"X-" + std::to_string(i), ""}}).size();
--- a/src/pathcleat/calls/upstream_pool.cpp
+++ b/src/pathcleat/calls/upstream_pool.cpp
@@ -27,8 +27,8 @@
 
 }  // namespace
 
-bool UpstreamPool::IsFresh(const HttpClient& client, Time now) {
-  const Duration stated = client.keep_alive();
+bool ConnectionPool::IsFresh(const HttpClient& client, Time now) {
+  const Duration stated = client.keep_alive_timeout();
   const Duration longest =
       stated > Duration::zero()
           ? std::max(stated - kKeepAliveMargin, kKeepAliveMargin / 2)
@@ -36,30 +36,30 @@
   return client.IsReusable() && now - client.idle_since() < longest;
 }
 
-HttpClientPtr UpstreamPool::Take(const UpstreamInfo& upstream,
-                                 bool repeatable,
-                                 Time now) {
+HttpClientPtr ConnectionPool::Acquire(const UpstreamInfo& upstream,
+                                      bool repeatable,
+                                      Time now) {
   HttpClientPtr kept = TakeKept(upstream, now);
   if (!kept) {
-    return Open(upstream);
+    return Create(upstream);
   }
   const Duration rested = now - kept->idle_since();
   if (!repeatable && rested > rests_[upstream.service].MaxIdle(now)) {
     // The last one used is the first one taken: others rested for longer.
     Release(upstream.id, kept);
-    return Open(upstream);
+    return Create(upstream);
   }
   return kept;
 }
 
-void UpstreamPool::OnStaleConnection(const UpstreamInfo& upstream,
-                                     Duration rested,
-                                     Time now) {
+void ConnectionPool::OnStaleConnection(const UpstreamInfo& upstream,
+                                       Duration rested,
+                                       Time now) {
   rests_[upstream.service].OnStaleConnection(rested, now);
 }
 
 // Null: none is kept that may be used.
-HttpClientPtr UpstreamPool::TakeKept(const UpstreamInfo& upstream, Time now) {
+HttpClientPtr ConnectionPool::TakeKept(const UpstreamInfo& upstream, Time now) {
   auto& idle = idle_[upstream.id];
   while (!idle.empty()) {
     HttpClientPtr client = std::move(idle.back());
@@ -72,21 +72,21 @@
   return nullptr;
 }
 
-HttpClientPtr UpstreamPool::Open(const UpstreamInfo& upstream) {
+HttpClientPtr ConnectionPool::Create(const UpstreamInfo& upstream) {
   const auto endpoint = ParseTcpEndpoint(upstream.address);
   return std::make_shared<HttpClient>(
       loop_, endpoint.value_or(boost::asio::ip::tcp::endpoint()),
       AnswerLimits());
 }
 
-void UpstreamPool::Release(const std::string& upstream_id,
-                           const HttpClientPtr& client) {
+void ConnectionPool::Release(const std::string& upstream_id,
+                             const HttpClientPtr& client) {
   if (client->IsReusable()) {
     idle_[upstream_id].push_back(client);
   }
 }
 
-void UpstreamPool::Drop(const std::string& upstream_id) {
+void ConnectionPool::CloseConnections(const std::string& upstream_id) {
   const auto found = idle_.find(upstream_id);
   if (found == idle_.end()) {
     return;
@@ -97,14 +97,14 @@
   idle_.erase(found);
 }
 
-void UpstreamPool::Discard(const HttpClientPtr& client) {
-  silent_ += client->silent() ? 1 : 0;
+void ConnectionPool::Discard(const HttpClientPtr& client) {
+  silent_ += client->IsSilent() ? 1 : 0;
   client->Cancel();
 }
 
-bool UpstreamPool::OnSilentConnection(const std::string& upstream_id,
-                                      const HttpClient& client,
-                                      Time now) {
+bool ConnectionPool::OnSilentConnection(const std::string& upstream_id,
+                                        const HttpClient& client,
+                                        Time now) {
   ++silent_;
   const auto last = silences_.find(upstream_id);
   if (last != silences_.end() && client.opened_at() <= last->second) {
@@ -121,8 +121,8 @@
   return true;
 }
 
-bool UpstreamPool::IsOtherSilent(const std::string& upstream_id,
-                                 Time now) const {
+bool ConnectionPool::IsOtherSilent(const std::string& upstream_id,
+                                   Time now) const {
   return std::any_of(silences_.begin(), silences_.end(),
                      [&upstream_id, now](const auto& silence) {
                        return silence.first != upstream_id &&
@@ -132,7 +132,7 @@
 
 // What was silent has been so for this time at least: what has been heard
 // since is trusted.
-void UpstreamPool::CloseUnheard(Kept& kept, Time now) {
+void ConnectionPool::CloseUnheard(Kept& kept, Time now) {
   std::erase_if(kept, [now](const HttpClientPtr& client) {
     const bool unheard = now - client->last_byte_at() >= kMinSilence;
     if (unheard) {
@@ -142,7 +142,7 @@
   });
 }
 
-void UpstreamPool::CloseIdle(Time now) {
+void ConnectionPool::CloseIdle(Time now) {
   std::erase_if(silences_, [now](const auto& silence) {
     return now - silence.second >= kLongestSilence;
   });
--- a/src/pathcleat/calls/upstream_pool_test.cpp
+++ b/src/pathcleat/calls/upstream_pool_test.cpp
@@ -18,7 +18,7 @@
                       exchange->Respond(TextResponse(200, "done\n"));
                     }};
   std::string address;
-  UpstreamPool pool{loop};
+  ConnectionPool pool{loop};
 
   PoolWorld() {
     const std::string ip = UniqueLoopbackAddress();
@@ -40,7 +40,7 @@
   }
 
   HttpClientPtr Opened(const std::string& id) {
-    const HttpClientPtr client = pool.Open(Upstream(id));
+    const HttpClientPtr client = pool.Create(Upstream(id));
     bool done = false;
     client->Send({"GET", "/", {{"Host", "test"}}, ""}, {},
                  [&done](const CallResult&) { done = true; });
@@ -53,7 +53,7 @@
 
   bool Keeps(const std::string& id) {
     const HttpClientPtr client =
-        pool.Take(Upstream(id), true, BootClock::now());
+        pool.Acquire(Upstream(id), true, BootClock::now());
     const bool kept = client->IsReusable();
     pool.Release(id, client);
     return kept;
@@ -74,7 +74,7 @@
   world.Keep("u");
   world.Keep("u");
   world.AwaitUnheard(
-      world.pool.Take(world.Upstream("u"), true, BootClock::now()));
+      world.pool.Acquire(world.Upstream("u"), true, BootClock::now()));
   cr_assert(world.Keeps("u"));
   cr_assert(world.pool.OnSilentConnection("u", *silent, BootClock::now()));
   cr_assert_not(world.Keeps("u"));
@@ -82,7 +82,7 @@
   // The others that are found tell nothing new.
   cr_assert_not(world.pool.OnSilentConnection("u", *silent, BootClock::now()));
   cr_assert(world.Keeps("u"));
-  cr_assert_eq(world.pool.silent(), 2U);
+  cr_assert_eq(world.pool.silent_connections(), 2U);
 }
 
 // Checked to fail with IsOtherSilent returning false.
@@ -106,13 +106,13 @@
   PoolWorld world;
   world.Keep("u");
   const Time later = BootClock::now() + kRest;
-  cr_assert(world.pool.Take(world.Upstream("u"), false, later)->IsReusable(),
+  cr_assert(world.pool.Acquire(world.Upstream("u"), false, later)->IsReusable(),
             "nothing was forgotten yet");
   world.Keep("u");
   world.pool.OnStaleConnection(world.Upstream("u"), kRest, later);
   cr_assert_not(
-      world.pool.Take(world.Upstream("u"), false, later)->IsReusable());
-  cr_assert(world.pool.Take(world.Upstream("u"), true, later)->IsReusable());
+      world.pool.Acquire(world.Upstream("u"), false, later)->IsReusable());
+  cr_assert(world.pool.Acquire(world.Upstream("u"), true, later)->IsReusable());
 }
 
 }  // namespace
--- a/src/pathcleat/calls/upstream_protocol.cpp
+++ b/src/pathcleat/calls/upstream_protocol.cpp
@@ -139,7 +139,7 @@
                                const HttpResponse& response) {
   RateLimitHeader field;
   for (const HttpHeader& header : response.headers) {
-    if (names.limit.empty() || !iequals(header.name, names.limit)) {
+    if (names.rate_limit.empty() || !iequals(header.name, names.rate_limit)) {
       continue;
     }
     field.present = true;
--- a/src/pathcleat/calls/upstream_protocol_test.cpp
+++ b/src/pathcleat/calls/upstream_protocol_test.cpp
@@ -46,7 +46,7 @@
 RateLimitHeader LimitOf(const std::vector<std::string>& values) {
   HttpResponse response;
   for (const std::string& value : values) {
-    response.headers.push_back({HeaderNames().limit, value});
+    response.headers.push_back({HeaderNames().rate_limit, value});
   }
   return ParseRateLimit(HeaderNames(), response);
 }
--- a/src/pathcleat/core/event.cpp
+++ b/src/pathcleat/core/event.cpp
@@ -124,7 +124,7 @@
   line["name"] = info.name;
   line["severity"] = NameOf(info.severity);
   line["host"] = event.host;
-  line[info.subject] = event.subject;
+  line[info.subject_field] = event.subject;
   if (!event.text.empty()) {
     line["text"] = event.text;
   }
--- a/src/pathcleat/core/hash.cpp
+++ b/src/pathcleat/core/hash.cpp
@@ -15,7 +15,7 @@
   return static_cast<double>(hash >> (64 - kMantissaBits)) * kScale;
 }
 
-double UnitHash(std::string_view bytes, std::uint64_t seed) {
+double UnitIntervalHash(std::string_view bytes, std::uint64_t seed) {
   return ToUnitInterval(StableHash(bytes, seed));
 }
 
--- a/src/pathcleat/core/log_buffer.cpp
+++ b/src/pathcleat/core/log_buffer.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // Part of the capacity that lines of each class may fill.
-constexpr std::array<double, kLogClasses> kRoom = {0.5, 0.75, 1};
+constexpr std::array<double, kLogClassCount> kRoom = {0.5, 0.75, 1};
 
 }  // namespace
 
--- a/src/pathcleat/core/log_writer.cpp
+++ b/src/pathcleat/core/log_writer.cpp
@@ -100,7 +100,7 @@
     return;
   }
   LogCounts since{};
-  for (std::size_t i = 0; i < kLogClasses; ++i) {
+  for (std::size_t i = 0; i < kLogClassCount; ++i) {
     since.at(i) = buffer_.dropped().at(i) - told_.at(i);
   }
   told_ = buffer_.dropped();
--- a/src/pathcleat/core/log_writer_test.cpp
+++ b/src/pathcleat/core/log_writer_test.cpp
@@ -72,7 +72,7 @@
         buffer.Pop(piece.size());
         continue;
       }
-      const auto index = *rc::gen::inRange<std::size_t>(0, kLogClasses);
+      const auto index = *rc::gen::inRange<std::size_t>(0, kLogClassCount);
       const std::string line(*rc::gen::inRange(0, 60), char('a' + index));
       const std::size_t before = buffer.size();
       buffer.Push(static_cast<LogClass>(index), line);
--- a/src/pathcleat/crashes/crash_ledger.cpp
+++ b/src/pathcleat/crashes/crash_ledger.cpp
@@ -26,12 +26,12 @@
 // one that tells other domains.
 constexpr Duration kNewsTime = std::chrono::seconds(5);
 
-int TellsOf(const CrashSuspect& suspect) {
-  return suspect.crashes() == 1 ? kTellsOfSuspect : kTellsOfChange;
+int TellsOf(const SuspectRequest& suspect) {
+  return suspect.crash_count() == 1 ? kTellsOfSuspect : kTellsOfChange;
 }
 
 // When the turn of trials began that it is now.
-Time TurnAt(const CrashSuspect& suspect, Time now) {
+Time TurnAt(const SuspectRequest& suspect, Time now) {
   const Time first = suspect.BlockedUntil();
   return first + (now - first) / kTrialTurn * kTrialTurn;
 }
@@ -48,26 +48,26 @@
 }  // namespace
 
 EventFields ToEventFields(const CrashDecision& verdict) {
-  return {IntegerField(field::kCrashes, verdict.crashes),
+  return {IntegerField(field::kCrashes, verdict.crash_count),
           MillisecondsField(field::kAgeMs, verdict.age),
           IntegerField(field::kFailedTrials, verdict.failed_trials),
           MillisecondsField(field::kRetryAfterMs, verdict.retry_after),
           {field::kFrom, verdict.reported_by}};
 }
 
-CrashLedger::CrashLedger(std::string domain, std::string host)
+CrashTracker::CrashTracker(std::string domain, std::string host)
     : domain_(std::move(domain)),
       host_(std::move(host)),
       own_hash_(StableHash(host_)) {}
 
-std::size_t CrashLedger::BlockedCount() const {
+std::size_t CrashTracker::BlockedCount() const {
   return static_cast<std::size_t>(std::count_if(
       suspects_.begin(), suspects_.end(),
       [](const auto& named) { return named.second.known.IsBlocked(); }));
 }
 
 // Forgets the entry that matters least, if there is no room for another one.
-CrashLedger::Suspect& CrashLedger::Entry(RequestDigest request) {
+CrashTracker::Suspect& CrashTracker::Entry(RequestDigest request) {
   const auto found = suspects_.find(request);
   if (found != suspects_.end()) {
     return found->second;
@@ -75,35 +75,35 @@
   if (suspects_.size() >= kMostSuspects) {
     suspects_.erase(std::min_element(
         suspects_.begin(), suspects_.end(), [](const auto& a, const auto& b) {
-          return std::pair(a.second.known.crashes(), a.second.noted) <
-                 std::pair(b.second.known.crashes(), b.second.noted);
+          return std::pair(a.second.known.crash_count(), a.second.noted) <
+                 std::pair(b.second.known.crash_count(), b.second.noted);
         }));
   }
   return suspects_[request];
 }
 
-void CrashLedger::OnCrash(RequestDigest request,
-                          std::uint64_t upstream,
-                          Time now) {
+void CrashTracker::OnCrash(RequestDigest request,
+                           std::uint64_t upstream,
+                           Time now) {
   Suspect& suspect = Entry(request);
   const bool was_blocked = suspect.known.IsBlocked();
-  if (suspect.known.Add(upstream, now)) {
+  if (suspect.known.AddCrash(upstream, now)) {
     NoteOwn(request, was_blocked, now);
   }
 }
 
-void CrashLedger::OnAnswer(RequestDigest request, Time now) {
+void CrashTracker::OnAnswer(RequestDigest request, Time now) {
   const auto found = suspects_.find(request);
   if (found == suspects_.end()) {
     return;
   }
   const bool was_blocked = found->second.known.IsBlocked();
-  if (found->second.known.Clear(now)) {
+  if (found->second.known.ClearUntil(now)) {
     NoteOwn(request, was_blocked, now);
   }
 }
 
-void CrashLedger::NoteOwn(RequestDigest request, bool was_blocked, Time now) {
+void CrashTracker::NoteOwn(RequestDigest request, bool was_blocked, Time now) {
   Suspect& suspect = suspects_.at(request);
   suspect.noted = now;
   suspect.reported_by.clear();
@@ -115,18 +115,18 @@
   }
 }
 
-void CrashLedger::Notice(RequestDigest request, bool was_blocked, Time now) {
+void CrashTracker::Notice(RequestDigest request, bool was_blocked, Time now) {
   const bool blocked = suspects_.at(request).known.IsBlocked();
   if (blocked != was_blocked && on_notice_) {
-    on_notice_({request, Judge(request, now), blocked});
+    on_notice_({request, Decide(request, now), blocked});
   }
 }
 
 // Hosts that see other hosts live than the rest see may try it as well: each
 // of them once in a turn.
-bool CrashLedger::MayTry(RequestDigest request,
-                         const Suspect& suspect,
-                         Time now) const {
+bool CrashTracker::MayTry(RequestDigest request,
+                          const Suspect& suspect,
+                          Time now) const {
   if (now < suspect.known.BlockedUntil()) {
     return false;
   }
@@ -144,14 +144,14 @@
                      });
 }
 
-CrashDecision CrashLedger::Judge(RequestDigest request, Time now) const {
+CrashDecision CrashTracker::Decide(RequestDigest request, Time now) const {
   const auto found = suspects_.find(request);
-  if (found == suspects_.end() || found->second.known.crashes() == 0) {
+  if (found == suspects_.end() || found->second.known.crash_count() == 0) {
     return {};
   }
   const Suspect& suspect = found->second;
   CrashDecision verdict;
-  verdict.crashes = suspect.known.crashes();
+  verdict.crash_count = suspect.known.crash_count();
   verdict.failed_trials = suspect.known.failed_trials();
   verdict.age = now - suspect.known.LastCrashTime();
   verdict.reported_by = suspect.reported_by;
@@ -163,7 +163,7 @@
   return verdict;
 }
 
-bool CrashLedger::OnSent(RequestDigest request, Time now) {
+bool CrashTracker::OnSent(RequestDigest request, Time now) {
   const auto found = suspects_.find(request);
   if (found == suspects_.end() || !found->second.known.IsBlocked()) {
     return false;
@@ -172,7 +172,7 @@
   return true;
 }
 
-void CrashLedger::Tick(Time now) {
+void CrashTracker::Tick(Time now) {
   std::vector<RequestDigest> released;
   std::erase_if(suspects_, [&](const auto& named) {
     const bool outlived = named.second.known.IsExpired(now);
@@ -188,9 +188,9 @@
   }
 }
 
-bool CrashLedger::Telling::IsDue(const CrashSuspect& suspect,
-                                 bool repeats,
-                                 Time now) const {
+bool CrashTracker::Telling::IsDue(const SuspectRequest& suspect,
+                                  bool repeats,
+                                  Time now) const {
   const bool again = repeats && suspect.IsBlocked() &&
                      now - suspect.LastCrashTime() < kRepeatFor &&
                      now - told >= kRepeatGap;
@@ -198,10 +198,10 @@
 }
 
 // What finds no room is told the next time.
-CrashReport CrashLedger::Report(bool pass_on,
-                                Telling Suspect::*telling,
-                                bool repeats,
-                                Time now) {
+CrashReport CrashTracker::Report(bool pass_on,
+                                 Telling Suspect::*telling,
+                                 bool repeats,
+                                 Time now) {
   CrashReport report{domain_, host_, pass_on, {}};
   for (auto& [request, suspect] : suspects_) {
     Telling& tell = suspect.*telling;
@@ -222,18 +222,18 @@
   return report;
 }
 
-CrashReport CrashLedger::OwnCrashes(bool reports, Time now) {
+CrashReport CrashTracker::OwnCrashes(bool reports, Time now) {
   return Report(false, &Suspect::to_domain, reports, now);
 }
 
-CrashReport CrashLedger::DomainCrashes(Time now) {
+CrashReport CrashTracker::DomainCrashes(Time now) {
   return Report(true, &Suspect::to_others, true, now);
 }
 
-CrashReport CrashLedger::Known(Time now) const {
+CrashReport CrashTracker::CrashSnapshot(Time now) const {
   CrashReport report{domain_, host_, false, {}};
   for (const auto& [request, suspect] : suspects_) {
-    if (suspect.known.crashes() > 0) {
+    if (suspect.known.crash_count() > 0) {
       report.entries.push_back(suspect.known.ToEntry(request, now));
     }
   }
@@ -241,7 +241,7 @@
   return report;
 }
 
-bool CrashLedger::OnCrashReport(const CrashReport& report, Time now) {
+bool CrashTracker::OnCrashReport(const CrashReport& report, Time now) {
   bool any_news = false;
   for (const CrashEntry& entry : report.entries) {
     Suspect& suspect = Entry(entry.request);
--- a/src/pathcleat/crashes/crash_ledger_test.cpp
+++ b/src/pathcleat/crashes/crash_ledger_test.cpp
@@ -26,11 +26,11 @@
   return Time(std::chrono::hours(10)) + since;
 }
 
-bool IsBlocked(const CrashLedger& ledger, Time now) {
-  return ledger.Judge(kRequest, now).blocked;
+bool IsBlocked(const CrashTracker& ledger, Time now) {
+  return ledger.Decide(kRequest, now).blocked;
 }
 
-void Block(CrashLedger& ledger, Time now) {
+void Block(CrashTracker& ledger, Time now) {
   for (std::uint64_t upstream = 1; upstream <= kCrashBlockThreshold;
        ++upstream) {
     ledger.OnCrash(kRequest, upstream, now);
@@ -38,88 +38,88 @@
 }
 
 Test(crash_ledger, third_upstream_that_ends_blocks_the_request_alone) {
-  CrashLedger ledger("a", "a-1");
+  CrashTracker ledger("a", "a-1");
   ledger.OnCrash(kRequest, 1, At(seconds(0)));
   ledger.OnCrash(kRequest, 2, At(seconds(1)));
   cr_assert_not(IsBlocked(ledger, At(seconds(1))));
   ledger.OnCrash(kRequest, 3, At(seconds(2)));
   cr_assert(IsBlocked(ledger, At(seconds(2))));
-  cr_assert_not(ledger.Judge(kOther, At(seconds(2))).blocked);
-  cr_assert_eq(ledger.Judge(kRequest, At(seconds(2))).retry_after, minutes(1));
+  cr_assert_not(ledger.Decide(kOther, At(seconds(2))).blocked);
+  cr_assert_eq(ledger.Decide(kRequest, At(seconds(2))).retry_after, minutes(1));
 }
 
 // Guards against one crash that counts for each host that saw it.
 Test(crash_ledger, one_upstream_counts_once) {
-  CrashLedger ledger("a", "a-1");
+  CrashTracker ledger("a", "a-1");
   for (int i = 0; i < 5; ++i) {
     ledger.OnCrash(kRequest, 1, At(seconds(i)));
   }
-  cr_assert_eq(ledger.Judge(kRequest, At(seconds(5))).crashes, 1U);
+  cr_assert_eq(ledger.Decide(kRequest, At(seconds(5))).crash_count, 1U);
 }
 
 // Guards against a popular request that is refused as it lay on upstreams that
 // crashed for another reason.
 Test(crash_ledger, answer_clears_what_crashed_before) {
-  CrashLedger ledger("a", "a-1");
+  CrashTracker ledger("a", "a-1");
   for (std::uint64_t upstream = 0; upstream < 20; ++upstream) {
     const Time now = At(seconds(upstream));
     ledger.OnCrash(kRequest, upstream, now);
     ledger.OnAnswer(kRequest, now + milliseconds(500));
   }
-  cr_assert_eq(ledger.Judge(kRequest, At(seconds(30))).crashes, 0U);
+  cr_assert_eq(ledger.Decide(kRequest, At(seconds(30))).crash_count, 0U);
 }
 
 // What one host tells is told to the other, as it would be on its way.
-void Tell(CrashLedger& from, CrashLedger& to, Time now) {
+void Tell(CrashTracker& from, CrashTracker& to, Time now) {
   const auto report = DecodeCrashes(EncodeCrashes(from.OwnCrashes(false, now)));
   cr_assert(report.has_value());
   to.OnCrashReport(*report, now);
 }
 
 Test(crash_ledger, three_hosts_that_saw_one_crash_each_block_together) {
-  std::vector<std::unique_ptr<CrashLedger>> hosts;
+  std::vector<std::unique_ptr<CrashTracker>> hosts;
   for (std::uint64_t i = 0; i < 3; ++i) {
     hosts.push_back(
-        std::make_unique<CrashLedger>("a", "a-" + std::to_string(i)));
+        std::make_unique<CrashTracker>("a", "a-" + std::to_string(i)));
     hosts.back()->OnCrash(kRequest, i, At(seconds(0)));
   }
   Tell(*hosts[0], *hosts[2], At(milliseconds(10)));
   Tell(*hosts[1], *hosts[2], At(milliseconds(10)));
   cr_assert(IsBlocked(*hosts[2], At(milliseconds(20))));
-  cr_assert_eq(hosts[2]->Judge(kRequest, At(milliseconds(20))).reported_by,
+  cr_assert_eq(hosts[2]->Decide(kRequest, At(milliseconds(20))).reported_by,
                "a-1");
 }
 
 // Guards against a crash that is told late and counts again after the answer
 // that came after it.
 Test(crash_ledger, late_news_of_a_crash_does_not_outlive_the_answer) {
-  CrashLedger seen("a", "a-1");
-  CrashLedger answered("a", "a-2");
+  CrashTracker seen("a", "a-1");
+  CrashTracker answered("a", "a-2");
   seen.OnCrash(kRequest, 1, At(seconds(0)));
   answered.OnCrash(kRequest, 2, At(seconds(0)));
   answered.OnAnswer(kRequest, At(seconds(1)));
   Tell(seen, answered, At(seconds(2)));
-  cr_assert_eq(answered.Judge(kRequest, At(seconds(2))).crashes, 0U);
+  cr_assert_eq(answered.Decide(kRequest, At(seconds(2))).crash_count, 0U);
   Tell(answered, seen, At(seconds(2)));
-  cr_assert_eq(seen.Judge(kRequest, At(seconds(2))).crashes, 0U);
+  cr_assert_eq(seen.Decide(kRequest, At(seconds(2))).crash_count, 0U);
 }
 
 Test(crash_ledger, what_a_domain_saw_is_told_to_others_by_its_reporters) {
-  CrashLedger seen("a", "a-1");
-  CrashLedger reporter("a", "a-2");
-  CrashLedger far("b", "b-1");
+  CrashTracker seen("a", "a-1");
+  CrashTracker reporter("a", "a-2");
+  CrashTracker far("b", "b-1");
   seen.OnCrash(kRequest, 1, At(seconds(0)));
   Tell(seen, reporter, At(seconds(0)));
   const CrashReport report = reporter.DomainCrashes(At(seconds(0)));
-  cr_assert(report.pass_on);
+  cr_assert(report.forward_to_domain);
   cr_assert(far.OnCrashReport(report, At(seconds(0))));
-  cr_assert_eq(far.Judge(kRequest, At(seconds(0))).crashes, 1U);
+  cr_assert_eq(far.Decide(kRequest, At(seconds(0))).crash_count, 1U);
   cr_assert(far.DomainCrashes(At(seconds(0))).entries.empty());
 }
 
 // Guards against hosts that send the same news to and fro without end.
 Test(crash_ledger, news_is_told_a_few_times_only) {
-  CrashLedger ledger("a", "a-1");
+  CrashTracker ledger("a", "a-1");
   Block(ledger, At(seconds(0)));
   int told = 0;
   for (int round = 0; round < 100; ++round) {
@@ -127,20 +127,20 @@
     told += static_cast<int>(report.entries.size());
   }
   cr_assert_leq(told, 4);
-  CrashLedger heard("a", "a-2");
+  CrashTracker heard("a", "a-2");
   Block(heard, At(seconds(0)));
-  cr_assert_not(
-      heard.OnCrashReport(ledger.Known(At(seconds(1))), At(seconds(1))));
+  cr_assert_not(heard.OnCrashReport(ledger.CrashSnapshot(At(seconds(1))),
+                                    At(seconds(1))));
 }
 
 // Guards against a host that was cut off while others were told, and sends a
 // blocked request on once it is back.
 Test(crash_ledger, reporters_tell_again_what_is_blocked) {
-  CrashLedger reporter("a", "a-1");
+  CrashTracker reporter("a", "a-1");
   Block(reporter, At(seconds(0)));
-  CrashLedger member("a", "a-2");
+  CrashTracker member("a", "a-2");
   Block(member, At(seconds(0)));
-  const auto tells_in_ten_seconds = [](CrashLedger& ledger, bool reports,
+  const auto tells_in_ten_seconds = [](CrashTracker& ledger, bool reports,
                                        Time from) {
     std::size_t told = 0;
     for (int i = 0; i < 20; ++i) {
@@ -151,7 +151,7 @@
   };
   cr_assert_eq(tells_in_ten_seconds(member, false, At(seconds(30))), 0U);
   cr_assert_eq(tells_in_ten_seconds(reporter, true, At(seconds(30))), 5U);
-  CrashLedger back("a", "a-3");
+  CrashTracker back("a", "a-3");
   back.OnCrashReport(reporter.OwnCrashes(true, At(seconds(50))),
                      At(seconds(50)));
   cr_assert(IsBlocked(back, At(seconds(50))));
@@ -160,29 +160,30 @@
 }
 
 Test(crash_ledger, host_that_starts_learns_what_is_blocked) {
-  CrashLedger ledger("a", "a-1");
+  CrashTracker ledger("a", "a-1");
   Block(ledger, At(seconds(0)));
-  CrashLedger fresh("a", "a-2");
-  fresh.OnCrashReport(ledger.Known(At(seconds(30))), At(seconds(30)));
+  CrashTracker fresh("a", "a-2");
+  fresh.OnCrashReport(ledger.CrashSnapshot(At(seconds(30))), At(seconds(30)));
   cr_assert(IsBlocked(fresh, At(seconds(30))));
-  cr_assert_eq(fresh.Judge(kRequest, At(seconds(30))).retry_after, seconds(30));
+  cr_assert_eq(fresh.Decide(kRequest, At(seconds(30))).retry_after,
+               seconds(30));
 }
 
 // Guards against a blocked request that each host tries again at once.
 Test(crash_ledger, one_host_at_a_time_tries_a_blocked_request_again) {
   constexpr std::size_t kHosts = 9;
-  std::vector<std::unique_ptr<CrashLedger>> hosts;
+  std::vector<std::unique_ptr<CrashTracker>> hosts;
   std::vector<std::uint64_t> names;
   for (std::size_t i = 0; i < kHosts; ++i) {
     const std::string name = "a-" + std::to_string(i);
-    hosts.push_back(std::make_unique<CrashLedger>("a", name));
+    hosts.push_back(std::make_unique<CrashTracker>("a", name));
     names.push_back(StableHash(name));
     Block(*hosts.back(), At(seconds(0)));
   }
   for (std::size_t i = 0; i < kHosts; ++i) {
     std::vector<std::uint64_t> others = names;
     others.erase(others.begin() + static_cast<std::ptrdiff_t>(i));
-    hosts[i]->SetHosts(others);
+    hosts[i]->SetOtherHosts(others);
   }
   const auto let_through = [&hosts](Time now) {
     std::size_t count = 0;
@@ -201,7 +202,7 @@
 }
 
 Test(crash_ledger, trial_that_crashes_doubles_the_time_and_an_answer_ends_it) {
-  CrashLedger ledger("a", "a-1");
+  CrashTracker ledger("a", "a-1");
   Block(ledger, At(seconds(0)));
   cr_assert_not(IsBlocked(ledger, At(seconds(60))));
   ledger.OnSent(kRequest, At(seconds(60)));
@@ -209,7 +210,7 @@
   cr_assert(IsBlocked(ledger, At(seconds(180))));
   cr_assert_not(IsBlocked(ledger, At(seconds(181))));
   ledger.OnAnswer(kRequest, At(seconds(182)));
-  cr_assert_eq(ledger.Judge(kRequest, At(seconds(182))).crashes, 0U);
+  cr_assert_eq(ledger.Decide(kRequest, At(seconds(182))).crash_count, 0U);
 }
 
 // Guards against state that grows with the number of requests that lay on
@@ -217,7 +218,7 @@
 Test(crash_ledger,
      state_is_bounded_and_keeps_what_is_nearest_to_being_blocked) {
   constexpr RequestDigest kMany = 5'000;
-  CrashLedger ledger("a", "a-1");
+  CrashTracker ledger("a", "a-1");
   ledger.OnCrash(kRequest, 1, At(seconds(0)));
   ledger.OnCrash(kRequest, 2, At(seconds(0)));
   for (RequestDigest request = 100; request < 100 + kMany; ++request) {
@@ -259,11 +260,11 @@
                 news[static_cast<std::size_t>(std::abs(order[i] % 97)) %
                      news.size()]);
     }
-    CrashSuspect suspect;
+    SuspectRequest suspect;
     for (const CrashEntry& entry : news) {
       suspect.Merge(entry, At(seconds(10)));
     }
-    RC_ASSERT(suspect.crashes() == after);
+    RC_ASSERT(suspect.crash_count() == after);
   });
   cr_assert(holds);
 }
--- a/src/pathcleat/crashes/crash_suspect.cpp
+++ b/src/pathcleat/crashes/crash_suspect.cpp
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-bool CrashSuspect::Add(std::uint64_t upstream, Time at) {
+bool SuspectRequest::AddCrash(std::uint64_t upstream, Time at) {
   const bool known = std::any_of(
       signs_.begin(), signs_.end(),
       [upstream](const Sign& sign) { return sign.upstream == upstream; });
@@ -48,7 +48,7 @@
   return true;
 }
 
-bool CrashSuspect::Clear(Time at) {
+bool SuspectRequest::ClearUntil(Time at) {
   answered_ = std::max(answered_, at);
   const auto cleared = std::erase_if(
       signs_, [this](const Sign& sign) { return sign.at <= answered_; });
@@ -58,14 +58,14 @@
   return cleared > 0;
 }
 
-bool CrashSuspect::Merge(const CrashEntry& entry, Time now) {
+bool SuspectRequest::Merge(const CrashEntry& entry, Time now) {
   bool news = false;
   if (entry.answer_age_ms != kNeverAnswered) {
-    news = Clear(now - std::chrono::milliseconds(entry.answer_age_ms));
+    news = ClearUntil(now - std::chrono::milliseconds(entry.answer_age_ms));
   }
   for (const CrashObservation& sign : entry.observations) {
     const Time at = now - std::chrono::milliseconds(sign.age_ms);
-    news = Add(sign.upstream, at) || news;
+    news = AddCrash(sign.upstream_hash, at) || news;
   }
   if (IsBlocked()) {
     failed_trials_ = std::max(failed_trials_, entry.failed_trials);
@@ -73,7 +73,7 @@
   return news;
 }
 
-CrashEntry CrashSuspect::ToEntry(RequestDigest request, Time now) const {
+CrashEntry SuspectRequest::ToEntry(RequestDigest request, Time now) const {
   CrashEntry entry;
   entry.request = request;
   for (const Sign& sign : signs_) {
@@ -86,7 +86,7 @@
   return entry;
 }
 
-Time CrashSuspect::LastCrashTime() const {
+Time SuspectRequest::LastCrashTime() const {
   Time last = Time::min();
   for (const Sign& sign : signs_) {
     last = std::max(last, sign.at);
@@ -94,12 +94,12 @@
   return last;
 }
 
-Time CrashSuspect::BlockedUntil() const {
+Time SuspectRequest::BlockedUntil() const {
   const int doublings = std::min<int>(failed_trials_, kMostDoublings);
   return LastCrashTime() + kFirstBlock * (1 << doublings);
 }
 
-bool CrashSuspect::IsExpired(Time now) const {
+bool SuspectRequest::IsExpired(Time now) const {
   if (signs_.empty()) {
     return answered_ < now - kAnswerMemory;
   }
--- a/src/pathcleat/crashes/request_digest.cpp
+++ b/src/pathcleat/crashes/request_digest.cpp
@@ -20,7 +20,7 @@
 
 RequestDigest DigestOf(const HttpRequest& request,
                        std::string_view account,
-                       const KeyDigester& digester) {
+                       const KeyedHasher& digester) {
   std::string text;
   Append(text, request.method);
   Append(text, FindHeader(request.headers, "Host").value_or(""));
--- a/src/pathcleat/crashes/request_digest_test.cpp
+++ b/src/pathcleat/crashes/request_digest_test.cpp
@@ -6,8 +6,8 @@
 namespace pathcleat {
 namespace {
 
-KeyDigester Digester(std::string_view secret) {
-  KeyDigester digester(kRequestDigestPurpose);
+KeyedHasher Digester(std::string_view secret) {
+  KeyedHasher digester(kRequestDigestPurpose);
   digester.SetSecret(secret);
   return digester;
 }
@@ -22,13 +22,13 @@
 Test(request_digest, repeat_under_another_id_is_the_same_request) {
   HttpRequest repeat = Request();
   repeat.headers.back().value = "2";
-  const KeyDigester digester = Digester("secret");
+  const KeyedHasher digester = Digester("secret");
   cr_assert_eq(DigestOf(Request(), "club", digester),
                DigestOf(repeat, "club", digester));
 }
 
 Test(request_digest, each_part_and_the_secret_count) {
-  const KeyDigester digester = Digester("secret");
+  const KeyedHasher digester = Digester("secret");
   const RequestDigest whole = DigestOf(Request(), "club", digester);
   HttpRequest other = Request();
   other.method = "PUT";
@@ -49,7 +49,7 @@
 // Guards against a request that is made to look like another one by moving
 // bytes from one part to the next.
 Test(request_digest, parts_do_not_run_into_each_other) {
-  const KeyDigester digester = Digester("secret");
+  const KeyedHasher digester = Digester("secret");
   HttpRequest moved = Request();
   moved.target += "b";
   moved.body = "ody";
--- a/src/pathcleat/feeds/change_journal.cpp
+++ b/src/pathcleat/feeds/change_journal.cpp
@@ -7,7 +7,7 @@
 
 ChangeJournal::ChangeJournal(std::size_t capacity) : capacity_(capacity) {}
 
-void ChangeJournal::Note(std::uint64_t version, const std::string& key) {
+void ChangeJournal::Append(std::uint64_t version, const std::string& key) {
   changes_.push_back({version, key});
   if (changes_.size() > capacity_) {
     floor_ = std::max(floor_, changes_.front().version);
@@ -20,7 +20,7 @@
   changes_.clear();
 }
 
-std::optional<std::set<std::string>> ChangeJournal::Since(
+std::optional<std::set<std::string>> ChangeJournal::ChangedSince(
     std::uint64_t version) const {
   if (version < floor_) {
     return std::nullopt;
--- a/src/pathcleat/feeds/change_journal_test.cpp
+++ b/src/pathcleat/feeds/change_journal_test.cpp
@@ -18,11 +18,11 @@
     for (int i = 0; i < count; ++i) {
       version += *rc::gen::inRange<std::uint64_t>(0, 3);
       const std::string key = std::to_string(*rc::gen::inRange(0, 5));
-      journal.Note(version, key);
+      journal.Append(version, key);
       noted.emplace(version, key);
     }
     const auto since = *rc::gen::inRange<std::uint64_t>(0, version + 2);
-    const auto told = journal.Since(since);
+    const auto told = journal.ChangedSince(since);
     if (!told) {
       RC_ASSERT(noted.size() > capacity);
       return;
@@ -37,12 +37,12 @@
 
 Test(change_journal, knows_nothing_from_before_it_was_read_anew) {
   ChangeJournal journal(8);
-  journal.Note(3, "a");
+  journal.Append(3, "a");
   journal.ResetTo(10);
-  cr_assert_not(journal.Since(9).has_value());
-  cr_assert(journal.Since(10)->empty());
-  journal.Note(11, "b");
-  cr_assert_eq(journal.Since(10)->size(), 1U);
+  cr_assert_not(journal.ChangedSince(9).has_value());
+  cr_assert(journal.ChangedSince(10)->empty());
+  journal.Append(11, "b");
+  cr_assert_eq(journal.ChangedSince(10)->size(), 1U);
 }
 
 }  // namespace
--- a/src/pathcleat/feeds/config_history.cpp
+++ b/src/pathcleat/feeds/config_history.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-void ConfigHistory::Note(const RoutingConfig& config) {
+void ConfigHistory::Append(const RoutingConfig& config) {
   encoded_.clear();
   versions_.push_back({config.version, ContentHashes(config.routes),
                        ContentHashes(config.accounts)});
@@ -59,7 +59,7 @@
     return part;
   }
   const Version& newest = versions_.back();
-  part.base = base->number;
+  part.base_version = base->number;
   part.routes = ChangeOf(base->routes, config.routes, newest.routes);
   part.accounts = ChangeOf(base->accounts, config.accounts, newest.accounts);
   return part;
--- a/src/pathcleat/feeds/config_history_test.cpp
+++ b/src/pathcleat/feeds/config_history_test.cpp
@@ -33,12 +33,12 @@
 Test(config_history, host_that_knows_an_older_version_is_told_the_changes) {
   ConfigHistory history;
   const RoutingConfig old_config = LargeConfig();
-  history.Note(old_config);
+  history.Append(old_config);
   RoutingConfig config = old_config;
   config.version = 5;
-  config.routes[3].home_regions = {"north"};
+  config.routes[3].allowed_regions = {"north"};
   config.routes.erase(config.routes.begin() + 9);
-  history.Note(config);
+  history.Append(config);
   const std::string& change = history.EncodedUpdateSince(config, 1);
   cr_assert_lt(change.size(), 1'000U);
   const auto taken = Take(change, &old_config);
@@ -51,7 +51,7 @@
 Test(config_history, host_whose_version_is_not_remembered_is_told_the_whole) {
   ConfigHistory history;
   const RoutingConfig config = LargeConfig();
-  history.Note(config);
+  history.Append(config);
   const std::string& whole = history.EncodedUpdateSince(config, 77);
   const auto taken = Take(whole, nullptr);
   cr_assert(taken.has_value());
@@ -62,7 +62,7 @@
 Test(config_history, bytes_are_made_once_for_all_who_know_the_same) {
   ConfigHistory history;
   const RoutingConfig config = LargeConfig();
-  history.Note(config);
+  history.Append(config);
   cr_assert_eq(&history.EncodedUpdateSince(config, 0),
                &history.EncodedUpdateSince(config, 77));
 }
@@ -74,19 +74,19 @@
   for (int i = 0; i < 500; ++i) {
     Account account;
     account.name = "account-" + std::to_string(i);
-    account.keys = {KeyedDigest{static_cast<std::uint8_t>(i),
-                                static_cast<std::uint8_t>(i / 256)}};
+    account.key_digests = {KeyedDigest{static_cast<std::uint8_t>(i),
+                                       static_cast<std::uint8_t>(i / 256)}};
     account.priority = 1;
     account.limit = {10, 20};
-    account.home_regions = {"north"};
+    account.allowed_regions = {"north"};
     config.accounts.push_back(account);
   }
   const RoutingConfig old_config = config;
-  history.Note(old_config);
+  history.Append(old_config);
   config.version = 2;
-  config.accounts[7].keys.clear();
+  config.accounts[7].key_digests.clear();
   config.accounts.erase(config.accounts.begin() + 9);
-  history.Note(config);
+  history.Append(config);
   const std::string& change = history.EncodedUpdateSince(config, 1);
   cr_assert_lt(change.size(), 1'000U);
   const auto taken = Take(change, &old_config);
@@ -99,9 +99,9 @@
 Test(config_history, change_of_another_version_is_no_configuration) {
   ConfigHistory history;
   RoutingConfig config = LargeConfig();
-  history.Note(config);
+  history.Append(config);
   config.version = 2;
-  history.Note(config);
+  history.Append(config);
   const std::string& change = history.EncodedUpdateSince(config, 1);
   cr_assert_not(Take(change, &config).has_value());
   cr_assert_not(Take(change, nullptr).has_value());
--- a/src/pathcleat/feeds/config_part.cpp
+++ b/src/pathcleat/feeds/config_part.cpp
@@ -31,7 +31,7 @@
   archive(route.name, route.host, route.path_prefix, route.splits,
           route.repeatable, route.large_answers, route.sticky,
           route.needs_account_key, route.priority, route.max_attempts,
-          route.home_regions);
+          route.allowed_regions);
   TransferLength(archive, route.timeout);
   TransferLength(archive, route.target_latency);
 }
@@ -56,8 +56,8 @@
 
 template <class Archive>
 void serialize(Archive& archive, Account& account) {
-  archive(account.name, account.keys, account.priority, account.limit,
-          account.home_regions);
+  archive(account.name, account.key_digests, account.priority, account.limit,
+          account.allowed_regions);
 }
 
 template <class Archive>
@@ -68,7 +68,7 @@
 
 template <class Archive, class Entry>
 void serialize(Archive& archive, ListDeltaStep<Entry>& step) {
-  archive(step.first, step.count, step.added);
+  archive(step.copy_from, step.copy_count, step.added);
 }
 
 template <class Archive, class Entry>
@@ -78,16 +78,16 @@
 
 template <class Archive>
 void serialize(Archive& archive, ConfigUpdate& part) {
-  archive(part.config, part.base, part.routes, part.accounts);
+  archive(part.config, part.base_version, part.routes, part.accounts);
 }
 // NOLINTEND(readability-identifier-naming)
 
 std::optional<RoutingConfig> ApplyConfigUpdate(ConfigUpdate part,
                                                const RoutingConfig* known) {
-  if (part.base == 0) {
+  if (part.base_version == 0) {
     return std::move(part.config);
   }
-  if (known == nullptr || known->version != part.base) {
+  if (known == nullptr || known->version != part.base_version) {
     return std::nullopt;
   }
   auto routes =
