--- a/src/pathcleat/feeds/fleet_snapshot.cpp
+++ b/src/pathcleat/feeds/fleet_snapshot.cpp
@@ -16,18 +16,19 @@
 // NOLINTBEGIN(readability-identifier-naming)
 template <class Archive>
 void save(Archive& archive, const FleetSnapshot& snapshot) {
-  archive(snapshot.topic, snapshot.version, snapshot.changed, snapshot.whole,
-          snapshot.unsettled, snapshot.config_update, snapshot.drained,
-          snapshot.rollouts, snapshot.gone,
-          EncodeUpstreams(snapshot.upstreams));
+  archive(snapshot.topic, snapshot.version, snapshot.newest_change_version,
+          snapshot.is_full, snapshot.removals_uncertain, snapshot.config_update,
+          snapshot.drained_domains, snapshot.rollout_orders,
+          snapshot.removed_upstreams, EncodeUpstreams(snapshot.upstreams));
 }
 
 template <class Archive>
 void load(Archive& archive, FleetSnapshot& snapshot) {
   std::string rows;
-  archive(snapshot.topic, snapshot.version, snapshot.changed, snapshot.whole,
-          snapshot.unsettled, snapshot.config_update, snapshot.drained,
-          snapshot.rollouts, snapshot.gone, rows);
+  archive(snapshot.topic, snapshot.version, snapshot.newest_change_version,
+          snapshot.is_full, snapshot.removals_uncertain, snapshot.config_update,
+          snapshot.drained_domains, snapshot.rollout_orders,
+          snapshot.removed_upstreams, rows);
   auto upstreams = DecodeUpstreams(rows);
   if (!upstreams) {
     throw cereal::Exception("rows of upstreams that are none");
@@ -36,33 +37,34 @@
 }
 // NOLINTEND(readability-identifier-naming)
 
-SourceAnswer AnswerOf(const FleetSnapshot& snapshot, const Transfer& transfer) {
+SourceAnswer ToSourceAnswer(const FleetSnapshot& snapshot,
+                            const Transfer& transfer) {
   SourceAnswer answer;
   answer.outcome = StoreOutcome::kDone;
   answer.version = snapshot.version;
-  answer.changed = snapshot.changed;
+  answer.newest_change_version = snapshot.newest_change_version;
   answer.relayed = true;
   answer.transfer = transfer;
-  answer.unsettled = snapshot.unsettled;
+  answer.removals_uncertain = snapshot.removals_uncertain;
   if (snapshot.topic == SourceTopic::kOrders) {
     // All drains are told each time; a missing configuration is unchanged.
-    answer.whole = true;
+    answer.is_full = true;
     if (snapshot.config.version > 0) {
       answer.changes.emplace_back(snapshot.config);
     }
-    for (const std::string& domain : snapshot.drained) {
+    for (const std::string& domain : snapshot.drained_domains) {
       answer.changes.emplace_back(DomainDrain{domain, true});
     }
-    for (const RolloutOrder& order : snapshot.rollouts) {
+    for (const RolloutOrder& order : snapshot.rollout_orders) {
       answer.changes.emplace_back(order);
     }
     return answer;
   }
-  answer.whole = snapshot.whole;
+  answer.is_full = snapshot.is_full;
   for (const UpstreamInfo& upstream : snapshot.upstreams) {
     answer.changes.emplace_back(upstream);
   }
-  for (const std::string& id : snapshot.gone) {
+  for (const std::string& id : snapshot.removed_upstreams) {
     answer.changes.emplace_back(UpstreamGone{id});
   }
   return answer;
--- a/src/pathcleat/feeds/peer_feed.cpp
+++ b/src/pathcleat/feeds/peer_feed.cpp
@@ -62,7 +62,7 @@
     return std::nullopt;
   }
   request.after = NumberIn(target, kAfter);
-  request.config = NumberIn(target, kConfig);
+  request.config_version = NumberIn(target, kConfig);
   request.wait =
       std::min(kLongestWait,
                Duration(std::chrono::milliseconds(NumberIn(target, kWaitMs))));
@@ -75,7 +75,7 @@
   return std::string(PathOf(request.topic)) + "?" + kAfter + "=" +
          std::to_string(request.after) + "&" + kWaitMs + "=" +
          std::to_string(wait.count()) + "&" + kConfig + "=" +
-         std::to_string(request.config);
+         std::to_string(request.config_version);
 }
 
 PeerMessageKind KindOf(SourceTopic topic) {
@@ -148,19 +148,20 @@
 }
 
 bool PeerFeed::HasNews(const FeedRequest& request) const {
-  return tables_.Newest(request.topic) > request.after;
+  return tables_.NewestVersion(request.topic) > request.after;
 }
 
 const std::string& PeerFeed::BodyOf(const FeedRequest& request) {
   const Time now = BootClock::now();
-  const std::uint64_t newest = tables_.Newest(request.topic);
+  const std::uint64_t newest = tables_.NewestVersion(request.topic);
   std::erase_if(kept_, [now](const KeptAnswer& kept) {
     return now - kept.made > kAnswerKeptFor;
   });
   const auto same = [&](const KeptAnswer& kept) {
     return kept.request.topic == request.topic &&
            kept.request.after == request.after &&
-           kept.request.config == request.config && kept.newest == newest;
+           kept.request.config_version == request.config_version &&
+           kept.newest == newest;
   };
   const auto found = std::find_if(kept_.begin(), kept_.end(), same);
   if (found != kept_.end()) {
@@ -169,9 +170,9 @@
   if (kept_.size() >= kMostKept) {
     kept_.erase(kept_.begin());
   }
-  kept_.push_back({request, newest,
-                   AppendMac(EncodeSnapshot(tables_.Snapshot(request)), key_),
-                   now});
+  kept_.push_back(
+      {request, newest,
+       AppendMac(EncodeSnapshot(tables_.MakeSnapshot(request)), key_), now});
   return kept_.back().body;
 }
 
@@ -219,9 +220,9 @@
   });
 }
 
-PeerFetchPtr PeerFeed::Ask(const FeedPeer& peer,
-                           FeedRequest request,
-                           Handler handler) {
+PeerFetchPtr PeerFeed::Fetch(const FeedPeer& peer,
+                             FeedRequest request,
+                             Handler handler) {
   const auto endpoint = ParseTcpEndpoint(peer.address);
   if (!endpoint || key_.empty()) {
     handler(std::nullopt);
@@ -229,7 +230,7 @@
   }
   const RoutingConfig* config = tables_.Config();
   const bool known = config != nullptr && !wants_whole_;
-  request.config = known ? config->version : 0;
+  request.config_version = known ? config->version : 0;
   HttpLimits limits;
   limits.max_body_bytes = kLargestSnapshot;
   const auto client = std::make_shared<HttpClient>(loop_, *endpoint, limits);
@@ -248,31 +249,31 @@
 }
 
 void PeerFeed::Cancel(const PeerFetch& question, const std::string& reason) {
-  const std::uint64_t bytes = question.client->received();
+  const std::uint64_t bytes = question.client->received_bytes();
   question.client->Cancel();
   traffic_.OnReceived(KindOf(question.request.topic), bytes);
-  traffic_.OnEnded(true);
+  traffic_.OnFetchEnded(true);
   RecordFailure(question, bytes, reason);
 }
 
-std::optional<FeedAnswer> PeerFeed::TakeAnswer(const PeerFetch& question,
-                                               const CallResult& result) {
+std::optional<FeedResponse> PeerFeed::TakeAnswer(const PeerFetch& question,
+                                                 const CallResult& result) {
   const Time arrived = BootClock::now();
-  traffic_.OnReceived(KindOf(question.request.topic), result.bytes);
+  traffic_.OnReceived(KindOf(question.request.topic), result.received_bytes);
   auto snapshot = result.outcome == CallOutcome::kAnswered
                       ? Open(question.request, result.response.body)
                       : std::nullopt;
-  traffic_.OnEnded(!snapshot);
-  if (result.silent) {
+  traffic_.OnFetchEnded(!snapshot);
+  if (result.connection_silent) {
     traffic_.OnSilentConnection();
   }
   if (!snapshot) {
-    RecordFailure(question, result.bytes, CauseOf(result));
+    RecordFailure(question, result.received_bytes, CauseOf(result));
     return std::nullopt;
   }
-  return FeedAnswer{std::move(*snapshot),
-                    {question.peer.name, result.response.body.size(),
-                     result.transfer, BootClock::now() - arrived}};
+  return FeedResponse{std::move(*snapshot),
+                      {question.peer.name, result.response.body.size(),
+                       result.transfer_time, BootClock::now() - arrived}};
 }
 
 void PeerFeed::RecordFailure(const PeerFetch& question,
@@ -332,7 +333,8 @@
 // asks again tells the version in force by then, and is told what changes it.
 bool PeerFeed::IsOvertaken(const ConfigUpdate& part) const {
   const RoutingConfig* known = tables_.Config();
-  return part.base > 0 && known != nullptr && known->version > part.base;
+  return part.base_version > 0 && known != nullptr &&
+         known->version > part.base_version;
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/feeds/peer_feed_test.cpp
+++ b/src/pathcleat/feeds/peer_feed_test.cpp
@@ -28,24 +28,26 @@
     config_.routes.resize(2);
     config_.routes.front().timeout = kTimeout;
     config_.routes.back().timeout = Duration(version);
-    history_.Note(config_);
+    history_.Append(config_);
   }
 
   // As after a fault of memory: not what the version says.
   void Spoil() { config_.routes.front().timeout = Duration(0); }
 
-  std::uint64_t Newest(SourceTopic) const override { return config_.version; }
+  std::uint64_t NewestVersion(SourceTopic) const override {
+    return config_.version;
+  }
   const RoutingConfig* Config() const override { return &config_; }
 
-  FleetSnapshot Snapshot(const FeedRequest& request) override {
+  FleetSnapshot MakeSnapshot(const FeedRequest& request) override {
     asked = request;
     ++snapshots;
     FleetSnapshot snapshot;
     snapshot.version = config_.version;
-    snapshot.changed = config_.version;
-    if (config_.version > request.config) {
+    snapshot.newest_change_version = config_.version;
+    if (config_.version > request.config_version) {
       snapshot.config_update =
-          history_.EncodedUpdateSince(config_, request.config);
+          history_.EncodedUpdateSince(config_, request.config_version);
     }
     return snapshot;
   }
@@ -84,12 +86,12 @@
              std::uint64_t after,
              Duration wait) {
     answered = false;
-    follower.Ask({"teller", teller_address},
-                 {SourceTopic::kOrders, after, wait},
-                 [this](const std::optional<FeedAnswer>& given) {
-                   answered = true;
-                   answer = given;
-                 });
+    follower.Fetch({"teller", teller_address},
+                   {SourceTopic::kOrders, after, wait},
+                   [this](const std::optional<FeedResponse>& given) {
+                     answered = true;
+                     answer = given;
+                   });
   }
 
   void AwaitAnswer() {
@@ -105,7 +107,7 @@
   PeerFeed teller{loop, events, traffic, told};
   PeerFeed follower{loop, events, traffic, known};
   bool answered = false;
-  std::optional<FeedAnswer> answer;
+  std::optional<FeedResponse> answer;
 };
 
 // A watch waits for up to 20 s; meanwhile another host may tell more. The
@@ -123,7 +125,7 @@
   cr_assert_eq(world.answer->snapshot.version, 0U, "nothing was learnt");
   world.Ask(7, kWait);
   world.AwaitAnswer();
-  cr_assert_eq(world.told.asked.config, 7U, "a change is enough");
+  cr_assert_eq(world.told.asked.config_version, 7U, "a change is enough");
   cr_assert(world.answer.has_value());
   cr_assert_eq(world.answer->snapshot.config.version, 9U);
 }
@@ -140,7 +142,7 @@
   cr_assert_not(world.answer.has_value());
   world.Ask(0, Duration(0));
   world.AwaitAnswer();
-  cr_assert_eq(world.told.asked.config, 7U, "a change is enough");
+  cr_assert_eq(world.told.asked.config_version, 7U, "a change is enough");
 }
 
 // A change that does not fit asks for the whole once, and not with each
@@ -157,11 +159,11 @@
   world.known.Take(9);
   world.Ask(8, kWait);
   world.AwaitAnswer();
-  cr_assert_eq(world.told.asked.config, 0U);
+  cr_assert_eq(world.told.asked.config_version, 0U);
   cr_assert(world.answer.has_value());
   world.Ask(8, kWait);
   world.AwaitAnswer();
-  cr_assert_eq(world.told.asked.config, 9U);
+  cr_assert_eq(world.told.asked.config_version, 9U);
 }
 
 // A watch over a connection that fell silent ends by itself, and a new one
@@ -171,8 +173,8 @@
   FeedWorld world(5);
   world.told.Take(5);
   world.teller.SetWatchingStore(true);
-  PassThrough way(world.loop, world.address,
-                  *ParseTcpEndpoint(world.TellerAddress()));
+  TcpProxy way(world.loop, world.address,
+               *ParseTcpEndpoint(world.TellerAddress()));
   world.AskAt(way.address(), 5, kWait);
   cr_assert(WaitUntil(world.loop, [&] { return way.forwarding_count() == 1; }));
   const Time silenced = BootClock::now();
@@ -181,7 +183,7 @@
   constexpr Duration kFound{2'900'000};
   cr_assert_lt((BootClock::now() - silenced).count(), kFound.count());
   cr_assert_not(world.answer.has_value());
-  cr_assert_eq(world.traffic.silent(), 1U);
+  cr_assert_eq(world.traffic.silent_connections(), 1U);
   world.told.Take(6);
   world.AskAt(way.address(), 5, kWait);
   world.AwaitAnswer();
@@ -198,11 +200,11 @@
   const std::string to = thin.endpoint().address().to_string() + ":" +
                          std::to_string(thin.endpoint().port());
   world.AskAt(to, 5, Duration(0));
-  cr_assert(WaitUntil(world.loop, [&] { return thin.Has("GET /"); }));
+  cr_assert(WaitUntil(world.loop, [&] { return thin.HasReceived("GET /"); }));
   FeedRequest request;
-  request.config = 5;
+  request.config_version = 5;
   const std::string body =
-      AppendMac(EncodeSnapshot(world.told.Snapshot(request)), kKey);
+      AppendMac(EncodeSnapshot(world.told.MakeSnapshot(request)), kKey);
   thin.Send("HTTP/1.1 200 OK\r\nContent-Length: " +
             std::to_string(body.size()) + "\r\n\r\n");
   const Time began = BootClock::now();
--- a/src/pathcleat/feeds/relayed_source.cpp
+++ b/src/pathcleat/feeds/relayed_source.cpp
@@ -36,10 +36,10 @@
   std::erase_if(avoided_,
                 [now](const auto& peer) { return now >= peer.second; });
   RelayCriteria need;
-  need.domains = domains_;
+  need.domain_count = domains_;
   need.store_failed = store_failed_ && now - *store_failed_ < kStoreFailTime;
   for (const auto& [peer, until] : avoided_) {
-    need.avoided.insert(peer);
+    need.avoided_peers.insert(peer);
   }
   return ChooseRelay(hosts_, need, now);
 }
@@ -58,7 +58,7 @@
                          const std::string& from,
                          Callback callback) {
   const Time now = BootClock::now();
-  if (from.empty() && access(now) != StoreAccess::kFailing &&
+  if (from.empty() && store_access(now) != StoreAccess::kFailing &&
       AwaitsOthers(topic, now)) {
     callback(NotAsked());
     return;
@@ -131,7 +131,7 @@
   peers_.Cancel(*question, "others know more");
 }
 
-std::optional<Time> RelayedSource::WatchHeard(SourceTopic topic) const {
+std::optional<Time> RelayedSource::WatchLastReceived(SourceTopic topic) const {
   const auto watch = watches_.find(topic);
   return watch == watches_.end()
              ? std::nullopt
@@ -141,16 +141,17 @@
 PeerFetchPtr RelayedSource::AskPeer(const FeedPeer& peer,
                                     const FeedRequest& request,
                                     const Callback& callback) {
-  return peers_.Ask(peer, request,
-                    [this, address = peer.address,
-                     callback](const std::optional<FeedAnswer>& answer) {
-                      if (answer) {
-                        callback(AnswerOf(answer->snapshot, answer->transfer));
-                        return;
-                      }
-                      avoided_[address] = BootClock::now() + kAvoidTime;
-                      callback(NotAsked());
-                    });
+  return peers_.Fetch(
+      peer, request,
+      [this, address = peer.address,
+       callback](const std::optional<FeedResponse>& answer) {
+        if (answer) {
+          callback(ToSourceAnswer(answer->snapshot, answer->transfer));
+          return;
+        }
+        avoided_[address] = BootClock::now() + kAvoidTime;
+        callback(NotAsked());
+      });
 }
 
 FleetSource::Callback RelayedSource::Noting(SourceTopic topic,
@@ -180,7 +181,7 @@
 
 void RelayedSource::NoteStore(SourceTopic topic, StoreOutcome outcome) {
   const Time now = BootClock::now();
-  const StoreAccess before = access(now);
+  const StoreAccess before = store_access(now);
   const bool answered =
       outcome == StoreOutcome::kDone || outcome == StoreOutcome::kHistoryGone;
   at_store_[topic] = answered;
@@ -193,18 +194,18 @@
 }
 
 void RelayedSource::LeaveStore(SourceTopic topic) {
-  const StoreAccess before = access(BootClock::now());
+  const StoreAccess before = store_access(BootClock::now());
   at_store_[topic] = false;
   TellIfChanged(before);
 }
 
 void RelayedSource::TellIfChanged(StoreAccess before) {
-  if (access(BootClock::now()) != before) {
+  if (store_access(BootClock::now()) != before) {
     on_access_();
   }
 }
 
-StoreAccess RelayedSource::access(Time now) const {
+StoreAccess RelayedSource::store_access(Time now) const {
   if (store_failed_ && now - *store_failed_ < kStoreFailTime) {
     return StoreAccess::kFailing;
   }
--- a/src/pathcleat/feeds/source_watcher.cpp
+++ b/src/pathcleat/feeds/source_watcher.cpp
@@ -17,7 +17,7 @@
 
 // After a change the next one is not waited for at once: changes come in
 // series, and each answer of the store is paid for.
-struct SourceWatcher::Pace {
+struct SourceWatcher::Timing {
   Duration gather;      ///< the pause after a change
   Duration ask_after;   ///< behind for so long, a host asks the others
   Duration dead_after;  ///< a watch that tells nothing of what others know
@@ -29,16 +29,16 @@
 // both bounds lie beyond the pause by what two hops take at 10 Mbit/s.
 // Upstreams that join or leave serve on for seconds, and come and go in long
 // series: with hundreds of them all day. Orders are due within 2 s.
-constexpr SourceWatcher::Pace kOrdersPace{Duration(250'000), Duration(400'000),
-                                          Duration(700'000)};
-constexpr SourceWatcher::Pace kUpstreamsPace{
+constexpr SourceWatcher::Timing kOrdersPace{
+    Duration(250'000), Duration(400'000), Duration(700'000)};
+constexpr SourceWatcher::Timing kUpstreamsPace{
     Duration(400'000), Duration(600'000), Duration(850'000)};
 
 // The pages of one reading count as one transfer.
 void AddTransfer(Transfer& sum, const Transfer& page) {
   sum.from = page.from;
   sum.bytes += page.bytes;
-  sum.took += page.took;
+  sum.transfer_time += page.transfer_time;
   sum.decode_time += page.decode_time;
 }
 
@@ -82,11 +82,12 @@
   }
   page_.changes.insert(page_.changes.end(), answer.changes.begin(),
                        answer.changes.end());
-  page_.changed = std::max(page_.changed, answer.changed);
-  page_.unsettled = answer.unsettled;
+  page_.newest_change_version =
+      std::max(page_.newest_change_version, answer.newest_change_version);
+  page_.removals_uncertain = answer.removals_uncertain;
   AddTransfer(page_.transfer, answer.transfer);
-  if (!answer.next.empty()) {
-    Read(answer.next);
+  if (!answer.next_page.empty()) {
+    Read(answer.next_page);
     return;
   }
   SourceAnswer read = std::exchange(page_, {});
@@ -131,9 +132,9 @@
     return;
   }
   // What has since been taken from a peer may be newer than this answer.
-  const bool news = !answer.changes.empty() || answer.whole;
+  const bool news = !answer.changes.empty() || answer.is_full;
   if (answer.version >= version_) {
-    Handle(answer, answer.whole);
+    Handle(answer, answer.is_full);
   }
   if (news && !answer.relayed) {
     PauseFor(pace_.gather, [this] { Watch(); });
@@ -144,14 +145,15 @@
 
 void SourceWatcher::Handle(const SourceAnswer& answer, bool whole) {
   version_ = std::max(version_, answer.version);
-  changed_ = std::max(changed_, answer.changed);
+  changed_ = std::max(changed_, answer.newest_change_version);
   behind_since_.reset();
   if (whole) {
     loaded_ = true;
   }
   if (whole || !answer.changes.empty()) {
-    handler_({whole, answer.version, answer.changed, answer.relayed,
-              answer.unsettled, answer.transfer, answer.changes});
+    handler_({whole, answer.version, answer.newest_change_version,
+              answer.relayed, answer.removals_uncertain, answer.transfer,
+              answer.changes});
   }
 }
 
@@ -185,22 +187,22 @@
 // would only share the link with it.
 Time SourceWatcher::TrustedSince() const {
   const Time since = std::max(*behind_since_, begun_anew_);
-  return std::max(since, source_.WatchHeard(topic_).value_or(since));
+  return std::max(since, source_.WatchLastReceived(topic_).value_or(since));
 }
 
 bool SourceWatcher::IsBehind(std::uint64_t peer_version, Time now) const {
-  const Time heard = source_.WatchHeard(topic_).value_or(Time());
+  const Time heard = source_.WatchLastReceived(topic_).value_or(Time());
   const bool late =
       behind_since_ && now - std::max(*behind_since_, heard) > pace_.ask_after;
   return peer_version > version_ && (late || !answered_);
 }
 
-bool SourceWatcher::Adopt(const SourceAnswer& answer) {
-  if (answer.version <= version_ || (!answer.whole && !loaded_)) {
+bool SourceWatcher::ApplyIfNewer(const SourceAnswer& answer) {
+  if (answer.version <= version_ || (!answer.is_full && !loaded_)) {
     return false;
   }
   const bool was_loaded = loaded_;
-  Handle(answer, answer.whole);
+  Handle(answer, answer.is_full);
   if (!was_loaded) {
     // The first read goes on failing; from now on a watch is enough.
     ++generation_;
--- a/src/pathcleat/feeds/source_watcher_test.cpp
+++ b/src/pathcleat/feeds/source_watcher_test.cpp
@@ -25,7 +25,9 @@
   }
 
   void StopWatch(SourceTopic) override { ++stopped; }
-  std::optional<Time> WatchHeard(SourceTopic) const override { return heard; }
+  std::optional<Time> WatchLastReceived(SourceTopic) const override {
+    return heard;
+  }
 
   std::vector<Callback> reads;
   std::vector<Callback> watches;
@@ -52,7 +54,7 @@
     answer.outcome = StoreOutcome::kDone;
     answer.changes = std::move(changes);
     answer.version = version;
-    answer.changed = answer.changes.empty() ? 0 : version;
+    answer.newest_change_version = answer.changes.empty() ? 0 : version;
     return answer;
   }
 
@@ -66,11 +68,11 @@
   WatcherWorld world;
   world.source.reads.back()(WatcherWorld::Done(7));
   cr_assert_eq(world.updates.size(), 1U);
-  cr_assert(world.updates[0].whole);
+  cr_assert(world.updates[0].is_full);
   cr_assert_eq(world.source.watched_after, 7U);
   world.source.watches.back()(WatcherWorld::Done(9, {UpstreamGone{"u"}}));
-  cr_assert_not(world.updates[1].whole);
-  cr_assert_eq(world.watcher.changed(), 9U);
+  cr_assert_not(world.updates[1].is_full);
+  cr_assert_eq(world.watcher.newest_change_version(), 9U);
   cr_assert(
       WaitUntil(world.loop, [&] { return world.source.watched_after == 9U; }));
 }
@@ -144,8 +146,9 @@
 Test(source_watcher, answer_older_than_what_a_peer_told_is_dropped) {
   WatcherWorld world;
   world.source.reads.back()(WatcherWorld::Done(7));
-  cr_assert(world.watcher.Adopt(WatcherWorld::Done(20, {UpstreamGone{"u"}})));
-  cr_assert_not(world.watcher.Adopt(WatcherWorld::Done(19)));
+  cr_assert(
+      world.watcher.ApplyIfNewer(WatcherWorld::Done(20, {UpstreamGone{"u"}})));
+  cr_assert_not(world.watcher.ApplyIfNewer(WatcherWorld::Done(19)));
   UpstreamInfo removed_since;
   removed_since.id = "gone";
   world.source.watches.back()(WatcherWorld::Done(9, {removed_since}));
@@ -218,7 +221,7 @@
 Test(source_watcher, watch_begins_at_the_first_page) {
   WatcherWorld world;
   SourceAnswer first = WatcherWorld::Done(7, {UpstreamGone{"a"}});
-  first.next = "b";
+  first.next_page = "b";
   world.source.reads.back()(first);
   world.source.reads.back()(WatcherWorld::Done(11, {UpstreamGone{"b"}}));
   cr_assert_eq(world.source.watched_after, 7U);
--- a/src/pathcleat/feeds/upstream_rows.cpp
+++ b/src/pathcleat/feeds/upstream_rows.cpp
@@ -117,7 +117,7 @@
 
 void Write(Writer& writer, const UpstreamInfo& upstream) {
   const auto endpoint = Numbers(upstream.address);
-  const bool cold = upstream.cold_for > Duration::zero();
+  const bool cold = upstream.cold_remaining > Duration::zero();
   std::uint64_t flags = upstream.leaving ? kLeaving : 0U;
   flags |= cold ? kCold : 0U;
   flags |= endpoint ? 0U : kTextAddress;
@@ -135,7 +135,7 @@
   writer.Number(upstream.started_ms);
   writer.Number(static_cast<std::uint64_t>(upstream.slots));
   if (cold) {
-    writer.Number(static_cast<std::uint64_t>(upstream.cold_for.count()));
+    writer.Number(static_cast<std::uint64_t>(upstream.cold_remaining.count()));
   }
 }
 
@@ -157,7 +157,7 @@
   upstream.slots = static_cast<int>(reader.Number());
   upstream.leaving = (flags & kLeaving) != 0;
   if ((flags & kCold) != 0) {
-    upstream.cold_for = Duration(reader.Number());
+    upstream.cold_remaining = Duration(reader.Number());
   }
   return upstream;
 }
--- a/src/pathcleat/feeds/upstream_rows_test.cpp
+++ b/src/pathcleat/feeds/upstream_rows_test.cpp
@@ -17,7 +17,7 @@
   upstream.started_ms = *rc::gen::arbitrary<std::uint64_t>();
   upstream.slots = *rc::gen::inRange(0, 1'000'000);
   upstream.leaving = *rc::gen::arbitrary<bool>();
-  upstream.cold_for = Duration(*rc::gen::inRange(0, 5'000'000));
+  upstream.cold_remaining = Duration(*rc::gen::inRange(0, 5'000'000));
   return upstream;
 }
 
--- a/src/pathcleat/fleet/domain_reporter.cpp
+++ b/src/pathcleat/fleet/domain_reporter.cpp
@@ -45,7 +45,7 @@
 
 GroupKey KeyOf(const HostVersions& versions) {
   return {versions.config, versions.commands, versions.orders,
-          versions.upstreams, versions.store};
+          versions.upstreams, versions.store_access};
 }
 
 std::uint32_t Milliseconds(Duration duration) {
@@ -93,9 +93,9 @@
 
 bool DomainReporter::IsReporter(Time now) const {
   const auto heard_of_late = [now](const KnownHost& host) {
-    return host.has_heartbeat && now - host.heard <= kReporterSilence;
+    return host.has_heartbeat && now - host.last_seen <= kReporterSilence;
   };
-  return CountAhead(hosts_, hosts_.self(), heard_of_late) < kReporters;
+  return CountHigherRanked(hosts_, hosts_.self(), heard_of_late) < kReporters;
 }
 
 // New hosts, and now and then another one, both by turns.
@@ -109,7 +109,7 @@
   for (const KnownHost* host : hosts_.Others()) {
     if (host->info.domain == hosts_.self().domain &&
         hosts_.IsAlive(*host, now)) {
-      place(host->info, host->since);
+      place(host->info, host->alive_since);
     }
   }
   std::vector<HostInfo> introduced;
@@ -134,14 +134,14 @@
   }
   for (HostInfo& host : Introduced(now)) {
     if (members <= kMembersBeside &&
-        beside.introduced.size() < kIntroducedBeside) {
-      beside.introduced.push_back(std::move(host));
+        beside.host_infos.size() < kIntroducedBeside) {
+      beside.host_infos.push_back(std::move(host));
       continue;
     }
-    if (alone.empty() || alone.back().introduced.size() == kIntroducedAlone) {
+    if (alone.empty() || alone.back().host_infos.size() == kIntroducedAlone) {
       alone.push_back(head);
     }
-    alone.back().introduced.push_back(std::move(host));
+    alone.back().host_infos.push_back(std::move(host));
   }
   return alone;
 }
@@ -152,7 +152,7 @@
   ++round_;
   DomainReport head;
   head.domain = hosts_.self().domain;
-  head.pass_on = true;
+  head.forward_to_domain = true;
   ReportPacker packer(head);
   packer.Add({IncarnationId(hosts_.self()), 0, hosts_.self().leaving},
              versions);
@@ -160,7 +160,7 @@
     if (host->info.domain != head.domain || !hosts_.IsAlive(*host, now)) {
       continue;
     }
-    const std::uint32_t age = Milliseconds(now - host->heard);
+    const std::uint32_t age = Milliseconds(now - host->last_seen);
     HostVersions aged = host->versions;
     aged.config_age_ms += age;
     packer.Add({IncarnationId(host->info), static_cast<std::uint16_t>(age),
--- a/src/pathcleat/fleet/domain_reporter_test.cpp
+++ b/src/pathcleat/fleet/domain_reporter_test.cpp
@@ -11,7 +11,7 @@
 
 // Checked to fail with the reports off: each host then knows its domain alone.
 Test(domain_reporter, all_hosts_are_known_a_second_after_the_start) {
-  Fleet fleet(9, 12);
+  HeartbeatFleet fleet(9, 12);
   fleet.Run(Duration(1'100'000));
   for (const HeartbeatNode& node : fleet.nodes) {
     cr_assert_eq(fleet.AliveCount(node), 108);
@@ -24,23 +24,23 @@
   cr_assert(Holds(
       "living hosts are never silent",
       [] {
-        Fleet fleet(4, 6);
+        HeartbeatFleet fleet(4, 6);
         fleet.Run(Duration(2'000'000));
         const int domain = *rc::gen::inRange(0, 4);
         const int phases = *rc::gen::inRange(0, kPhasesPerInterval);
-        fleet.Run(kPhase * phases);
+        fleet.Run(kPhaseLength * phases);
         int killed = 0;
         for (HeartbeatNode& node : fleet.nodes) {
           const bool reports =
               node.info.domain == "domain-" + std::to_string(domain) &&
               node.reporter->IsReporter(fleet.now);
-          node.runs = !reports;
+          node.is_running = !reports;
           killed += reports ? 1 : 0;
         }
         RC_ASSERT(killed == 2);
         fleet.Run(Duration(6'000'000), [&] {
           for (const HeartbeatNode& node : fleet.nodes) {
-            RC_ASSERT(!node.runs ||
+            RC_ASSERT(!node.is_running ||
                       fleet.AliveCount(node) >= fleet.RunningCount());
           }
         });
@@ -49,12 +49,13 @@
 }
 
 Test(domain_reporter, dead_host_is_silent_everywhere_in_the_same_time) {
-  Fleet fleet(4, 6);
+  HeartbeatFleet fleet(4, 6);
   fleet.Run(Duration(2'000'000));
-  fleet.nodes[8].runs = false;
-  fleet.Run(kSilence + kPhase);
+  fleet.nodes[8].is_running = false;
+  fleet.Run(kHeartbeatTimeout + kPhaseLength);
   for (const HeartbeatNode& node : fleet.nodes) {
-    cr_assert(!node.runs || fleet.AliveCount(node) == fleet.RunningCount());
+    cr_assert(!node.is_running ||
+              fleet.AliveCount(node) == fleet.RunningCount());
   }
 }
 
@@ -63,9 +64,9 @@
   cr_assert(Holds(
       "living hosts are never silent",
       [] {
-        Fleet fleet(3, 6);
+        HeartbeatFleet fleet(3, 6);
         std::uint64_t draws = *rc::gen::inRange<std::uint64_t>(1, 1'000'000);
-        fleet.lost = [&draws] { return MixHashes(++draws, 7) % 20 == 0; };
+        fleet.is_lost = [&draws] { return MixHashes(++draws, 7) % 20 == 0; };
         fleet.Run(Duration(3'000'000));
         fleet.Run(Duration(10'000'000), [&] {
           for (const HeartbeatNode& node : fleet.nodes) {
@@ -78,14 +79,14 @@
 
 // Checked to fail with introductions off.
 Test(domain_reporter, new_host_and_new_incarnation_are_introduced) {
-  Fleet fleet(4, 6);
+  HeartbeatFleet fleet(4, 6);
   fleet.Run(Duration(2'000'000));
-  fleet.nodes[3].runs = false;
-  fleet.ListAllHosts(fleet.Start(HostAt(0, 3, 2)));
-  fleet.ListAllHosts(fleet.Start(HostAt(2, 7)));
+  fleet.nodes[3].is_running = false;
+  fleet.ListAllHosts(fleet.Start(MakeHostInfo(0, 3, 2)));
+  fleet.ListAllHosts(fleet.Start(MakeHostInfo(2, 7)));
   fleet.Run(Duration(1'600'000));
   for (const HeartbeatNode& node : fleet.nodes) {
-    cr_assert(!node.runs || fleet.AliveCount(node) == 25);
+    cr_assert(!node.is_running || fleet.AliveCount(node) == 25);
   }
 }
 
@@ -96,16 +97,16 @@
 Test(domain_reporter, hosts_that_start_at_one_moment_know_each_other_soon) {
   constexpr int kDomains = 4;
   constexpr int kHosts = 33;
-  Fleet fleet(0, 0);
+  HeartbeatFleet fleet(0, 0);
   for (int i = 0; i < kHosts; ++i) {
     for (int d = 0; d < kDomains; ++d) {
-      HeartbeatNode& node = fleet.Start(HostAt(d, i));
+      HeartbeatNode& node = fleet.Start(MakeHostInfo(d, i));
       fleet.ListAllHosts(node);
     }
   }
   // Those that are listed are greeted, and answer.
   for (HeartbeatNode& node : fleet.nodes) {
-    fleet.Greet(node);
+    fleet.AnnounceStart(node);
   }
   fleet.Run(Duration(2'500'000));
   for (const HeartbeatNode& node : fleet.nodes) {
@@ -116,16 +117,16 @@
 // Domains that were cut off from each other. Checked to fail with Receivers
 // limited to hosts that are alive.
 Test(domain_reporter, domains_find_each_other_after_a_cut) {
-  Fleet fleet(3, 4);
+  HeartbeatFleet fleet(3, 4);
   fleet.Run(Duration(2'000'000));
   std::vector<HeartbeatNode> away;
   for (HeartbeatNode& node : fleet.nodes) {
-    node.runs = node.info.domain == "domain-0";
+    node.is_running = node.info.domain == "domain-0";
   }
   fleet.Run(Duration(5'000'000));
   cr_assert_eq(fleet.AliveCount(fleet.nodes[0]), 4);
   for (HeartbeatNode& node : fleet.nodes) {
-    node.runs = true;
+    node.is_running = true;
   }
   fleet.Run(Duration(1'600'000));
   for (const HeartbeatNode& node : fleet.nodes) {
@@ -141,14 +142,14 @@
   cr_assert(Holds(
       "the sum of all shares is one at most",
       [] {
-        Fleet fleet(4, 6);
+        HeartbeatFleet fleet(4, 6);
         const auto check = [&fleet] {
           RC_ASSERT(fleet.TotalShare() <= 1.0001);
         };
         check();
         fleet.Run(Duration(6'000'000), check);
         for (HeartbeatNode& node : fleet.nodes) {
-          node.runs = *rc::gen::inRange(0, 2) == 0;
+          node.is_running = *rc::gen::inRange(0, 2) == 0;
         }
         fleet.Run(Duration(6'000'000), check);
       },
@@ -158,12 +159,12 @@
 // Checked to fail with Receivers naming all hosts of a domain.
 Test(domain_reporter, talk_between_domains_grows_with_the_domains_alone) {
   const auto talk = [](int domains, int per_domain) {
-    Fleet fleet(domains, per_domain);
+    HeartbeatFleet fleet(domains, per_domain);
     // Until nobody is new: introductions take datagrams of their own.
     fleet.Run(Duration(4'000'000));
-    fleet.between_domains = 0;
+    fleet.reports_between_domains = 0;
     fleet.Run(Duration(2'000'000));
-    return fleet.between_domains;
+    return fleet.reports_between_domains;
   };
   const std::size_t small = talk(4, 4);
   cr_assert_eq(talk(4, 16), small);
@@ -172,7 +173,7 @@
 }
 
 Test(domain_reporter, hosts_that_have_come_equally_far_are_one_group) {
-  HostTable table(HostAt(0, 0), kSilence);
+  HostTable table(MakeHostInfo(0, 0), kHeartbeatTimeout);
   HostVersions early;
   early.config = 4;
   early.config_age_ms = 900;
@@ -184,9 +185,9 @@
   // Two seconds apart, so that nobody is new at the end.
   const Time heard = kStart + 2 * Duration(2'000'000);
   for (Time at = kStart; at <= heard; at += Duration(2'000'000)) {
-    table.OnHeard(HostAt(0, 1), early, at);
-    table.OnHeard(HostAt(0, 2), late, at);
-    table.OnHeard(HostAt(0, 3), other, at);
+    table.OnHeartbeat(MakeHostInfo(0, 1), early, at);
+    table.OnHeartbeat(MakeHostInfo(0, 2), late, at);
+    table.OnHeartbeat(MakeHostInfo(0, 3), other, at);
   }
   const auto reports =
       reporter.MakeReports(late, heard + std::chrono::milliseconds(50));
@@ -200,9 +201,9 @@
 
 Test(domain_report, large_domain_is_told_in_datagrams_that_fit) {
   constexpr std::size_t kPacket = 1'472;
-  HostTable table(HostAt(0, 0), kSilence);
+  HostTable table(MakeHostInfo(0, 0), kHeartbeatTimeout);
   for (int i = 1; i < 120; ++i) {
-    table.OnHeard(HostAt(0, i), {}, kStart);
+    table.OnHeartbeat(MakeHostInfo(0, i), {}, kStart);
   }
   DomainReporter reporter(table, kStart);
   std::size_t members = 0;
--- a/src/pathcleat/fleet/heartbeat_plan.cpp
+++ b/src/pathcleat/fleet/heartbeat_plan.cpp
@@ -42,7 +42,7 @@
   const auto domain = Domain();
   const auto living = std::count_if(
       domain.begin(), domain.end(),
-      [&](const KnownHost* host) { return hosts_.Shares(*host, now); });
+      [&](const KnownHost* host) { return hosts_.SharesLimits(*host, now); });
   return static_cast<std::size_t>(living) >= kMostDirect;
 }
 
@@ -61,11 +61,11 @@
   return AddressesOf(receivers);
 }
 
-std::vector<std::string> HeartbeatPlan::Told(Time now) const {
+std::vector<std::string> HeartbeatPlan::OwnReportReceivers(Time now) const {
   return IsLarge(now) ? AliveInDomain(now) : std::vector<std::string>();
 }
 
-std::vector<std::string> HeartbeatPlan::Known() const {
+std::vector<std::string> HeartbeatPlan::AllInDomain() const {
   return AddressesOf(Domain());
 }
 
--- a/src/pathcleat/fleet/heartbeat_plan_test.cpp
+++ b/src/pathcleat/fleet/heartbeat_plan_test.cpp
@@ -12,7 +12,7 @@
 // Datagrams that the middle host of a domain takes in a second.
 int TakenASecond(int per_domain) {
   constexpr int kSeconds = 4;
-  Fleet fleet(1, per_domain);
+  HeartbeatFleet fleet(1, per_domain);
   // Until nobody is new.
   fleet.Run(Duration(5'000'000));
   for (HeartbeatNode& node : fleet.nodes) {
@@ -38,29 +38,31 @@
 // no report comes.
 Test(heartbeat_plan, loss_of_all_that_hear_a_large_domain_hides_nobody) {
   constexpr int kHosts = 60;
-  Fleet fleet(2, kHosts);
+  HeartbeatFleet fleet(2, kHosts);
   fleet.Run(Duration(5'000'000));
   const HeartbeatNode& last = fleet.nodes[kHosts - 1];
   const auto heard_by = last.plan->Receivers(fleet.now);
   cr_assert_eq(heard_by.size(), 4U);
   for (const std::string& address : heard_by) {
-    fleet.Find(address)->runs = false;
+    fleet.Find(address)->is_running = false;
   }
   fleet.Run(Duration(6'000'000), [&] {
     for (const HeartbeatNode& node : fleet.nodes) {
-      cr_assert(!node.runs || fleet.AliveCount(node) >= fleet.RunningCount());
+      cr_assert(!node.is_running ||
+                fleet.AliveCount(node) >= fleet.RunningCount());
     }
   });
   for (const HeartbeatNode& node : fleet.nodes) {
-    cr_assert(!node.runs || fleet.AliveCount(node) == fleet.RunningCount());
+    cr_assert(!node.is_running ||
+              fleet.AliveCount(node) == fleet.RunningCount());
   }
 }
 
 // One datagram in twenty is lost.
 Test(heartbeat_plan, lost_datagrams_hide_nobody_in_a_large_domain) {
   std::uint64_t draws = 1;
-  Fleet fleet(1, 60);
-  fleet.lost = [&draws] { return MixHashes(++draws, 7) % 20 == 0; };
+  HeartbeatFleet fleet(1, 60);
+  fleet.is_lost = [&draws] { return MixHashes(++draws, 7) % 20 == 0; };
   fleet.Run(Duration(3'000'000));
   fleet.Run(Duration(15'000'000), [&] {
     for (const HeartbeatNode& node : fleet.nodes) {
--- a/src/pathcleat/fleet/host_rank.cpp
+++ b/src/pathcleat/fleet/host_rank.cpp
@@ -12,9 +12,9 @@
   return StableHash(a.name) < StableHash(b.name);
 }
 
-int CountAhead(const HostTable& hosts,
-               const HostInfo& ranked,
-               const std::function<bool(const KnownHost&)>& counts) {
+int CountHigherRanked(const HostTable& hosts,
+                      const HostInfo& ranked,
+                      const std::function<bool(const KnownHost&)>& counts) {
   int ahead = 0;
   for (const KnownHost* host : hosts.Others()) {
     const bool candidate =
--- a/src/pathcleat/fleet/host_table.cpp
+++ b/src/pathcleat/fleet/host_table.cpp
@@ -25,7 +25,7 @@
 HostTable::HostTable(HostInfo self, Duration silence)
     : self_(std::move(self)), silence_(silence) {}
 
-void HostTable::OnAwake(Time now) {
+void HostTable::CheckForStall(Time now) {
   const Time last = std::exchange(awake_, now);
   const Duration still = now - last;
   if (last == Time() || still < kStandstill) {
@@ -39,8 +39,8 @@
 // What others are told keeps the true age: this host knows nothing of who died
 // while it stood still.
 Duration HostTable::SilenceOf(const KnownHost& host, Time now) const {
-  const Duration silence = now - host.heard;
-  return host.heard < still_until_ ? silence - still_for_ : silence;
+  const Duration silence = now - host.last_seen;
+  return host.last_seen < still_until_ ? silence - still_for_ : silence;
 }
 
 void HostTable::Keep(const KnownHost& host) {
@@ -63,9 +63,9 @@
   }
 }
 
-bool HostTable::OnHeard(const HostInfo& host,
-                        const HostVersions& versions,
-                        Time now) {
+bool HostTable::OnHeartbeat(const HostInfo& host,
+                            const HostVersions& versions,
+                            Time now) {
   if (host.name == self_.name) {
     return false;
   }
@@ -78,7 +78,8 @@
   }
   const bool same =
       was_alive && host.incarnation == known->second.info.incarnation;
-  Keep({host, now, same ? known->second.since : now, true, true, versions});
+  Keep({host, now, same ? known->second.alive_since : now, true, true,
+        versions});
   return !was_alive;
 }
 
@@ -103,11 +104,11 @@
   const Time heard = now - std::chrono::milliseconds(member.age_ms);
   const bool was_alive = IsAlive(host, now);
   // What was heard of the host itself, or by a shorter way, is newer.
-  if (host.has_heartbeat && heard <= host.heard) {
+  if (host.has_heartbeat && heard <= host.last_seen) {
     return nullptr;
   }
-  host.since = was_alive ? host.since : now;
-  host.heard = heard;
+  host.alive_since = was_alive ? host.alive_since : now;
+  host.last_seen = heard;
   host.has_heartbeat = true;
   host.info.leaving = member.leaving;
   host.versions = versions;
@@ -116,7 +117,7 @@
   return is_back ? &host : nullptr;
 }
 
-bool HostTable::Shares(const KnownHost& host, Time now) const {
+bool HostTable::SharesLimits(const KnownHost& host, Time now) const {
   return SilenceOf(host, now) <= kShareTime;
 }
 
@@ -151,7 +152,7 @@
 int HostTable::LimitSharerCountIn(const std::string& region, Time now) const {
   int count = self_.region == region ? 1 : 0;
   for (const auto& [name, host] : others_) {
-    count += host.info.region == region && Shares(host, now) ? 1 : 0;
+    count += host.info.region == region && SharesLimits(host, now) ? 1 : 0;
   }
   return std::max(1, count);
 }
@@ -160,7 +161,7 @@
     Time now) const {
   std::map<std::string, int> sharers{{self_.region, 1}};
   for (const auto& [name, host] : others_) {
-    if (Shares(host, now)) {
+    if (SharesLimits(host, now)) {
       ++sharers[host.info.region];
     }
   }
@@ -170,7 +171,7 @@
 int HostTable::LimitSharerCount(Time now) const {
   int count = 1;
   for (const auto& [name, host] : others_) {
-    count += Shares(host, now) ? 1 : 0;
+    count += SharesLimits(host, now) ? 1 : 0;
   }
   return count;
 }
--- a/src/pathcleat/fleet/host_table_test.cpp
+++ b/src/pathcleat/fleet/host_table_test.cpp
@@ -31,9 +31,9 @@
 
 Test(host_table, near_hosts_first_dead_and_leaving_ones_never) {
   HostTable table(HostAt("self", "n1", "north"), kSilence);
-  table.OnHeard(HostAt("near", "n1", "north"), {}, kStart);
-  table.OnHeard(HostAt("beside", "n2", "north"), {}, kStart);
-  table.OnHeard(HostAt("far", "s1", "south"), {}, kStart);
+  table.OnHeartbeat(HostAt("near", "n1", "north"), {}, kStart);
+  table.OnHeartbeat(HostAt("beside", "n2", "north"), {}, kStart);
+  table.OnHeartbeat(HostAt("far", "s1", "south"), {}, kStart);
   table.OnStoreRow(HostAt("listed", "n1", "north"), kStart);
   auto found = table.Locate("north", "n1", 16, kStart);
   cr_assert_eq(found.size(), 2U);
@@ -47,7 +47,7 @@
   cr_assert_gt(found.size(), 1U);
   HostInfo leaving = HostAt("near", "n1", "north");
   leaving.leaving = true;
-  table.OnHeard(leaving, {}, kStart);
+  table.OnHeartbeat(leaving, {}, kStart);
   cr_assert_not(Has(table.Locate("north", "n1", 16, kStart), "near"));
   const Time later = kStart + kSilence + Duration(1);
   found = table.Locate("north", "n1", 16, later);
@@ -60,12 +60,12 @@
 Test(host_table, standstill_of_this_host_is_no_silence_of_others) {
   constexpr Duration kPeriod{250'000};
   HostTable table(HostAt("self", "n1", "north"), kSilence);
-  table.OnAwake(kStart);
-  table.OnHeard(HostAt("near", "n1", "north"), {}, kStart);
-  table.OnAwake(kStart + kPeriod);
+  table.CheckForStall(kStart);
+  table.OnHeartbeat(HostAt("near", "n1", "north"), {}, kStart);
+  table.CheckForStall(kStart + kPeriod);
   cr_assert_eq(table.TakeStallDuration().count(), 0);
   const Time woken = kStart + kPeriod + std::chrono::seconds(60);
-  table.OnAwake(woken);
+  table.CheckForStall(woken);
   cr_assert_eq(table.TakeStallDuration().count(), Duration(60'000'000).count());
   cr_assert_eq(table.TakeStallDuration().count(), 0);
   cr_assert_eq(table.AliveCount(woken), 2);
@@ -74,7 +74,7 @@
   // From now on it is heard, or falls silent, as ever.
   Time now = woken;
   for (; now < woken + kSilence; now += kPeriod) {
-    table.OnAwake(now);
+    table.CheckForStall(now);
   }
   cr_assert_eq(table.AliveCount(now), 1);
 }
@@ -84,12 +84,12 @@
   HostVersions versions;
   versions.config = 4;
   HostInfo other = HostAt("other", "n1", "north");
-  table.OnHeard(other, versions, kStart);
+  table.OnHeartbeat(other, versions, kStart);
   cr_assert(table.OtherHasConfig(4, kStart));
   cr_assert_not(table.OtherHasConfig(5, kStart));
   cr_assert_not(table.OtherHasConfig(4, kStart + kSilence + Duration(1)));
   other.leaving = true;
-  table.OnHeard(other, versions, kStart);
+  table.OnHeartbeat(other, versions, kStart);
   cr_assert_not(table.OtherHasConfig(4, kStart));
 }
 
@@ -97,10 +97,10 @@
   HostTable table(HostAt("self", "n1", "north"), kSilence);
   HostInfo restarted = HostAt("other", "n1", "north");
   restarted.incarnation = 5;
-  table.OnHeard(restarted, {}, kStart);
+  table.OnHeartbeat(restarted, {}, kStart);
   HostInfo old = HostAt("other", "n1", "north");
   old.leaving = true;
-  table.OnHeard(old, {}, kStart);
+  table.OnHeartbeat(old, {}, kStart);
   cr_assert_eq(table.Locate("north", "n1", 16, kStart).size(), 2U);
 }
 
@@ -110,9 +110,9 @@
   HostTable table(HostAt("self", "n1", "north"), kSilence);
   HostInfo before = HostAt("other", "n1", "north");
   before.incarnation = 5;
-  table.OnHeard(before, {}, kStart);
+  table.OnHeartbeat(before, {}, kStart);
   const Time later = kStart + kSilence + Duration(1);
-  cr_assert(table.OnHeard(HostAt("other", "n1", "north"), {}, later));
+  cr_assert(table.OnHeartbeat(HostAt("other", "n1", "north"), {}, later));
   cr_assert_eq(table.Locate("north", "n1", 16, later).size(), 2U);
 }
 
--- a/src/pathcleat/fleet/informed_choice_test.cpp
+++ b/src/pathcleat/fleet/informed_choice_test.cpp
@@ -28,7 +28,7 @@
   void Hear(const HostInfo& host, std::uint64_t orders) {
     HostVersions versions;
     versions.orders = orders;
-    table.OnHeard(host, versions, kStart);
+    table.OnHeartbeat(host, versions, kStart);
   }
 
   std::string Choose(std::uint64_t salt = 0, Time now = kStart) const {
--- a/src/pathcleat/fleet/peer_datagram_test.cpp
+++ b/src/pathcleat/fleet/peer_datagram_test.cpp
@@ -12,9 +12,9 @@
 
 Test(peer_datagram, kind_and_message_arrive) {
   const std::string sealed =
-      SealDatagram(DatagramKind::kReport, "message", kKey);
+      SealDatagram(DatagramKind::kDomainReport, "message", kKey);
   const auto datagram = OpenDatagram(sealed, kKey);
-  cr_assert(datagram && datagram->kind == DatagramKind::kReport);
+  cr_assert(datagram && datagram->kind == DatagramKind::kDomainReport);
   cr_assert(datagram->message == "message");
   cr_assert_not(OpenDatagram(sealed, "other key"));
 }
@@ -33,7 +33,7 @@
   const auto datagram =
       OpenDatagram(AppendMac(EncodeHeartbeat(Heartbeat()), kKey), kKey);
   cr_assert(datagram && datagram->kind != DatagramKind::kHeartbeat &&
-            datagram->kind != DatagramKind::kReport);
+            datagram->kind != DatagramKind::kDomainReport);
 }
 
 Test(peer_datagram, any_bytes_are_read_or_refused) {
--- a/src/pathcleat/fleet/peer_link.cpp
+++ b/src/pathcleat/fleet/peer_link.cpp
@@ -62,14 +62,14 @@
 }
 
 void PeerLink::Announce() {
-  Beat(plan_.Known(), true);
+  Beat(plan_.AllInDomain(), true);
   for (const std::string& address : reporter_.Receivers(BootClock::now())) {
     SendHeartbeat(address, true);
   }
 }
 
-void PeerLink::Tell() {
-  Beat(plan_.Known(), false);
+void PeerLink::PublishHeartbeat() {
+  Beat(plan_.AllInDomain(), false);
 }
 
 void PeerLink::Tick() {
@@ -104,12 +104,12 @@
   const Time now = BootClock::now();
   plan_.OnOwnDomainReport(now);
   std::vector<DomainReport> reports = reporter_.MakeReports(versions_(), now);
-  reports.front().rollouts = tellers_.tallies.DomainTallies(now);
+  reports.front().rollout_tallies = tellers_.tallies.DomainTallies(now);
   SendRound(reports, reporter_.Receivers(now));
   for (DomainReport& report : reports) {
-    report.pass_on = false;
+    report.forward_to_domain = false;
   }
-  SendRound(reports, plan_.Told(now));
+  SendRound(reports, plan_.OwnReportReceivers(now));
 }
 
 void PeerLink::SendRound(const std::vector<DomainReport>& reports,
@@ -120,8 +120,8 @@
   std::vector<std::string> sealed;
   for (DomainReport report : reports) {
     report.time = events_.clock().Tick(WallMicros());
-    sealed.push_back(
-        SealDatagram(DatagramKind::kReport, EncodeDomainReport(report), key_));
+    sealed.push_back(SealDatagram(DatagramKind::kDomainReport,
+                                  EncodeDomainReport(report), key_));
   }
   for (const std::string& address : receivers) {
     for (const std::string& bytes : sealed) {
@@ -136,7 +136,7 @@
   heartbeat.time = events_.clock().Tick(WallMicros());
   heartbeat.versions = versions_();
   heartbeat.wants_reply = wants_reply;
-  heartbeat.rollouts = tellers_.tallies.OwnTallies();
+  heartbeat.rollout_tallies = tellers_.tallies.OwnTallies();
   return SealDatagram(DatagramKind::kHeartbeat, EncodeHeartbeat(heartbeat),
                       key_);
 }
@@ -153,7 +153,7 @@
 
 void PeerLink::SendReport(const std::string& address,
                           const std::string& sealed) {
-  traffic_.OnSent(PeerMessageKind::kReport, sealed.size());
+  traffic_.OnSent(PeerMessageKind::kDomainReport, sealed.size());
   Send(address, sealed);
 }
 
@@ -184,7 +184,7 @@
 }
 
 void PeerLink::OnDatagram(std::size_t size) {
-  hosts_.OnAwake(BootClock::now());
+  hosts_.CheckForStall(BootClock::now());
   if (key_.empty()) {
     return;
   }
@@ -196,10 +196,10 @@
       OnHeartbeat(*heartbeat);
       return;
     }
-  } else if (datagram && datagram->kind == DatagramKind::kReport) {
+  } else if (datagram && datagram->kind == DatagramKind::kDomainReport) {
     if (const auto report = DecodeDomainReport(datagram->message)) {
-      traffic_.OnReceived(PeerMessageKind::kReport, size);
-      OnReport(*report);
+      traffic_.OnReceived(PeerMessageKind::kDomainReport, size);
+      OnDomainReport(*report);
       return;
     }
   } else if (datagram && datagram->kind == DatagramKind::kUsage) {
@@ -231,42 +231,43 @@
 
 void PeerLink::OnHeartbeat(const Heartbeat& heartbeat) {
   events_.clock().Observe(heartbeat.time, WallMicros());
-  if (hosts_.OnHeard(heartbeat.host, heartbeat.versions, BootClock::now())) {
+  if (hosts_.OnHeartbeat(heartbeat.host, heartbeat.versions,
+                         BootClock::now())) {
     events_.Record(EventCode::kPeerHeard, heartbeat.host.name,
                    "heartbeats arrive from " + heartbeat.host.domain);
   }
   on_versions_(heartbeat.host.name, heartbeat.versions);
   if (heartbeat.host.domain == hosts_.self().domain) {
     tellers_.tallies.OnHostTallies(IncarnationId(heartbeat.host),
-                                   heartbeat.rollouts, BootClock::now());
+                                   heartbeat.rollout_tallies, BootClock::now());
   }
   if (heartbeat.wants_reply) {
     SendHeartbeat(heartbeat.host.peer_address, false);
     SendKnownUsage(heartbeat.host.peer_address);
     SendCrashes({heartbeat.host.peer_address},
-                tellers_.crashes.Known(BootClock::now()));
+                tellers_.crashes.CrashSnapshot(BootClock::now()));
     SendLimits({heartbeat.host.peer_address},
                tellers_.limits.LimitSnapshot(BootClock::now()));
   }
 }
 
-void PeerLink::OnReport(const DomainReport& report) {
+void PeerLink::OnDomainReport(const DomainReport& report) {
   const Time now = BootClock::now();
   events_.clock().Observe(report.time, WallMicros());
   TakeMembers(report, now);
   for (const MemberGroup& group : report.groups) {
     on_versions_(report.domain, group.versions);
   }
-  tellers_.tallies.OnDomainTallies(report.domain, report.rollouts, now);
+  tellers_.tallies.OnDomainTallies(report.domain, report.rollout_tallies, now);
   if (report.domain == hosts_.self().domain) {
     plan_.OnOwnDomainReport(now);
-  } else if (report.pass_on) {
+  } else if (report.forward_to_domain) {
     PassOn(report);
   }
 }
 
 void PeerLink::TakeMembers(const DomainReport& report, Time now) {
-  for (const HostInfo& host : report.introduced) {
+  for (const HostInfo& host : report.host_infos) {
     if (host.domain == report.domain) {
       hosts_.OnInfoReported(host, now);
     }
@@ -283,9 +284,9 @@
 }
 
 void PeerLink::PassOn(DomainReport report) {
-  report.pass_on = false;
-  const std::string sealed =
-      SealDatagram(DatagramKind::kReport, EncodeDomainReport(report), key_);
+  report.forward_to_domain = false;
+  const std::string sealed = SealDatagram(DatagramKind::kDomainReport,
+                                          EncodeDomainReport(report), key_);
   for (const std::string& address : plan_.AliveInDomain(BootClock::now())) {
     SendReport(address, sealed);
   }
--- a/src/pathcleat/fleet/peer_link_tellers.cpp
+++ b/src/pathcleat/fleet/peer_link_tellers.cpp
@@ -42,7 +42,7 @@
   }
   told_usage_ = tells;
   const std::string sealed = SealUsage(report);
-  for (const std::string& address : plan_.Known()) {
+  for (const std::string& address : plan_.AllInDomain()) {
     SendUsage(address, sealed);
   }
 }
@@ -69,11 +69,11 @@
 void PeerLink::OnUsageReport(const UsageReport& report) {
   events_.clock().Observe(report.time, WallMicros());
   tellers_.usage.OnUsageReport(report, BootClock::now());
-  if (!report.pass_on) {
+  if (!report.forward_to_domain) {
     return;
   }
   UsageReport passed = report;
-  passed.pass_on = false;
+  passed.forward_to_domain = false;
   const std::string sealed = SealUsage(passed);
   for (const std::string& address : plan_.AliveInDomain(BootClock::now())) {
     SendUsage(address, sealed);
@@ -83,7 +83,7 @@
 void PeerLink::PublishCrashes() {
   const Time now = BootClock::now();
   const bool reports = reporter_.IsReporter(now);
-  SendCrashes(plan_.Known(), tellers_.crashes.OwnCrashes(reports, now));
+  SendCrashes(plan_.AllInDomain(), tellers_.crashes.OwnCrashes(reports, now));
   if (reports) {
     SendCrashes(reporter_.Receivers(now), tellers_.crashes.DomainCrashes(now));
   }
@@ -105,9 +105,9 @@
 void PeerLink::OnCrashReport(const CrashReport& report) {
   const Time now = BootClock::now();
   const bool news = tellers_.crashes.OnCrashReport(report, now);
-  if (report.pass_on) {
+  if (report.forward_to_domain) {
     CrashReport passed = report;
-    passed.pass_on = false;
+    passed.forward_to_domain = false;
     SendCrashes(plan_.AliveInDomain(now), passed);
   }
   if (news) {
@@ -123,8 +123,8 @@
   }
   LimitReport report = tellers_.limits.DomainLimits(now);
   SendLimits(reporter_.Receivers(now), report);
-  report.pass_on = false;
-  SendLimits(plan_.Told(now), report);
+  report.forward_to_domain = false;
+  SendLimits(plan_.OwnReportReceivers(now), report);
 }
 
 void PeerLink::SendLimits(const std::vector<std::string>& receivers,
@@ -143,9 +143,9 @@
 void PeerLink::OnLimitReport(const LimitReport& report) {
   const Time now = BootClock::now();
   tellers_.limits.OnLimitReport(report, now);
-  if (report.pass_on) {
+  if (report.forward_to_domain) {
     LimitReport passed = report;
-    passed.pass_on = false;
+    passed.forward_to_domain = false;
     SendLimits(plan_.AliveInDomain(now), passed);
   }
 }
--- a/src/pathcleat/fleet/peer_traffic.cpp
+++ b/src/pathcleat/fleet/peer_traffic.cpp
@@ -7,7 +7,7 @@
   switch (kind) {
     case PeerMessageKind::kHeartbeat:
       return "heartbeat";
-    case PeerMessageKind::kReport:
+    case PeerMessageKind::kDomainReport:
       return "report";
     case PeerMessageKind::kUsage:
       return "usage";
--- a/src/pathcleat/fleet/relay_choice.cpp
+++ b/src/pathcleat/fleet/relay_choice.cpp
@@ -54,10 +54,11 @@
                           !(rule.past_failing && rule.self_failing) &&
                           RanksAhead(self, ranked);
   const auto counts = [&](const KnownHost& host) {
-    const bool failing = host.versions.store == StoreAccess::kFailing;
+    const bool failing = host.versions.store_access == StoreAccess::kFailing;
     return hosts.IsAlive(host, now) && !(rule.past_failing && failing);
   };
-  const int ahead = CountAhead(hosts, ranked, counts) + (self_ahead ? 1 : 0);
+  const int ahead =
+      CountHigherRanked(hosts, ranked, counts) + (self_ahead ? 1 : 0);
   return ahead < WatchersOfDomain(rule.domains);
 }
 
@@ -68,7 +69,7 @@
                               Time now) {
   const HostInfo& self = hosts.self();
   const std::uint64_t own_hash = StableHash(self.name);
-  const RankRule rule{need.domains, true, need.store_failed};
+  const RankRule rule{need.domain_count, true, need.store_failed};
   const KnownHost* best = nullptr;
   const auto precedes = [&](const KnownHost& a, const KnownHost& b) {
     const Distance to_a = DistanceOf(self, a.info);
@@ -78,9 +79,9 @@
                               MixHashes(own_hash, StableHash(b.info.name));
   };
   for (const KnownHost* host : hosts.Others()) {
-    const bool relays = host->versions.store == StoreAccess::kWatching &&
+    const bool relays = host->versions.store_access == StoreAccess::kWatching &&
                         !host->info.leaving && hosts.IsAlive(*host, now) &&
-                        !need.avoided.contains(host->info.peer_address);
+                        !need.avoided_peers.contains(host->info.peer_address);
     if (relays && DistanceOf(self, host->info) <= farthest &&
         RanksFirst(hosts, host->info, rule, now) &&
         (best == nullptr || precedes(*host, *best))) {
@@ -96,10 +97,10 @@
                      const StoreReadCriteria& need,
                      Time now) {
   const auto counts = [&hosts, now](const KnownHost& host) {
-    return hosts.Shares(host, now);
+    return hosts.SharesLimits(host, now);
   };
-  const int ahead = CountAhead(hosts, hosts.self(), counts);
-  const int behind = ahead - WatchersOfDomain(need.domains);
+  const int ahead = CountHigherRanked(hosts, hosts.self(), counts);
+  const int behind = ahead - WatchersOfDomain(need.domain_count);
   if (behind < 0) {
     return true;
   }
@@ -112,7 +113,7 @@
 RelayChoice ChooseRelay(const HostTable& hosts,
                         const RelayCriteria& need,
                         Time now) {
-  const RankRule past_failing{need.domains, true, need.store_failed};
+  const RankRule past_failing{need.domain_count, true, need.store_failed};
   if (!need.store_failed &&
       RanksFirst(hosts, hosts.self(), past_failing, now)) {
     return {};
@@ -123,7 +124,7 @@
   if (relay != nullptr) {
     return {RelayKind::kPeer, relay->info.peer_address, relay->info.name};
   }
-  const RankRule all{need.domains, false, need.store_failed};
+  const RankRule all{need.domain_count, false, need.store_failed};
   const bool others_first =
       need.store_failed && !RanksFirst(hosts, hosts.self(), all, now);
   return {others_first ? RelayKind::kNone : RelayKind::kStore, "", ""};
--- a/src/pathcleat/fleet/relay_choice_test.cpp
+++ b/src/pathcleat/fleet/relay_choice_test.cpp
@@ -45,9 +45,9 @@
     for (const auto& table : tables) {
       for (std::size_t i = 0; i < infos.size(); ++i) {
         HostVersions versions;
-        versions.store = access[i];
+        versions.store_access = access[i];
         if (!dead.contains(i)) {
-          table->OnHeard(infos[i], versions, kStart);
+          table->OnHeartbeat(infos[i], versions, kStart);
         }
       }
     }
--- a/src/pathcleat/gateway/call.cpp
+++ b/src/pathcleat/gateway/call.cpp
@@ -28,10 +28,10 @@
 
 }  // namespace
 
-Call::Call(GatewayState& state,
-           HttpExchangePtr exchange,
-           std::shared_ptr<const Route> route,
-           std::shared_ptr<const Account> account)
+RequestHandler::RequestHandler(GatewayState& state,
+                               HttpExchangePtr exchange,
+                               std::shared_ptr<const Route> route,
+                               std::shared_ptr<const Account> account)
     : state_(state),
       exchange_(std::move(exchange)),
       route_(std::move(route)),
@@ -41,7 +41,7 @@
       attempt_(state),
       key_(state),
       trace_(state) {
-  ++state_.requests;
+  ++state_.in_flight_count;
   state_.in_flight_requests.Add(*this);
   const HttpHeaders& headers = exchange_->request().headers;
   const std::uint64_t incarnation = state_.hosts.self().incarnation;
@@ -52,37 +52,38 @@
   request_ = MakePickRequest(state_.headers, *exchange_, *route_, request_id_);
   request_.account = account_.get();
   const Duration allowed = std::min(route_->timeout, request_.caller_timeout);
-  deadline_ = exchange_->received() + allowed;
+  deadline_ = exchange_->received_at() + allowed;
 }
 
-void Call::Start() {
+void RequestHandler::Start() {
   const auto on_left = [weak = weak_from_this()] {
     if (const auto self = weak.lock()) {
       self->OnCallerLeft();
     }
   };
   exchange_->OnAbandoned(on_left);
-  exchange_->OnCallerEnded(on_left);
-  Arm(deadline_timer_, deadline_ - BootClock::now(), &Call::OnDeadline);
+  exchange_->OnCallerHalfClosed(on_left);
+  Arm(deadline_timer_, deadline_ - BootClock::now(),
+      &RequestHandler::OnDeadline);
   request_.service =
       state_.splits.Choose(*route_, ToUnitInterval(request_.key));
   state_.RetryBudgetOf(request_.service).OnFirstAttempt();
   trace_.NoteAccepted(*exchange_, request_, Left());
   // On a host that is behind, callers give up before they are read.
-  exchange_->CheckCaller();
+  exchange_->CheckConnection();
   if (left_ || !TakeQuota()) {
     return;
   }
-  if (!route_->repeatable && KeyGuard::HasKey(exchange_->request())) {
+  if (!route_->repeatable && IdempotencyGuard::HasKey(exchange_->request())) {
     ClaimKey();
   } else {
     Attempt();
   }
 }
 
-void Call::Arm(boost::asio::steady_timer& timer,
-               Duration wait,
-               void (Call::*step)()) {
+void RequestHandler::Arm(boost::asio::steady_timer& timer,
+                         Duration wait,
+                         void (RequestHandler::*step)()) {
   timer.expires_after(wait);
   timer.async_wait(
       [weak = weak_from_this(), step](const boost::system::error_code& error) {
@@ -93,7 +94,7 @@
       });
 }
 
-void Call::ClaimKey() {
+void RequestHandler::ClaimKey() {
   if (!MayClaim()) {
     RefuseForStop();
     return;
@@ -104,26 +105,26 @@
              });
 }
 
-void Call::OnKey(const IdempotencyDecision& decision) {
-  if (!decision.run) {
+void RequestHandler::OnKey(const IdempotencyDecision& decision) {
+  if (!decision.may_run) {
     Answer(decision.answer, decision.outcome);
     return;
   }
-  exchange_->CheckCaller();
+  exchange_->CheckConnection();
   if (done_) {
-    key_.Settle({}, RunOutcome::kNotRun);
+    key_.RecordOutcome({}, RunOutcome::kNotRun);
     return;
   }
   Attempt();
 }
 
-Duration Call::ReturnAfter(const Pick& next) {
+Duration RequestHandler::ReturnAfter(const Pick& next) {
   return next.upstream
-             ? state_.picker.ReturnAfter(request_, next, BootClock::now())
+             ? state_.picker.RetryDelay(request_, next, BootClock::now())
              : next.retry_after;
 }
 
-void Call::Attempt() {
+void RequestHandler::Attempt() {
   const Pick pick = ChooseNow();
   if (pick.failure == PickFailure::kNone) {
     Send(pick);
@@ -135,19 +136,19 @@
 // A repeatable request leaves an upstream that stays silent for far longer
 // than expected, if another one would have it and time is left. Else it waits
 // on: a work that is under way may still be answered.
-void Call::ArmPatience(Duration patience) {
+void RequestHandler::ArmPatience(Duration patience) {
   if (state_.settings.policy.IsEnabled(Mechanism::kPatience)) {
-    Arm(patience_timer_, patience, &Call::OnPatienceOver);
+    Arm(patience_timer_, patience, &RequestHandler::OnPatienceOver);
   }
 }
 
 // A host that is being stopped leaves work where it is.
-bool Call::MayGoElsewhere() const {
+bool RequestHandler::MayGoElsewhere() const {
   return !done_ && attempt_.IsInFlight() && !state_.leaving &&
          attempts_ + 1 < route_->max_attempts && Left() > kMinAttemptTime;
 }
 
-void Call::OnPatienceOver() {
+void RequestHandler::OnPatienceOver() {
   const bool silent = attempt_.DetectSilence();
   if (!route_->repeatable || !MayGoElsewhere()) {
     return;
@@ -165,22 +166,22 @@
   trace_.NoteFailed(attempt_.pick().upstream->info.id,
                     silent ? "the connection is silent"
                            : "no answer for far longer than expected",
-                    BootClock::now() - attempt_.sent());
+                    BootClock::now() - attempt_.sent_at());
   ++attempts_;
   attempt_.NoteNoAnswer();
   NoteVersion(attempt_.pick(), true);
-  CancelAttempt(AbortCause::kPatience);
+  CancelAttempt(AbortCause::kFailoverTimeout);
   Retry(next);
 }
 
-void Call::Retry(const Pick& next) {
+void RequestHandler::Retry(const Pick& next) {
   retried_ = true;
   trace_.Note(EventCode::kRequestRetried,
               {{field::kUpstream, next.upstream->info.id}});
   Send(next);
 }
 
-void Call::Send(const Pick& pick) {
+void RequestHandler::Send(const Pick& pick) {
   const Duration left = Left();
   if (left < kLeastTimeLeft) {
     OnDeadline();
@@ -188,25 +189,25 @@
   }
   const std::string& upstream = pick.upstream->info.id;
   trace_.NoteSent(pick, attempts_ + unsent_ + 1, BootClock::now());
-  state_.metrics.OnSent(pick.wait);
+  state_.metrics.OnSent(pick.expected_wait);
   request_.excluded.insert(upstream);
   runs_.OnSent();
   NoteCrashTrial();
   attempt_.Start(
       pick, request_.key, exchange_->request(),
-      {request_id_, account_.get(), state_.accounts.IsInForce(),
+      {request_id_, account_.get(), state_.accounts.RequiresKeys(),
        route_->repeatable},
       {left, deadline_ - BootClock::now()}, [this] { OnOpened(); },
       [self = shared_from_this()](const CallResult& result) {
         self->OnResult(result);
       });
-  ArmPatience(FailoverTimeoutFor(pick.expected, left));
+  ArmPatience(FailoverTimeoutFor(pick.expected_latency, left));
 }
 
-void Call::OnResult(const CallResult& result) {
+void RequestHandler::OnResult(const CallResult& result) {
   patience_timer_.cancel();
   const Pick pick = attempt_.pick();
-  const Time sent = attempt_.sent();
+  const Time sent = attempt_.sent_at();
   UpstreamState& upstream = *pick.upstream;
   if (result.outcome != CallOutcome::kAnswered) {
     trace_.NoteFailed(upstream.info.id, result.detail, BootClock::now() - sent);
@@ -232,7 +233,9 @@
   }
 }
 
-void Call::OnAnswer(const Pick& pick, Time sent, const CallResult& result) {
+void RequestHandler::OnAnswer(const Pick& pick,
+                              Time sent,
+                              const CallResult& result) {
   ++attempts_;
   const Time now = BootClock::now();
   UpstreamState& upstream = *pick.upstream;
@@ -242,7 +245,7 @@
       // Another upstream has the address now; the list will say so.
       state_.OnAttemptFailed(upstream);
     }
-    ++upstream.turned_away;
+    ++upstream.not_run;
     trace_.Note(EventCode::kAttemptNotRun,
                 {{field::kUpstream, upstream.info.id},
                  IntegerField(field::kStatus, result.response.status)});
@@ -275,7 +278,7 @@
 
 // What an upstream that is starting, or in need, takes says nothing of its
 // version.
-void Call::NoteVersion(const Pick& pick, bool bad) {
+void RequestHandler::NoteVersion(const Pick& pick, bool bad) {
   const UpstreamState& upstream = *pick.upstream;
   Rollout* rollout = state_.rollouts.Find(upstream.info.service);
   if (rollout != nullptr && !upstream.IsRateBounded(BootClock::now())) {
@@ -283,9 +286,9 @@
   }
 }
 
-void Call::OnFailure(const CallResult& result) {
+void RequestHandler::OnFailure(const CallResult& result) {
   if (done_) {
-    key_.Settle({}, RunOutcome::kUnknown);
+    key_.RecordOutcome({}, RunOutcome::kUnknown);
     return;
   }
   if (route_->repeatable) {
@@ -296,7 +299,7 @@
   }
 }
 
-bool Call::MayRetry() {
+bool RequestHandler::MayRetry() {
   if (attempts_ == 0) {
     return unsent_ < kMostUnsent;
   }
@@ -305,10 +308,10 @@
          state_.RetryBudgetOf(request_.service).TryAcquire();
 }
 
-void Call::RetryOrGiveUp() {
-  exchange_->CheckCaller();
+void RequestHandler::RetryOrGiveUp() {
+  exchange_->CheckConnection();
   if (done_) {
-    key_.Settle({}, RunOutcome::kNotRun);
+    key_.RecordOutcome({}, RunOutcome::kNotRun);
     return;
   }
   if (left_) {
@@ -329,23 +332,23 @@
                 crashes ? "upstreams ended under it" : "no upstream answered");
 }
 
-void Call::Refuse(Duration retry_after,
-                  const std::string& reason,
-                  const Pick* best) {
+void RequestHandler::Refuse(Duration retry_after,
+                            const std::string& reason,
+                            const Pick* best) {
   state_.metrics.OnRefused(reason);
   trace_.NoteRefused(reason, retry_after, *route_, Left(), best);
   GiveQuotaBack();
   Answer(NotRunResponse(reason, retry_after), RunOutcome::kNotRun);
 }
 
-void Call::AnswerUnknown(int status, const std::string& reason) {
+void RequestHandler::AnswerUnknown(int status, const std::string& reason) {
   trace_.Note(EventCode::kRequestUnknown,
               {{field::kReason, reason}, IntegerField(field::kStatus, status)});
   Answer(TextResponse(status, reason + "\n"), RunOutcome::kUnknown);
 }
 
-void Call::Answer(HttpResponse response, RunOutcome outcome) {
-  key_.Settle(response, outcome);
+void RequestHandler::Answer(HttpResponse response, RunOutcome outcome) {
+  key_.RecordOutcome(response, outcome);
   if (done_) {
     return;
   }
@@ -355,7 +358,7 @@
     response.headers.push_back({state_.headers.request_id, request_id_});
   }
   response.headers.push_back({kOutcomeHeader, ToString(outcome)});
-  const Duration latency = BootClock::now() - exchange_->received();
+  const Duration latency = BootClock::now() - exchange_->received_at();
   trace_.Note(EventCode::kRequestAnswered,
               {IntegerField(field::kStatus, response.status),
                {field::kOutcome, std::string(ToString(outcome))},
@@ -367,12 +370,12 @@
   exchange_->Respond(std::move(response));
 }
 
-bool Call::WentWrong(RunOutcome outcome, Duration latency) const {
+bool RequestHandler::WentWrong(RunOutcome outcome, Duration latency) const {
   return outcome != RunOutcome::kAnswered || retried_ || left_ ||
          latency > route_->target_latency * kSlowMultiple;
 }
 
-void Call::OnDeadline() {
+void RequestHandler::OnDeadline() {
   const auto self = shared_from_this();
   if (done_) {
     return;
--- a/src/pathcleat/gateway/call_account.cpp
+++ b/src/pathcleat/gateway/call_account.cpp
@@ -8,12 +8,12 @@
 
 namespace pathcleat {
 
-bool Call::TakeQuota() {
+bool RequestHandler::TakeQuota() {
   if (!account_) {
     return true;
   }
   const Time now = BootClock::now();
-  const QuotaResult quota = state_.quotas.Take(
+  const QuotaResult quota = state_.quotas.Admit(
       *account_, request_.CallerTimeLeft(), route_->target_latency, now);
   counts_ = quota.decision.allowed;
   if (counts_) {
@@ -28,7 +28,7 @@
 }
 
 // What certainly has not run is no use of the account's limit.
-void Call::GiveQuotaBack() {
+void RequestHandler::GiveQuotaBack() {
   if (std::exchange(counts_, false)) {
     state_.quotas.control().Release(*account_, BootClock::now());
   }
--- a/src/pathcleat/gateway/call_crash.cpp
+++ b/src/pathcleat/gateway/call_crash.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-RequestDigest Call::Digest() {
+RequestDigest RequestHandler::Digest() {
   if (!digest_) {
     digest_ = DigestOf(exchange_->request(), account_ ? account_->name : "",
                        state_.request_hasher);
@@ -22,26 +22,26 @@
   return *digest_;
 }
 
-bool Call::CountsCrashes() const {
+bool RequestHandler::CountsCrashes() const {
   return state_.request_hasher.IsReady() &&
          state_.settings.policy.IsEnabled(Mechanism::kCrashBlock);
 }
 
 // As long as nothing is suspected, no digest is reckoned.
-bool Call::MayBeSuspected() const {
+bool RequestHandler::MayBeSuspected() const {
   return !state_.crashes.IsEmpty() && CountsCrashes();
 }
 
-CrashDecision Call::JudgeCrashes(Time now) {
-  return MayBeSuspected() ? state_.crashes.Judge(Digest(), now)
+CrashDecision RequestHandler::JudgeCrashes(Time now) {
+  return MayBeSuspected() ? state_.crashes.Decide(Digest(), now)
                           : CrashDecision();
 }
 
 // A request under which this call's upstream has ended gets no second one if
 // others have ended under it before.
-std::optional<Pick> Call::KeptFromUpstreams(Time now) {
+std::optional<Pick> RequestHandler::KeptFromUpstreams(Time now) {
   const CrashDecision verdict = JudgeCrashes(now);
-  if (!verdict.blocked && !(ended_under_ && verdict.crashes > 0)) {
+  if (!verdict.blocked && !(ended_under_ && verdict.crash_count > 0)) {
     return std::nullopt;
   }
   trace_.NoteSuspected(Digest(), verdict);
@@ -51,23 +51,23 @@
   return pick;
 }
 
-void Call::NoteCrashTrial() {
+void RequestHandler::NoteCrashTrial() {
   on_trial_ =
       MayBeSuspected() && state_.crashes.OnSent(Digest(), BootClock::now());
 }
 
 // A connection ends without an answer also where it was reset, or had been
 // idle for too long. Only where nobody listens any more has the upstream ended.
-void Call::NoteEndedUnder(const CallResult& result) {
+void RequestHandler::NoteEndedUnder(const CallResult& result) {
   const bool by_peer = result.outcome == CallOutcome::kConnectionLost &&
-                       !result.closed_locally && !result.silent;
+                       !result.closed_locally && !result.connection_silent;
   const UpstreamInfo& upstream = attempt_.pick().upstream->info;
   const auto endpoint = ParseTcpEndpoint(upstream.address);
   if (!by_peer || !endpoint || !CountsCrashes()) {
     return;
   }
   ended_under_ = true;
-  state_.listen_probe.Ask(
+  state_.listen_probe.Probe(
       *endpoint, kProbeTimeout,
       [&state = state_, request = Digest(), id = StableHash(upstream.id)] {
         state.metrics.OnUpstreamCrashed();
@@ -76,7 +76,7 @@
 }
 
 // Whatever the answer says: what crashes its upstream gets none.
-void Call::NoteRunEnded() {
+void RequestHandler::NoteRunEnded() {
   if (MayBeSuspected()) {
     state_.crashes.OnAnswer(Digest(), BootClock::now());
   }
--- a/src/pathcleat/gateway/call_left.cpp
+++ b/src/pathcleat/gateway/call_left.cpp
@@ -9,7 +9,7 @@
 // Repeatable work is cancelled at the upstream, and what has not been sent is
 // taken back, also the rest of a body. Other work that an upstream has whole
 // runs to its end, as nobody could tell afterwards how far it had come.
-void Call::CancelAttempt(AbortCause cause) {
+void RequestHandler::CancelAttempt(AbortCause cause) {
   if (attempt_.IsInFlight() &&
       (route_->repeatable || !attempt_.IsFullySent())) {
     if (!attempt_.MayHaveSent()) {
@@ -21,7 +21,7 @@
 
 // Nothing more is started. A caller that has only ended its side of the
 // connection is still answered, with what can be told truthfully.
-void Call::OnCallerLeft() {
+void RequestHandler::OnCallerLeft() {
   if (done_ || left_) {
     return;
   }
@@ -39,7 +39,7 @@
   EndForCallerLeft();
 }
 
-void Call::EndForCallerLeft() {
+void RequestHandler::EndForCallerLeft() {
   if (runs_.MayHaveRun()) {
     AnswerUnknown(http_status::kBadGateway, "the caller has left");
   } else {
--- a/src/pathcleat/gateway/call_stop.cpp
+++ b/src/pathcleat/gateway/call_stop.cpp
@@ -14,18 +14,18 @@
 }  // namespace
 
 // Time that an upstream may be given.
-Duration Call::Left() const {
-  return state_.stop.WorkDeadline(deadline_) - BootClock::now();
+Duration RequestHandler::Left() const {
+  return state_.shutdown.WorkDeadline(deadline_) - BootClock::now();
 }
 
 // A claim is a write that must be undone if the work is not begun, so it is
 // made only if there is time for all that the target allows.
-bool Call::MayClaim() const {
-  return !state_.stop.ShortensDeadline(deadline_) ||
+bool RequestHandler::MayClaim() const {
+  return !state_.shutdown.ShortensDeadline(deadline_) ||
          Left() >= route_->target_latency;
 }
 
-Pick Call::ChooseNow() {
+Pick RequestHandler::ChooseNow() {
   if (auto kept = KeptFromUpstreams(BootClock::now())) {
     return *kept;
   }
@@ -35,15 +35,16 @@
       rollout == nullptr ? nullptr : rollout->RuleFor(attempts_ == 0);
   const Time now = BootClock::now();
   Pick pick = state_.picker.Choose(request_, now);
-  if (!pick.upstream && request_.versions && !request_.versions->only.empty()) {
+  if (!pick.upstream && request_.versions &&
+      !request_.versions->required_version.empty()) {
     // What is tried has no room: that is no reason to refuse.
     request_.versions = rollout->RuleFor(false);
     pick = state_.picker.Choose(request_, now);
   }
-  const StopPlan& stop = state_.stop;
+  const ShutdownSchedule& stop = state_.shutdown;
   const bool too_late =
       pick.failure == PickFailure::kTooLate && stop.ShortensDeadline(deadline_);
-  const WorkTimes times{pick.expected, route_->target_latency,
+  const WorkTimes times{pick.expected_latency, route_->target_latency,
                         route_->repeatable};
   const bool may_begin = !pick.upstream || stop.MayStart(times, deadline_, now);
   if (too_late || !may_begin) {
@@ -54,13 +55,13 @@
   return pick;
 }
 
-void Call::RefuseForStop() {
+void RequestHandler::RefuseForStop() {
   Refuse(kRetryElsewhere, ReasonOf(PickFailure::kHostStops));
 }
 
 // An upstream at work has had all the time there is. What its caller is told
 // is true also if the work goes on.
-void Call::OnHostEnds() {
+void RequestHandler::OnHostShutdown() {
   const auto self = shared_from_this();
   if (done_) {
     return;
--- a/src/pathcleat/gateway/fleet_view.cpp
+++ b/src/pathcleat/gateway/fleet_view.cpp
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-FleetView::FleetView(GatewayState& state,
+FleetSync::FleetSync(GatewayState& state,
                      FleetSource& store,
                      std::function<void(const RoutingConfig&)> on_config,
                      std::function<void()> on_access)
@@ -65,11 +65,11 @@
       lag_(kLagSilence),
       upstream_journal_(kChangesKept) {}
 
-Result<void> FleetView::Open(const std::string& address, std::uint16_t port) {
+Result<void> FleetSync::Open(const std::string& address, std::uint16_t port) {
   return peers_.Open(address, port);
 }
 
-void FleetView::Start() {
+void FleetSync::Start() {
   if (std::exchange(started_, true)) {
     return;
   }
@@ -77,44 +77,44 @@
   upstream_list_.Start();
 }
 
-bool FleetView::IsLoaded() const {
+bool FleetSync::IsLoaded() const {
   return state_.routes.IsLoaded() && upstream_list_.IsLoaded();
 }
 
-void FleetView::OnAwake(Time since) {
+void FleetSync::OnStallEnded(Time since) {
   Distrust(SourceTopic::kOrders, since);
   Distrust(SourceTopic::kUpstreams, since);
 }
 
 // Whether a watch at another host lives shows in what others know.
-void FleetView::Distrust(SourceTopic topic, Time since) {
+void FleetSync::Distrust(SourceTopic topic, Time since) {
   if (!source_.FollowsPeer(topic)) {
     WatcherOf(topic).RestartIfOlderThan(since);
   }
 }
 
-HostVersions FleetView::Versions() const {
+HostVersions FleetSync::Versions() const {
   HostVersions versions;
   versions.config = state_.routes.version();
-  versions.orders = orders_.changed();
-  versions.upstreams = upstream_list_.changed();
+  versions.orders = orders_.newest_change_version();
+  versions.upstreams = upstream_list_.newest_change_version();
   const Time now = BootClock::now();
-  versions.store = source_.access(now);
+  versions.store_access = source_.store_access(now);
   if (versions.config > 0) {
     versions.config_age_ms = WholeMilliseconds(now - state_.routes_applied_at);
   }
   return versions;
 }
 
-SourceWatcher& FleetView::WatcherOf(SourceTopic topic) {
+SourceWatcher& FleetSync::WatcherOf(SourceTopic topic) {
   return topic == SourceTopic::kOrders ? orders_ : upstream_list_;
 }
 
-const SourceWatcher& FleetView::WatcherOf(SourceTopic topic) const {
+const SourceWatcher& FleetSync::WatcherOf(SourceTopic topic) const {
   return topic == SourceTopic::kOrders ? orders_ : upstream_list_;
 }
 
-void FleetView::OnPeerVersions(const std::string& from,
+void FleetSync::OnPeerVersions(const std::string& from,
                                const HostVersions& versions) {
   lag_.OnPeerVersion(versions.config,
                      std::chrono::milliseconds(versions.config_age_ms),
@@ -123,7 +123,7 @@
   AskIfBehind(SourceTopic::kUpstreams, from, versions.upstreams);
 }
 
-void FleetView::AskIfBehind(SourceTopic topic,
+void FleetSync::AskIfBehind(SourceTopic topic,
                             const std::string& from,
                             std::uint64_t changed) {
   const Time now = BootClock::now();
@@ -135,7 +135,8 @@
   // Who was heard knows more; the host to ask need not be the same.
   const KnownHost* informed = ChooseUpToDateHost(
       state_.hosts,
-      [topic, known = watcher.changed()](const HostVersions& versions) {
+      [topic,
+       known = watcher.newest_change_version()](const HostVersions& versions) {
         return ChangedIn(versions, topic) > known;
       },
       StableHash(from), now);
@@ -144,24 +145,25 @@
   }
 }
 
-void FleetView::AskBeside(SourceTopic topic, const FeedPeer& peer) {
+void FleetSync::AskBeside(SourceTopic topic, const FeedPeer& peer) {
   const SourceWatcher& watcher = WatcherOf(topic);
   const std::uint64_t after = watcher.IsLoaded() ? watcher.version() : 0;
   asking_[topic] = true;
-  peers_.Ask(
-      peer, {topic, after, Duration(0)},
-      [this, topic, name = peer.name](const std::optional<FeedAnswer>& answer) {
-        asking_[topic] = false;
-        if (answer) {
-          TakeBeside(topic, name, *answer);
-        }
-      });
+  peers_.Fetch(peer, {topic, after, Duration(0)},
+               [this, topic,
+                name = peer.name](const std::optional<FeedResponse>& answer) {
+                 asking_[topic] = false;
+                 if (answer) {
+                   TakeBeside(topic, name, *answer);
+                 }
+               });
 }
 
-void FleetView::TakeBeside(SourceTopic topic,
+void FleetSync::TakeBeside(SourceTopic topic,
                            const std::string& peer,
-                           const FeedAnswer& answer) {
-  if (!WatcherOf(topic).Adopt(AnswerOf(answer.snapshot, answer.transfer))) {
+                           const FeedResponse& answer) {
+  if (!WatcherOf(topic).ApplyIfNewer(
+          ToSourceAnswer(answer.snapshot, answer.transfer))) {
     return;
   }
   state_.events.Record(EventCode::kTakenFromPeer, peer,
@@ -169,86 +171,87 @@
                            std::to_string(answer.snapshot.version));
 }
 
-std::uint64_t FleetView::Newest(SourceTopic topic) const {
-  return WatcherOf(topic).changed();
+std::uint64_t FleetSync::NewestVersion(SourceTopic topic) const {
+  return WatcherOf(topic).newest_change_version();
 }
 
-const RoutingConfig* FleetView::Config() const {
+const RoutingConfig* FleetSync::Config() const {
   return state_.routes.IsLoaded() ? &state_.routes.config() : nullptr;
 }
 
-FleetSnapshot FleetView::Snapshot(const FeedRequest& request) {
+FleetSnapshot FleetSync::MakeSnapshot(const FeedRequest& request) {
   const SourceWatcher& watcher = WatcherOf(request.topic);
   FleetSnapshot snapshot;
   snapshot.topic = request.topic;
   snapshot.version = watcher.version();
-  snapshot.changed = watcher.changed();
-  snapshot.unsettled = BootClock::now() < unsettled_until_;
+  snapshot.newest_change_version = watcher.newest_change_version();
+  snapshot.removals_uncertain = BootClock::now() < unsettled_until_;
   if (request.topic == SourceTopic::kOrders) {
-    AddOrders(snapshot, request.config);
+    AddOrders(snapshot, request.config_version);
   } else {
     AddUpstreams(snapshot, request.after);
   }
   return snapshot;
 }
 
-void FleetView::AddOrders(FleetSnapshot& snapshot, std::uint64_t known) {
-  snapshot.drained = state_.upstreams.drained_domains();
-  snapshot.rollouts = state_.rollouts.orders();
+void FleetSync::AddOrders(FleetSnapshot& snapshot, std::uint64_t known) {
+  snapshot.drained_domains = state_.upstreams.drained_domains();
+  snapshot.rollout_orders = state_.rollouts.orders();
   const RoutingConfig* config = Config();
   if (config != nullptr && config->version > known) {
     snapshot.config_update = config_history_.EncodedUpdateSince(*config, known);
   }
 }
 
-void FleetView::AddUpstreams(FleetSnapshot& snapshot,
+void FleetSync::AddUpstreams(FleetSnapshot& snapshot,
                              std::uint64_t after) const {
   const Time now = BootClock::now();
-  const auto changed = upstream_journal_.Since(after);
-  snapshot.whole = after == 0 || !changed;
+  const auto changed = upstream_journal_.ChangedSince(after);
+  snapshot.is_full = after == 0 || !changed;
   std::set<std::string> gone;
-  if (!snapshot.whole) {
+  if (!snapshot.is_full) {
     gone = *changed;
   }
   for (const UpstreamPtr& upstream : state_.upstreams.All()) {
-    const bool told = snapshot.whole || changed->contains(upstream->info.id);
+    const bool told = snapshot.is_full || changed->contains(upstream->info.id);
     if (!told || upstream->lapse_deadline) {
       continue;
     }
     gone.erase(upstream->info.id);
     UpstreamInfo info = upstream->info;
-    info.cold_for = std::max(Duration::zero(), upstream->cold_until - now);
+    info.cold_remaining =
+        std::max(Duration::zero(), upstream->cold_until - now);
     snapshot.upstreams.push_back(info);
   }
-  snapshot.gone.assign(gone.begin(), gone.end());
+  snapshot.removed_upstreams.assign(gone.begin(), gone.end());
 }
 
-void FleetView::OnUpstreams(const SourceUpdate& update) {
+void FleetSync::OnUpstreams(const SourceUpdate& update) {
   const Time now = BootClock::now();
   const bool may_come_back = MayComeBack(update, now);
   list_transfer_ = update.transfer;
-  if (update.relayed && !update.unsettled) {
+  if (update.relayed && !update.removals_uncertain) {
     BoundLapses(now + kLapseTime);
   }
-  if (update.whole) {
+  if (update.is_full) {
     upstream_journal_.ResetTo(update.version);
   }
   std::set<std::string> listed;
   for (const FleetChange& change : update.changes) {
     if (const auto* upstream = std::get_if<UpstreamInfo>(&change)) {
       listed.insert(upstream->id);
-      upstream_journal_.Note(update.changed, upstream->id);
+      upstream_journal_.Append(update.newest_change_version, upstream->id);
       OnUpstream(*upstream, now);
     } else if (const auto* gone = std::get_if<UpstreamGone>(&change)) {
-      upstream_journal_.Note(update.changed, gone->id);
+      upstream_journal_.Append(update.newest_change_version, gone->id);
       OnGone(gone->id, may_come_back, now);
     } else if (const auto* bad = std::get_if<UnreadableRow>(&change)) {
-      upstream_journal_.Note(update.changed, bad->key);
+      upstream_journal_.Append(update.newest_change_version, bad->key);
       state_.events.Record(EventCode::kSettingsFault, bad->key, bad->reason);
       OnGone(bad->key, false, now);
     }
   }
-  if (update.whole) {
+  if (update.is_full) {
     for (const UpstreamPtr& upstream : state_.upstreams.All()) {
       if (!listed.contains(upstream->info.id)) {
         OnGone(upstream->info.id, may_come_back, now);
@@ -262,7 +265,7 @@
   peers_.Publish(SourceTopic::kUpstreams);
 }
 
-void FleetView::OnUpstream(const UpstreamInfo& upstream, Time now) {
+void FleetSync::OnUpstream(const UpstreamInfo& upstream, Time now) {
   if (!state_.settings.region_of_domain.contains(upstream.domain)) {
     state_.events.Record(EventCode::kSettingsFault, upstream.id,
                          "no such failure domain: " + upstream.domain);
@@ -271,32 +274,32 @@
   }
   const bool started_again = state_.upstreams.Put(upstream, now);
   if (started_again) {
-    state_.pool.Drop(upstream.id);
+    state_.connection_pool.CloseConnections(upstream.id);
   }
   if (upstream.leaving) {
-    state_.pool.Drop(upstream.id);
+    state_.connection_pool.CloseConnections(upstream.id);
     RecordOfList(EventCode::kUpstreamLeaving, upstream.id);
   }
 }
 
 // A watch that waits may tell of lapsed entries while the store is away.
-bool FleetView::MayComeBack(const SourceUpdate& update, Time now) const {
-  const bool unsettled =
-      update.relayed ? update.unsettled : store_lost_ || now < unsettled_until_;
+bool FleetSync::MayComeBack(const SourceUpdate& update, Time now) const {
+  const bool unsettled = update.relayed ? update.removals_uncertain
+                                        : store_lost_ || now < unsettled_until_;
   const auto listed = static_cast<double>(state_.upstreams.size());
   return unsettled &&
          static_cast<double>(CountGone(update)) >= listed * kLapsePart;
 }
 
-std::size_t FleetView::CountGone(const SourceUpdate& update) const {
+std::size_t FleetSync::CountGone(const SourceUpdate& update) const {
   std::size_t named = 0;
   for (const FleetChange& change : update.changes) {
-    const bool counts = update.whole
+    const bool counts = update.is_full
                             ? std::holds_alternative<UpstreamInfo>(change)
                             : std::holds_alternative<UpstreamGone>(change);
     named += counts ? 1 : 0;
   }
-  if (!update.whole) {
+  if (!update.is_full) {
     return named;
   }
   const std::size_t listed = state_.upstreams.size();
@@ -304,32 +307,32 @@
 }
 
 // Entries that lapsed while the store was away have this long from its return.
-void FleetView::BoundLapses(Time until) {
+void FleetSync::BoundLapses(Time until) {
   for (const UpstreamPtr& upstream : state_.upstreams.Lapsed()) {
     upstream->lapse_deadline = std::min(*upstream->lapse_deadline, until);
   }
 }
 
-void FleetView::OnGone(const std::string& id, bool may_come_back, Time now) {
+void FleetSync::OnGone(const std::string& id, bool may_come_back, Time now) {
   const Time ends = store_lost_ ? Time::max() : now + kLapseTime;
   if (may_come_back && state_.upstreams.Lapse(id, ends)) {
     return;
   }
   state_.upstreams.Remove(id);
-  state_.pool.Drop(id);
+  state_.connection_pool.CloseConnections(id);
   RecordOfList(EventCode::kUpstreamGone, id);
 }
 
-void FleetView::RecordOfList(EventCode code, const std::string& upstream) {
+void FleetSync::RecordOfList(EventCode code, const std::string& upstream) {
   state_.events.Record(
       code, upstream, "",
       {IntegerField(field::kListVersion, upstream_list_.version()),
        {field::kFrom, list_transfer_.from},
        IntegerField(field::kBytes, list_transfer_.bytes),
-       MillisecondsField(field::kTransferMs, list_transfer_.took)});
+       MillisecondsField(field::kTransferMs, list_transfer_.transfer_time)});
 }
 
-void FleetView::Tick(Time now) {
+void FleetSync::Tick(Time now) {
   for (const UpstreamPtr& upstream : state_.upstreams.Lapsed()) {
     if (now >= *upstream->lapse_deadline) {
       OnGone(upstream->info.id, false, now);
@@ -337,7 +340,7 @@
   }
 }
 
-void FleetView::OnStore(bool reached, SourceTopic topic) {
+void FleetSync::OnStore(bool reached, SourceTopic topic) {
   state_.store_reachable = reached;
   if (reached) {
     const SourceTopic other = topic == SourceTopic::kOrders
@@ -358,9 +361,9 @@
       reached ? "the store answers" : "the store does not answer");
 }
 
-void FleetView::OnAccess() {
+void FleetSync::OnAccess() {
   const bool watching =
-      source_.access(BootClock::now()) == StoreAccess::kWatching;
+      source_.store_access(BootClock::now()) == StoreAccess::kWatching;
   peers_.SetWatchingStore(watching && !state_.leaving);
   on_access_();
 }
--- a/src/pathcleat/gateway/fleet_view_orders.cpp
+++ b/src/pathcleat/gateway/fleet_view_orders.cpp
@@ -11,13 +11,13 @@
 
 namespace pathcleat {
 
-void FleetView::AdoptConfig(const RoutingConfig& config,
+void FleetSync::AdoptConfig(const RoutingConfig& config,
                             const Transfer& transfer) {
   const std::uint64_t replaces = state_.routes.version();
-  if (state_.routes.Adopt(config)) {
-    config_history_.Note(state_.routes.config());
-    state_.accounts.Adopt(state_.routes.accounts());
-    state_.quotas.control().Adopt(state_.accounts.All());
+  if (state_.routes.ReplaceIfNewer(config)) {
+    config_history_.Append(state_.routes.config());
+    state_.accounts.SetAccounts(state_.routes.accounts());
+    state_.quotas.control().SetAccounts(state_.accounts.All());
     lag_.OnApplied(config.version);
     on_config_(config);
     state_.routes_applied_at = BootClock::now();
@@ -27,12 +27,12 @@
          IntegerField(field::kReplaces, replaces),
          {field::kFrom, transfer.from},
          IntegerField(field::kBytes, transfer.bytes),
-         MillisecondsField(field::kTransferMs, transfer.took),
+         MillisecondsField(field::kTransferMs, transfer.transfer_time),
          MillisecondsField(field::kDecodeMs, transfer.decode_time)});
   }
 }
 
-void FleetView::OnOrders(const SourceUpdate& update) {
+void FleetSync::OnOrders(const SourceUpdate& update) {
   for (const FleetChange& change : update.changes) {
     if (const auto* config = std::get_if<RoutingConfig>(&change)) {
       AdoptConfig(*config, update.transfer);
@@ -45,8 +45,8 @@
   peers_.Publish(SourceTopic::kOrders);
 }
 
-void FleetView::OnDrains(const SourceUpdate& update) {
-  std::set<std::string> drained = update.whole
+void FleetSync::OnDrains(const SourceUpdate& update) {
+  std::set<std::string> drained = update.is_full
                                       ? std::set<std::string>()
                                       : state_.upstreams.drained_domains();
   for (const FleetChange& change : update.changes) {
@@ -69,9 +69,9 @@
   }
 }
 
-void FleetView::OnRollouts(const SourceUpdate& update) {
+void FleetSync::OnRollouts(const SourceUpdate& update) {
   std::map<std::string, RolloutOrder> orders;
-  if (!update.whole) {
+  if (!update.is_full) {
     for (const RolloutOrder& order : state_.rollouts.orders()) {
       orders[order.service] = order;
     }
@@ -88,7 +88,7 @@
   for (const auto& [service, order] : orders) {
     standing.push_back(order);
   }
-  state_.rollouts.OnOrders(standing);
+  state_.rollouts.SetOrders(standing);
   state_.RefreshRollouts();
 }
 
--- a/src/pathcleat/gateway/gateway.cpp
+++ b/src/pathcleat/gateway/gateway.cpp
@@ -63,7 +63,7 @@
                  TableStore& store,
                  FleetSource& source,
                  RolloutStatusStore& statuses,
-                 KeyDigester& digester)
+                 KeyedHasher& digester)
     : state_(loop, settings, headers, store, digester, WallMicros()),
       digester_(digester),
       secrets_(loop, store, [this] { OnSecrets(); }),
@@ -75,7 +75,7 @@
           state_.events,
           state_.peer_traffic,
           {state_.quotas.control(), state_.rollouts, state_.crashes,
-           state_.limits},
+           state_.upstream_limits},
           [this] { return Versions(); },
           [this](const std::string& from, const HostVersions& versions) {
             commands_.OnPeerVersion(versions.commands);
@@ -87,7 +87,7 @@
           [this](const RoutingConfig& config) {
             callers_.SetLimits(config.caller_limits);
           },
-          [this] { peers_.Tell(); }),
+          [this] { peers_.PublishHeartbeat(); }),
       rows_(
           loop,
           store,
@@ -106,7 +106,7 @@
       tick_timer_(loop),
       stop_timer_(loop) {
   state_.crashes.SetOnUpdate([this] { peers_.PublishCrashes(); });
-  state_.limits.SetOnUpdate([this] { peers_.PublishLimits(); });
+  state_.upstream_limits.SetOnUpdate([this] { peers_.PublishLimits(); });
 }
 
 Result<void> Gateway::ListenAt(HttpServer& server, const std::string& address) {
@@ -152,7 +152,7 @@
 // Past the bound a request must not be handled as only an older version would.
 bool Gateway::IsTooFarBehind() const {
   const Duration bound = state_.settings.bounds.config_apply - kFirstHostLag;
-  return view_.lag().LagDuration(BootClock::now()) >
+  return view_.config_lag().LagDuration(BootClock::now()) >
          std::max(kFirstHostLag, bound);
 }
 
@@ -163,8 +163,8 @@
 }
 
 void Gateway::OnRow(const TableRow& row) {
-  if (!secrets_.Take(row)) {
-    commands_.Take(row);
+  if (!secrets_.HandleRow(row)) {
+    commands_.HandleRow(row);
   }
 }
 
@@ -189,9 +189,9 @@
                                      state.drained_regions);
   state_.picker.shifts().Sync(state, BootClock::now());
   state_.client_regions.Assign(state.blocks);
-  state_.rollouts.Adopt(state.rollouts);
+  state_.rollouts.SetStates(state.rollouts);
   state_.RefreshRollouts();
-  peers_.Tell();
+  peers_.PublishHeartbeat();
 }
 
 void Gateway::AdvanceShifts(Time now) {
@@ -202,16 +202,16 @@
   shifts_advanced_ = now;
   state_.picker.shifts().Advance(
       [this, now](const std::string& service, const std::string& region) {
-        return state_.picker.StateOf(service, region, now);
+        return state_.picker.TargetStateOf(service, region, now);
       },
       [this](const ShiftStatus& shift) {
-        const bool moves = shift.step == RampDecision::kAdvanced ||
-                           shift.step == RampDecision::kAtCap;
+        const bool moves = shift.last_decision == RampDecision::kAdvanced ||
+                           shift.last_decision == RampDecision::kAtCap;
         state_.events.Record(
             moves ? EventCode::kShiftStep : EventCode::kShiftHeld,
             shift.plan.service,
-            std::string(ToString(shift.step)) + ", at " +
-                std::to_string(shift.fraction) + " of cap " +
+            std::string(ToString(shift.last_decision)) + ", at " +
+                std::to_string(shift.current_share) + " of cap " +
                 std::to_string(shift.plan.cap));
       },
       now);
@@ -235,7 +235,7 @@
   state_.RefreshRollouts();
   const RolloutContext fleet{state_.hosts.LimitSharerCount(now),
                              state_.events.clock().Tick(WallMicros())};
-  const auto due = state_.rollouts.Judge(fleet, now);
+  const auto due = state_.rollouts.Evaluate(fleet, now);
   rollout_writer_.Tick(due, HostsAhead(now), now);
 }
 
@@ -248,7 +248,7 @@
 void Gateway::HandleLocate(const HttpExchangePtr& exchange) {
   NoteAwake(BootClock::now());
   const std::string& target = exchange->request().target;
-  const std::string own = state_.client_regions.RegionOf(exchange->caller())
+  const std::string own = state_.client_regions.RegionOf(exchange->caller_ip())
                               .value_or(state_.settings.region);
   const auto hosts =
       state_.hosts.Locate(QueryValue(target, "region").value_or(own),
@@ -269,8 +269,8 @@
     inputs.feeds_received_at[topic] = view_.LastReceivedAt(topic);
   }
   inputs.store_calls = probes_.store_calls;
-  if (probes_.log_dropped) {
-    inputs.log_dropped = probes_.log_dropped();
+  if (probes_.dropped_log_lines) {
+    inputs.dropped_log_lines = probes_.dropped_log_lines();
   }
   exchange->Respond(TextResponse(
       http_status::kOk, RenderMetrics(state_, inputs, BootClock::now())));
@@ -281,7 +281,7 @@
 // waited for: when it answers is not known, so the later the better. A caller
 // that names no deadline asks anew which hosts to use after the locate answer's
 // time.
-Duration Gateway::ReturnUnloaded(const Exchange& exchange) const {
+Duration Gateway::ReturnUnloaded(const HttpExchange& exchange) const {
   const std::uint64_t missing = view_.IsLoaded() ? state_.routes.version() : 0;
   if (state_.hosts.OtherHasConfig(missing + 1, BootClock::now())) {
     return Duration::zero();
@@ -307,21 +307,22 @@
   if (!route) {
     // A newer version may have it: that it is unknown would be a guess.
     exchange->Respond(
-        view_.lag().IsBehind(BootClock::now())
+        view_.config_lag().IsBehind(BootClock::now())
             ? NotRunResponse(kBehind, ReturnUnloaded(*exchange))
             : TextResponse(http_status::kNotFound, "no such route\n"));
     return;
   }
   CallerIdentity caller;
-  if (state_.accounts.IsInForce()) {
-    caller = IdentifyCaller(request.headers, state_.accounts, state_.digester);
+  if (state_.accounts.RequiresKeys()) {
+    caller = IdentifyCaller(request.headers, state_.accounts,
+                            state_.account_key_hasher);
     if (!caller.account && route->needs_account_key) {
       RefuseKey(exchange, *route, caller.fault);
       return;
     }
   }
-  std::make_shared<Call>(state_, exchange, std::move(route),
-                         std::move(caller.account))
+  std::make_shared<RequestHandler>(state_, exchange, std::move(route),
+                                   std::move(caller.account))
       ->Start();
 }
 
@@ -330,7 +331,7 @@
                         const Route& route,
                         ApiKeyFault fault) {
   if (fault == ApiKeyFault::kUnknown &&
-      view_.lag().IsBehind(BootClock::now())) {
+      view_.config_lag().IsBehind(BootClock::now())) {
     exchange->Respond(NotRunResponse(kBehind, ReturnUnloaded(*exchange)));
     return;
   }
@@ -348,7 +349,7 @@
 // Timers stand still while the machine is suspended, and the clock runs on:
 // what was to happen meanwhile is due now.
 void Gateway::NoteAwake(Time now) {
-  state_.hosts.OnAwake(now);
+  state_.hosts.CheckForStall(now);
   const Duration still = state_.hosts.TakeStallDuration();
   if (still == Duration::zero()) {
     return;
@@ -356,7 +357,7 @@
   state_.events.Record(EventCode::kHostStoodStill, state_.settings.host, "",
                        {MillisecondsField(field::kElapsedMs, still)});
   awake_since_ = now;
-  view_.OnAwake(now - still);
+  view_.OnStallEnded(now - still);
 }
 
 void Gateway::Tick() {
@@ -365,7 +366,7 @@
   if (now - awake_since_ >= kOverdue) {
     state_.in_flight_requests.EndOverdue(now - kOverdue);
   }
-  if (now - state_.started > kRowsPatience) {
+  if (now - state_.started_at > kRowsPatience) {
     view_.Start();
   }
   AdvanceShifts(now);
@@ -379,11 +380,11 @@
   }
   view_.Tick(now);
   state_.UpdateHostShares(now);
-  if (state_.quotas.control().HasNews()) {
+  if (state_.quotas.control().HasUpdates()) {
     peers_.PublishUsage();
   }
   state_.TickCrashes(now);
-  state_.pool.CloseIdle(now);
+  state_.connection_pool.CloseIdle(now);
   tick_timer_.expires_after(kTickPeriod);
   tick_timer_.async_wait([this](const boost::system::error_code& error) {
     if (!error) {
--- a/src/pathcleat/gateway/gateway_state.cpp
+++ b/src/pathcleat/gateway/gateway_state.cpp
@@ -52,8 +52,10 @@
   PickerSettings picker;
   picker.domain = settings.domain;
   picker.region = settings.region;
-  picker.cross_domain_cost_per_gigabyte = settings.costs.between_domains;
-  picker.cross_region_cost_per_gigabyte = settings.costs.between_regions;
+  picker.cross_domain_cost_per_gigabyte =
+      settings.transfer_costs.between_domains;
+  picker.cross_region_cost_per_gigabyte =
+      settings.transfer_costs.between_regions;
   picker.link_limits = settings.link_limits;
   picker.policy = settings.policy;
   return picker;
@@ -65,21 +67,21 @@
                            const EntrySettings& entry_settings,
                            const HeaderNames& header_names,
                            TableStore& store,
-                           const KeyDigester& key_digester,
+                           const KeyedHasher& key_digester,
                            std::uint64_t incarnation)
     : loop(event_loop),
       settings(entry_settings),
       headers(header_names),
       events(settings.host, kEventsKept),
       hosts(SelfOf(settings, incarnation), kHostSilence),
-      digester(key_digester),
+      account_key_hasher(key_digester),
       quotas(settings.domain,
              settings.host,
              MixHashes(StableHash(settings.host), incarnation)),
       upstreams(settings.region_of_domain, settings.policy),
       picker(PickerSettingsOf(settings), upstreams),
-      pool(loop),
-      keys(loop, store, events),
+      connection_pool(loop),
+      idempotency_keys(loop, store, events),
       client_regions(RegionsOf(settings)),
       traces(kTracesKept),
       request_log(events, settings.request_log),
@@ -88,14 +90,15 @@
       crashes(settings.domain, settings.host),
       listen_probe(loop),
       unknown_headers(headers),
-      limits(upstreams, settings.host, settings.domain) {
-  limits.SetOnChange([this](UpstreamState& upstream, LimitChange change) {
-    OnLimitChange(upstream, change);
-  });
+      upstream_limits(upstreams, settings.host, settings.domain) {
+  upstream_limits.SetOnChange(
+      [this](UpstreamState& upstream, LimitChange change) {
+        OnLimitChange(upstream, change);
+      });
   crashes.SetOnBlockChange([this](const CrashBlockChange& notice) {
     events.Record(notice.blocked ? EventCode::kRequestBlocked
                                  : EventCode::kRequestUnblocked,
-                  ToText(notice.request), "", ToEventFields(notice.verdict));
+                  ToText(notice.request), "", ToEventFields(notice.decision));
   });
 }
 
@@ -105,11 +108,11 @@
 }
 
 RetryBudget& GatewayState::RetryBudgetOf(const std::string& service) {
-  const auto found = retries.find(service);
-  if (found != retries.end()) {
+  const auto found = retry_budgets.find(service);
+  if (found != retry_budgets.end()) {
     return found->second;
   }
-  return retries
+  return retry_budgets
       .emplace(service, RetryBudget(settings.bounds.retry_ratio * kRetryShare,
                                     RetryBurst(BootClock::now())))
       .first->second;
@@ -132,14 +135,14 @@
 
 void GatewayState::UpdateHostShares(Time now) {
   picker.links().SetHostCount(hosts.LimitSharerCountIn(settings.region, now));
-  picker.SetHosts(hosts.LimitSharerCountsByRegion(now));
-  for (auto& [service, budget] : retries) {
+  picker.SetHostCounts(hosts.LimitSharerCountsByRegion(now));
+  for (auto& [service, budget] : retry_budgets) {
     budget.SetBurst(RetryBurst(now));
   }
   ShareQuotas(now);
   picker.SetPinnedDemand(
       quotas.control().DemandByHomeRegion(accounts.All(), now));
-  limits.Tick(now);
+  upstream_limits.Tick(now);
   ShareRates(now);
 }
 
@@ -153,16 +156,16 @@
       others.push_back(StableHash(host->info.name));
     }
   }
-  crashes.SetHosts(std::move(others));
+  crashes.SetOtherHosts(std::move(others));
   crashes.Tick(now);
 }
 
 void GatewayState::RefreshRollouts() {
   for (auto& [service, rollout] : rollouts.All()) {
     int on_others = 0;
-    for (const UpstreamPtr& upstream : upstreams.Of(service)) {
+    for (const UpstreamPtr& upstream : upstreams.ForService(service)) {
       const bool fresh = upstream->info.version == rollout.order().version;
-      on_others += fresh ? 0 : upstream->load.own();
+      on_others += fresh ? 0 : upstream->load.own_in_flight();
     }
     rollout.SetLocalState(upstreams.VersionsOf(service),
                           static_cast<std::uint32_t>(on_others));
@@ -174,11 +177,12 @@
 void GatewayState::ShareQuotas(Time now) {
   const auto others = hosts.Others();
   QuotaHosts sharers;
-  sharers.known = static_cast<int>(others.size()) + 1;
-  sharers.hears_most = hosts.AliveCount(now) >= sharers.known * kMostOfFleet;
-  const Duration running = now - started;
+  sharers.host_count = static_cast<int>(others.size()) + 1;
+  sharers.sees_majority =
+      hosts.AliveCount(now) >= sharers.host_count * kMostOfFleet;
+  const Duration running = now - started_at;
   if (running > kHeardWithin && running < kUnheardCountsFor) {
-    sharers.unheard = static_cast<int>(std::count_if(
+    sharers.never_seen_count = static_cast<int>(std::count_if(
         others.begin(), others.end(),
         [](const KnownHost* host) { return !host->has_heartbeat; }));
   }
@@ -194,17 +198,17 @@
   RateSenders senders(StableHash(settings.host), settings.region);
   int known = 1;
   for (const KnownHost* host : hosts.Others()) {
-    if (hosts.Shares(*host, now)) {
-      senders.Add(StableHash(host->info.name), host->info.region);
+    if (hosts.SharesLimits(*host, now)) {
+      senders.AddHost(StableHash(host->info.name), host->info.region);
     }
     const bool may_live =
-        !host->info.leaving && now - host->heard < kMayBeCutOffFor;
+        !host->info.leaving && now - host->last_seen < kMayBeCutOffFor;
     known += may_live ? 1 : 0;
   }
   senders.SetFleetSize(known);
   for (const UpstreamPtr& upstream : bounded) {
     if (const auto bound = BoundOf(*upstream, now)) {
-      upstream->share.SetRate(
+      upstream->rate_share.SetRate(
           senders.Rate(*bound, upstream->hash, upstream->region), now);
     }
   }
@@ -235,15 +239,15 @@
 void GatewayState::OnLimitChange(UpstreamState& upstream, LimitChange change) {
   const Time now = BootClock::now();
   if (change == LimitChange::kStarted) {
-    upstream.share.SetRate(0, now);
+    upstream.rate_share.SetRate(0, now);
   }
-  const LimitObservation& sign = *upstream.limit.sign();
+  const LimitObservation& sign = *upstream.limit.observation();
   events.Record(change == LimitChange::kEnded ? EventCode::kUpstreamLimitEnded
                                               : EventCode::kUpstreamLimited,
                 upstream.info.id, "",
                 {{field::kLimitPerSecond, sign.per_second.value_or(0)},
                  {field::kFrom, sign.host},
-                 MillisecondsField(field::kAgeMs, now - sign.at)});
+                 MillisecondsField(field::kAgeMs, now - sign.observed_at)});
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/gateway/gateway_stop.cpp
+++ b/src/pathcleat/gateway/gateway_stop.cpp
@@ -20,13 +20,13 @@
   state_.leaving = true;
   stopped_ = std::move(done);
   const Time now = BootClock::now();
-  state_.stop.Begin(now, state_.settings.bounds.stop_grace);
+  state_.shutdown.Begin(now, state_.settings.bounds.stop_grace);
   state_.hosts.SetLeaving();
-  peers_.Tell();
+  peers_.PublishHeartbeat();
   view_.StopPublishing();
   callers_.CloseAfterAnswers();
   state_.events.Record(EventCode::kHostLeaving, state_.settings.host, "");
-  stop_timer_.expires_after(state_.stop.accepts_until() - now);
+  stop_timer_.expires_after(state_.shutdown.accepts_until() - now);
   stop_timer_.async_wait([this](const boost::system::error_code& error) {
     if (!error) {
       FinishStop();
@@ -45,7 +45,7 @@
   const auto refused = refusals.find(ReasonOf(PickFailure::kHostStops));
   state_.events.Record(
       EventCode::kHostStopped, state_.settings.host,
-      std::to_string(state_.requests) + " requests left unanswered",
+      std::to_string(state_.in_flight_count) + " requests left unanswered",
       {IntegerField(field::kRefused,
                     refused == refusals.end() ? 0 : refused->second),
        IntegerField(field::kGivenUp, state_.metrics.given_up_at_shutdown())});
@@ -53,12 +53,13 @@
 
 void Gateway::AwaitQuiet() {
   const Time now = BootClock::now();
-  if (now >= state_.stop.final_answer_time()) {
-    state_.in_flight_requests.OnHostEnds();
+  if (now >= state_.shutdown.final_answer_time()) {
+    state_.in_flight_requests.OnHostShutdown();
   }
-  const bool quiet = state_.requests == 0 && callers_.connections() == 0 &&
-                     state_.keys.pending() == 0;
-  if (quiet || now >= state_.stop.ends()) {
+  const bool quiet = state_.in_flight_count == 0 &&
+                     callers_.connection_count() == 0 &&
+                     state_.idempotency_keys.pending_writes() == 0;
+  if (quiet || now >= state_.shutdown.exit_time()) {
     RecordStopped();
     stopped_();
     return;
--- a/src/pathcleat/gateway/key_guard.cpp
+++ b/src/pathcleat/gateway/key_guard.cpp
@@ -28,14 +28,15 @@
 
 }  // namespace
 
-bool KeyGuard::HasKey(const HttpRequest& request) {
+bool IdempotencyGuard::HasKey(const HttpRequest& request) {
   return FindHeader(request.headers, kKeyHeader).has_value();
 }
 
-void KeyGuard::Claim(const std::string& service,
-                     const HttpRequest& request,
-                     Duration left,
-                     std::function<void(IdempotencyDecision)> callback) {
+void IdempotencyGuard::Claim(
+    const std::string& service,
+    const HttpRequest& request,
+    Duration left,
+    std::function<void(IdempotencyDecision)> callback) {
   const std::string key = FindHeader(request.headers, kKeyHeader).value_or("");
   if (key.empty() || key.size() > kLongestKey) {
     callback({false,
@@ -57,15 +58,16 @@
   KeyClaimRequest claim;
   claim.row_name = IdempotencyKeyRowName(service, key);
   claim.fingerprint = Fingerprint(request);
-  claim.ends_wall_micros =
+  claim.deadline_wall_micros =
       WallMicros() + static_cast<std::uint64_t>(left.count());
-  state_.keys.Claim(
+  state_.idempotency_keys.Claim(
       claim, [this, left, callback = std::move(callback)](ClaimResult result) {
         callback(Decide(std::move(result), left));
       });
 }
 
-IdempotencyDecision KeyGuard::Decide(ClaimResult result, Duration left) {
+IdempotencyDecision IdempotencyGuard::Decide(ClaimResult result,
+                                             Duration left) {
   switch (result.action) {
     case KeyAction::kRun:
       claimed_ = std::move(result.claimed);
@@ -73,7 +75,7 @@
     case KeyAction::kReplayAnswer:
       state_.events.Record(EventCode::kKeyReplayed, result.claimed.row_name,
                            "the kept answer was given again");
-      return {false, std::move(result.kept), RunOutcome::kAnswered};
+      return {false, std::move(result.stored_response), RunOutcome::kAnswered};
     case KeyAction::kAnswerRunning:
       state_.events.Record(EventCode::kKeyInProgress, result.claimed.row_name,
                            "a repeat of a running key");
@@ -101,7 +103,8 @@
   return NotRun("the key cannot be claimed: the store fails", left);
 }
 
-void KeyGuard::Settle(const HttpResponse& response, RunOutcome outcome) {
+void IdempotencyGuard::RecordOutcome(const HttpResponse& response,
+                                     RunOutcome outcome) {
   if (!claimed_) {
     return;
   }
@@ -109,13 +112,13 @@
   claimed_.reset();
   switch (outcome) {
     case RunOutcome::kAnswered:
-      state_.keys.Finish(key, response);
+      state_.idempotency_keys.MarkFinished(key, response);
       return;
     case RunOutcome::kNotRun:
-      state_.keys.Release(key);
+      state_.idempotency_keys.Release(key);
       return;
     case RunOutcome::kUnknown:
-      state_.keys.MarkUnknown(key);
+      state_.idempotency_keys.MarkUnknown(key);
       return;
   }
 }
--- a/src/pathcleat/gateway/metrics_page.cpp
+++ b/src/pathcleat/gateway/metrics_page.cpp
@@ -74,7 +74,7 @@
 void AddRequests(Page& page, const GatewayState& state) {
   page.Family("pathcleat_requests_total", "counter",
               "Requests that ended, by route and outcome.");
-  for (const auto& [route, kind] : state.metrics.kinds()) {
+  for (const auto& [route, kind] : state.metrics.by_route()) {
     page.Sample("pathcleat_requests_total",
                 {{"route", route}, {"outcome", "answered"}}, kind.answered);
     page.Sample("pathcleat_requests_total",
@@ -84,14 +84,14 @@
   }
   page.Family("pathcleat_request_duration_seconds", "histogram",
               "From a request's last byte to its answer, by route.");
-  for (const auto& [route, kind] : state.metrics.kinds()) {
+  for (const auto& [route, kind] : state.metrics.by_route()) {
     page.Buckets("pathcleat_request_duration_seconds", {"route", route},
                  kind.buckets);
   }
   page.Family("pathcleat_expected_wait_seconds", "histogram",
               "Wait for a slot at the chosen upstream, as expected.");
   page.Buckets("pathcleat_expected_wait_seconds", {"at", "sending"},
-               state.metrics.waits());
+               state.metrics.expected_waits());
   page.Family("pathcleat_refusals_total", "counter",
               "Requests refused as not run, by reason.");
   for (const auto& [reason, count] : state.metrics.refusals()) {
@@ -112,7 +112,7 @@
                 count);
   }
   page.Family("pathcleat_requests_under_way", "gauge", "Callers waiting now.");
-  page.Sample("pathcleat_requests_under_way", {}, state.requests);
+  page.Sample("pathcleat_requests_under_way", {}, state.in_flight_count);
 }
 
 // A few accounts alone, so that the page stays short.
@@ -121,7 +121,7 @@
               "Requests of the busiest and the most refused client accounts.");
   for (const auto& [account, counts] : accounts.TopAccounts()) {
     page.Sample("pathcleat_account_requests_total",
-                {{"account", account}, {"outcome", "taken"}}, counts.taken);
+                {{"account", account}, {"outcome", "taken"}}, counts.accepted);
     page.Sample("pathcleat_account_requests_total",
                 {{"account", account}, {"outcome", "over_limit"}},
                 counts.over_limit);
@@ -135,15 +135,15 @@
 void AddBudgets(Page& page, const GatewayState& state) {
   page.Family("pathcleat_retries_total", "counter",
               "Requests sent once more, by service.");
-  for (const auto& [service, budget] : state.retries) {
+  for (const auto& [service, budget] : state.retry_budgets) {
     page.Sample("pathcleat_retries_total", {{"service", service}},
-                budget.taken());
+                budget.used());
   }
   page.Family("pathcleat_retries_left", "gauge",
               "Retries that this host may make now, by service.");
-  for (const auto& [service, budget] : state.retries) {
+  for (const auto& [service, budget] : state.retry_budgets) {
     page.Sample("pathcleat_retries_left", {{"service", service}},
-                budget.left());
+                budget.remaining());
   }
 }
 
@@ -154,13 +154,13 @@
     page.Sample(
         "pathcleat_upstream_in_flight",
         {{"upstream", upstream->info.id}, {"service", upstream->info.service}},
-        upstream->load.own());
+        upstream->load.own_in_flight());
   }
   page.Family("pathcleat_upstream_not_run_total", "counter",
               "Requests that an upstream said it did not run.");
   for (const UpstreamPtr& upstream : state.upstreams.All()) {
     page.Sample("pathcleat_upstream_not_run_total",
-                {{"upstream", upstream->info.id}}, upstream->turned_away);
+                {{"upstream", upstream->info.id}}, upstream->not_run);
   }
   page.Family("pathcleat_upstream_passed_over_total", "counter",
               "Requests that went elsewhere, or nowhere, as this host's share "
@@ -174,7 +174,7 @@
   page.Family("pathcleat_upstream_limit_per_second", "gauge",
               "Requests a second that all hosts may send to an upstream that "
               "names a limit.");
-  for (const auto& [id, upstream] : state.limits.in_force()) {
+  for (const auto& [id, upstream] : state.upstream_limits.limited_upstreams()) {
     page.Sample("pathcleat_upstream_limit_per_second", {{"upstream", id}},
                 upstream->limit.PerSecond(now));
   }
@@ -192,7 +192,7 @@
   page.Sample("pathcleat_upstreams", {{"state", "open"}}, open);
   page.Sample("pathcleat_upstreams", {{"state", "cold"}}, cold);
   page.Sample("pathcleat_upstreams", {{"state", "limited"}},
-              state.limits.in_force().size());
+              state.upstream_limits.limited_upstreams().size());
   page.Sample("pathcleat_upstreams", {{"state", "suspect"}}, suspect);
 }
 
@@ -229,9 +229,9 @@
   page.Family("pathcleat_silent_connections_total", "counter",
               "Connections given up: open, but nothing came, by kind of link.");
   page.Sample("pathcleat_silent_connections_total", {{"link", "upstream"}},
-              state.pool.silent());
+              state.connection_pool.silent_connections());
   page.Sample("pathcleat_silent_connections_total", {{"link", "host"}},
-              state.peer_traffic.silent());
+              state.peer_traffic.silent_connections());
   if (inputs.store_calls != nullptr) {
     page.Sample("pathcleat_silent_connections_total", {{"link", "store"}},
                 inputs.store_calls->silent_connections);
@@ -266,7 +266,7 @@
   page.Family("pathcleat_store_watched", "gauge",
               "1: this host watches the store itself.");
   page.Sample("pathcleat_store_watched", {},
-              versions.store == StoreAccess::kWatching ? 1 : 0);
+              versions.store_access == StoreAccess::kWatching ? 1 : 0);
   page.Family("pathcleat_hosts_alive", "gauge", "Hosts heard, this one too.");
   page.Sample("pathcleat_hosts_alive", {}, state.hosts.AliveCount(now));
 }
@@ -285,13 +285,13 @@
               "Bytes sent to other hosts, by kind.");
   for (const PeerMessageKind kind : kPeerMessageKinds) {
     page.Sample("pathcleat_peer_bytes_sent_total", {{"kind", ToString(kind)}},
-                traffic.sent(kind));
+                traffic.bytes_sent(kind));
   }
   page.Family("pathcleat_peer_bytes_received_total", "counter",
               "Bytes taken from other hosts, by kind.");
   for (const PeerMessageKind kind : kPeerMessageKinds) {
     page.Sample("pathcleat_peer_bytes_received_total",
-                {{"kind", ToString(kind)}}, traffic.received(kind));
+                {{"kind", ToString(kind)}}, traffic.bytes_received(kind));
   }
   page.Family("pathcleat_peer_unknown_forms_total", "counter",
               "Datagrams of this fleet in a form that is not known here.");
@@ -299,7 +299,8 @@
               traffic.unknown_formats());
   page.Family("pathcleat_peer_questions_under_way", "gauge",
               "Other hosts asked that have not answered yet.");
-  page.Sample("pathcleat_peer_questions_under_way", {}, traffic.asked());
+  page.Sample("pathcleat_peer_questions_under_way", {},
+              traffic.fetches_in_flight());
   page.Family("pathcleat_peer_questions_given_up_total", "counter",
               "Other hosts asked that gave no answer that could be used.");
   page.Sample("pathcleat_peer_questions_given_up_total", {},
@@ -351,7 +352,7 @@
     AddStore(page, *inputs.store_calls);
   }
   AddSilence(page, state, inputs);
-  AddProcess(page, state, inputs.log_dropped);
+  AddProcess(page, state, inputs.dropped_log_lines);
   return page.Text();
 }
 
--- a/src/pathcleat/gateway/operator_accounts.cpp
+++ b/src/pathcleat/gateway/operator_accounts.cpp
@@ -38,9 +38,9 @@
     if (account.limit.IsSet()) {
       text << ", " << UseText(state_.quotas.control().Explain(account, now));
     }
-    const AccountCounts counts = state_.account_stats.Of(account.name);
-    text << ", taken here " << counts.taken << ", refused " << counts.over_limit
-         << "\n";
+    const AccountCounts counts = state_.account_stats.CountsOf(account.name);
+    text << ", taken here " << counts.accepted << ", refused "
+         << counts.over_limit << "\n";
   }
   const std::string accounts = text.str();
   return accounts.empty() ? "no client accounts: callers need no keys\n"
@@ -48,7 +48,7 @@
 }
 
 std::string OperatorService::Answer(const AccountQuery& query) const {
-  const Account* account = state_.accounts.FindNamed(query.name);
+  const Account* account = state_.accounts.FindByName(query.name);
   if (account == nullptr) {
     return "no account is called '" + query.name + "' in version " +
            std::to_string(state_.routes.version()) + "\n";
@@ -63,16 +63,16 @@
          << static_cast<int>(ToMilliseconds(use.time_until_available))
          << " ms\n";
   }
-  const AccountCounts counts = state_.account_stats.Of(account->name);
-  text << "here: taken " << counts.taken << ", refused beyond the limit "
+  const AccountCounts counts = state_.account_stats.CountsOf(account->name);
+  text << "here: taken " << counts.accepted << ", refused beyond the limit "
        << counts.over_limit << "\n";
   if (account->priority) {
     text << "priority: " << *account->priority << "\n";
   }
-  for (const std::string& region : account->home_regions) {
+  for (const std::string& region : account->allowed_regions) {
     text << "home: " << region << "\n";
   }
-  for (const KeyedDigest& key : account->keys) {
+  for (const KeyedDigest& key : account->key_digests) {
     text << "key: digest " << ShortHex(key) << "...\n";
   }
   return text.str();
--- a/src/pathcleat/gateway/operator_rollouts.cpp
+++ b/src/pathcleat/gateway/operator_rollouts.cpp
@@ -25,11 +25,12 @@
     const RolloutTally& fleet = rollout.evaluated_tally();
     text << service << " to " << rollout.order().version << ": "
          << PhaseText(rollout) << "; answers of all hosts, as told within the "
-         << "last second: " << CountsText(fleet.fresh)
-         << " at the new version, " << CountsText(fleet.others)
-         << " at others; tried here " << rollout.gate().fresh() << " of "
-         << rollout.gate().sent() << " requests; under way at others "
-         << fleet.on_others << "\n";
+         << "last second: " << CountsText(fleet.new_version)
+         << " at the new version, " << CountsText(fleet.other_versions)
+         << " at others; tried here "
+         << rollout.canary_limiter().new_version_sent() << " of "
+         << rollout.canary_limiter().sent() << " requests; under way at others "
+         << fleet.other_versions_in_flight << "\n";
   }
   const std::string rollouts = text.str();
   return rollouts.empty() ? "no rollout was ordered\n" : rollouts;
--- a/src/pathcleat/gateway/operator_service.cpp
+++ b/src/pathcleat/gateway/operator_service.cpp
@@ -49,7 +49,7 @@
 void OperatorService::Handle(const HttpExchangePtr& exchange) {
   const HttpRequest& request = exchange->request();
   if (!IsOperator(request)) {
-    state_.events.Record(EventCode::kOperatorRejected, exchange->caller(),
+    state_.events.Record(EventCode::kOperatorRejected, exchange->caller_ip(),
                          "wrong or missing token");
     exchange->Respond(
         TextResponse(http_status::kUnauthorized, "wrong or missing token\n"));
@@ -159,17 +159,18 @@
   for (const Pick& pick : state_.picker.Explain(request, now)) {
     const UpstreamState& upstream = *pick.upstream;
     text << "  " << upstream.info.id << " in " << upstream.info.domain << ": "
-         << upstream.load.Expected(now) << " of " << upstream.info.slots
-         << " slots in use, expected " << ToMilliseconds(pick.expected)
-         << " ms, of it waiting " << ToMilliseconds(pick.wait) << " ms\n";
+         << upstream.load.ExpectedRequests(now) << " of " << upstream.info.slots
+         << " slots in use, expected " << ToMilliseconds(pick.expected_latency)
+         << " ms, of it waiting " << ToMilliseconds(pick.expected_wait)
+         << " ms\n";
   }
   return text.str();
 }
 
 std::string OperatorService::Answer(const WhyQuery& query) const {
-  const auto events = state_.traces.Find(query.id);
+  const auto events = state_.traces.Find(query.request_id);
   if (!events) {
-    return "request " + query.id +
+    return "request " + query.request_id +
            " is not known at this host: it was taken by another one, or is "
            "older than the newest requests\n";
   }
@@ -214,7 +215,7 @@
          << (state_.hosts.IsAlive(*host, now) ? "alive" : "silent")
          << (host->info.leaving ? ", leaving" : "");
     if (host->has_heartbeat) {
-      text << ", heard " << Age(host->heard, now) << ", routes at version "
+      text << ", heard " << Age(host->last_seen, now) << ", routes at version "
            << host->versions.config << ", commands at "
            << host->versions.commands;
     }
@@ -228,11 +229,12 @@
   if (!upstream.limit.IsInForce(now)) {
     return "";
   }
-  const LimitObservation& sign = *upstream.limit.sign();
+  const LimitObservation& sign = *upstream.limit.observation();
   std::ostringstream text;
   text << ", takes " << upstream.limit.PerSecond(now)
-       << " requests a second from all hosts, " << upstream.share.per_second()
-       << " from here (told " << sign.host << " " << Age(sign.at, now) << "), "
+       << " requests a second from all hosts, "
+       << upstream.rate_share.rate_per_second() << " from here (told "
+       << sign.host << " " << Age(sign.observed_at, now) << "), "
        << upstream.passed_over << " passed over here";
   return text.str();
 }
@@ -244,9 +246,9 @@
   for (const UpstreamPtr& upstream : state_.upstreams.All()) {
     text << "  " << upstream->info.id << ": " << upstream->info.service
          << " in " << upstream->info.domain << " at " << upstream->info.address
-         << ", " << upstream->load.own() << " from here, about "
-         << upstream->load.Expected(now) << " of " << upstream->info.slots
-         << " slots in use"
+         << ", " << upstream->load.own_in_flight() << " from here, about "
+         << upstream->load.ExpectedRequests(now) << " of "
+         << upstream->info.slots << " slots in use"
          << (state_.upstreams.IsOpen(*upstream) ? "" : ", drained or leaving")
          << (upstream->IsCold(now) ? ", cold" : "")
          << RateLimitText(*upstream, now)
@@ -258,10 +260,11 @@
 std::string OperatorService::ShowShifts() const {
   std::ostringstream text;
   for (const ShiftStatus& shift : state_.picker.shifts().All()) {
-    text << shift.plan.service << " from " << shift.plan.from << " to "
-         << shift.plan.to << ": at " << Percent(shift.fraction) << " of cap "
-         << Percent(shift.plan.cap) << ", moved " << shift.moved << " of "
-         << shift.offered << " at this host, " << ToString(shift.step) << "\n";
+    text << shift.plan.service << " from " << shift.plan.from_region << " to "
+         << shift.plan.to_region << ": at " << Percent(shift.current_share)
+         << " of cap " << Percent(shift.plan.cap) << ", moved " << shift.moved
+         << " of " << shift.offered << " at this host, "
+         << ToString(shift.last_decision) << "\n";
   }
   const std::string shifts = text.str();
   return shifts.empty() ? "no shift away from " + state_.settings.region + "\n"
@@ -306,8 +309,8 @@
     text << "drained: failure domain " << domain << "\n";
   }
   for (const auto& [key, plan] : state.shifts) {
-    text << "shift: " << plan.service << " from " << plan.from << " to "
-         << plan.to << " cap " << Percent(plan.cap) << "\n";
+    text << "shift: " << plan.service << " from " << plan.from_region << " to "
+         << plan.to_region << " cap " << Percent(plan.cap) << "\n";
   }
   text << "client blocks changed: " << state_.client_regions.assigned_count()
        << "\n";
--- a/src/pathcleat/gateway/quota_gate.cpp
+++ b/src/pathcleat/gateway/quota_gate.cpp
@@ -3,20 +3,20 @@
 
 namespace pathcleat {
 
-QuotaResult QuotaGate::Take(const Account& account,
-                            Duration caller_left,
-                            Duration target,
-                            Time now) {
+QuotaResult QuotaEnforcer::Admit(const Account& account,
+                                 Duration caller_left,
+                                 Duration target,
+                                 Time now) {
   QuotaResult answer;
-  answer.decision = control_.Take(account, now);
+  answer.decision = control_.Admit(account, now);
   if (answer.decision.allowed) {
     return answer;
   }
   RetryWindow window;
-  window.room = answer.decision.time_until_available;
-  window.in_time = Duration::zero();
+  window.earliest = answer.decision.time_until_available;
+  window.latest_in_time = Duration::zero();
   window.latest = LatestRetry(caller_left, target);
-  window.spacing = answer.decision.spacing;
+  window.spacing = answer.decision.mean_interval;
   answer.retry_after = returns_[AccountId(account)].Reserve(window, now);
   return answer;
 }
--- a/src/pathcleat/gateway/request_trace.cpp
+++ b/src/pathcleat/gateway/request_trace.cpp
@@ -18,12 +18,12 @@
       state_.events.MakeEvent(code, request_id_, "", std::move(fields)));
 }
 
-void RequestTrace::NoteAccepted(const Exchange& exchange,
+void RequestTrace::NoteAccepted(const HttpExchange& exchange,
                                 const PickRequest& picked,
                                 Duration left) {
   const HttpRequest& request = exchange.request();
   Note(EventCode::kRequestTaken,
-       {{field::kCaller, exchange.caller()},
+       {{field::kCaller, exchange.caller_ip()},
         {field::kMethod, request.method},
         {field::kPath, request.target.substr(0, kMostPathBytes)},
         IntegerField(field::kBodyBytes, request.body.size()),
@@ -31,7 +31,7 @@
         {field::kService, picked.service},
         {field::kAccount, picked.account ? picked.account->name : ""},
         {field::kRepeatable, picked.route->repeatable},
-        {field::kKey, picked.sticky ? std::to_string(picked.key) : ""},
+        {field::kAffinityKey, picked.sticky ? std::to_string(picked.key) : ""},
         MillisecondsField(field::kTargetMs, picked.route->target_latency),
         MillisecondsField(field::kLeftMs, left),
         IntegerField(field::kConfigVersion, state_.routes.version()),
@@ -39,12 +39,12 @@
                           BootClock::now() - state_.routes_applied_at)});
 }
 
-void RequestTrace::NoteApiKeyRefused(const Exchange& exchange,
+void RequestTrace::NoteApiKeyRefused(const HttpExchange& exchange,
                                      const Route& route,
                                      ApiKeyFault fault) {
   Note(EventCode::kKeyRefused,
        {{field::kReason, ReasonOf(fault)},
-        {field::kCaller, exchange.caller()},
+        {field::kCaller, exchange.caller_ip()},
         {field::kRoute, route.name},
         IntegerField(field::kConfigVersion, state_.routes.version()),
         MillisecondsField(field::kAgeMs,
@@ -70,8 +70,8 @@
         IntegerField(field::kAttempt, attempt),
         IntegerField(field::kCandidates, pick.candidates),
         IntegerField(field::kPassedOver, pick.passed_over),
-        MillisecondsField(field::kExpectedMs, pick.expected),
-        MillisecondsField(field::kWaitMs, pick.wait),
+        MillisecondsField(field::kExpectedMs, pick.expected_latency),
+        MillisecondsField(field::kWaitMs, pick.expected_wait),
         {field::kWarm, pick.warm},
         IntegerField(field::kListVersion, state_.upstream_list_version),
         MillisecondsField(field::kListAgeMs,
@@ -114,8 +114,9 @@
       MillisecondsField(field::kTargetMs, route.target_latency),
       MillisecondsField(field::kLeftMs, left)};
   if (best != nullptr) {
-    fields.push_back(MillisecondsField(field::kWaitMs, best->wait));
-    fields.push_back(MillisecondsField(field::kExpectedMs, best->expected));
+    fields.push_back(MillisecondsField(field::kWaitMs, best->expected_wait));
+    fields.push_back(
+        MillisecondsField(field::kExpectedMs, best->expected_latency));
     fields.push_back(IntegerField(field::kCandidates, best->candidates));
     fields.push_back(IntegerField(field::kPassedOver, best->passed_over));
   }
@@ -123,7 +124,7 @@
 }
 
 void RequestTrace::Flush() {
-  state_.request_log.Finish(request_id_, true, events_, BootClock::now());
+  state_.request_log.LogRequest(request_id_, true, events_, BootClock::now());
   state_.traces.Keep(request_id_, events_);
   told_ = events_.size();
 }
@@ -131,11 +132,11 @@
 void RequestTrace::Finish(bool failed) {
   const Time now = BootClock::now();
   if (told_ == 0) {
-    state_.request_log.Finish(request_id_, failed, events_, now);
+    state_.request_log.LogRequest(request_id_, failed, events_, now);
   } else {
     const auto untold = events_.begin() + static_cast<std::ptrdiff_t>(told_);
-    state_.request_log.Finish(request_id_, failed, {untold, events_.end()},
-                              now);
+    state_.request_log.LogRequest(request_id_, failed, {untold, events_.end()},
+                                  now);
   }
   state_.traces.Keep(request_id_, std::move(events_));
   events_.clear();
--- a/src/pathcleat/gateway/upstream_attempt.cpp
+++ b/src/pathcleat/gateway/upstream_attempt.cpp
@@ -36,20 +36,20 @@
   // Upstreams are quick at a key from the start of its first run on.
   upstream.keys.Touch(key);
   state_.picker.links().OnSent(upstream.region);
-  upstream.health.OnSent(pick.expected, now);
+  upstream.health.OnSent(pick.expected_latency, now);
   took_share_ = false;
   TakeShare(now);
   // What went into silence once goes over a connection that is new.
-  client_ = was_silent
-                ? state_.pool.Open(upstream.info)
-                : state_.pool.Take(upstream.info, origin.repeatable, now);
+  client_ = was_silent ? state_.connection_pool.Create(upstream.info)
+                       : state_.connection_pool.Acquire(upstream.info,
+                                                        origin.repeatable, now);
   rested_ = client_->IsReusable() ? std::optional(now - client_->idle_since())
                                   : std::nullopt;
   client_->OnOpened(std::move(opened));
   client_->Send(
       MakeUpstreamRequest(state_.headers, request, origin, upstream.info.id,
-                          times.told),
-      {std::min(kConnectTimeout, times.told), times.waited},
+                          times.work_timeout),
+      {std::min(kConnectTimeout, times.work_timeout), times.response_timeout},
       [this, callback = std::move(callback)](const CallResult& result) {
         OnResult(result, callback);
       },
@@ -65,7 +65,7 @@
     GiveShareBack();
   }
   if (answered) {
-    upstream.health.OnHeard(BootClock::now());
+    upstream.health.OnResponse(BootClock::now());
     if (const auto report = ParseLoadReport(state_.headers, result.response)) {
       upstream.load.OnReport(*report, BootClock::now());
     }
@@ -75,18 +75,19 @@
   CountBreak(result);
   if (WasForgotten(result)) {
     counts_ = false;
-    state_.pool.OnStaleConnection(upstream.info, *rested_, BootClock::now());
+    state_.connection_pool.OnStaleConnection(upstream.info, *rested_,
+                                             BootClock::now());
   }
-  if (result.silent && !silent_) {
+  if (result.connection_silent && !silent_) {
     NoteSilent(*client);
   }
   NoteEnded();
-  silent_ = silent_ || result.silent;
+  silent_ = silent_ || result.connection_silent;
   if (const auto opened = client->connect_time()) {
     state_.picker.OnConnected(upstream, *opened);
   }
   if (answered) {
-    state_.pool.Release(upstream.info.id, client);
+    state_.connection_pool.Release(upstream.info.id, client);
   }
   callback(result);
 }
@@ -105,14 +106,14 @@
   if (unreadable && !upstream->limit_unreadable) {
     state_.events.Record(
         EventCode::kUpstreamLimitUnreadable, upstream->info.id,
-        FindHeader(response.headers, state_.headers.limit).value_or(""));
+        FindHeader(response.headers, state_.headers.rate_limit).value_or(""));
   }
   upstream->limit_unreadable = unreadable;
   if (limit.per_second) {
-    state_.limits.OnLimitReported(upstream, *limit.per_second, now);
+    state_.upstream_limits.OnLimitReported(upstream, *limit.per_second, now);
   } else if (!limit.present && !IsNotRun(state_.headers, response) &&
              IsCompleteAnswer(state_.headers, response)) {
-    state_.limits.OnNoLimitReported(upstream, sent_, now);
+    state_.upstream_limits.OnNoLimitReported(upstream, sent_, now);
   }
 }
 
@@ -129,12 +130,12 @@
 bool UpstreamAttempt::WasForgotten(const CallResult& result) const {
   const Duration took = BootClock::now() - sent_;
   return rested_ && result.outcome == CallOutcome::kConnectionLost &&
-         !result.closed_locally && !result.silent && result.bytes == 0 &&
-         took < pick_.expected / 2;
+         !result.closed_locally && !result.connection_silent &&
+         result.received_bytes == 0 && took < pick_.expected_latency / 2;
 }
 
 void UpstreamAttempt::CountBreak(const CallResult& result) {
-  if (result.silent) {
+  if (result.connection_silent) {
     state_.metrics.OnAborted(AbortCause::kSilentConnection);
   } else if (result.outcome == CallOutcome::kTimedOut) {
     state_.metrics.OnAborted(AbortCause::kDeadline);
@@ -166,7 +167,7 @@
 bool UpstreamAttempt::TakeShare(Time now) {
   UpstreamState& upstream = *pick_.upstream;
   if (!took_share_ && upstream.IsRateBounded(now)) {
-    took_share_ = upstream.share.TryAcquire(now);
+    took_share_ = upstream.rate_share.TryAcquire(now);
     return took_share_;
   }
   return true;
@@ -174,7 +175,7 @@
 
 void UpstreamAttempt::GiveShareBack() {
   if (std::exchange(took_share_, false)) {
-    pick_.upstream->share.Release(BootClock::now());
+    pick_.upstream->rate_share.Release(BootClock::now());
   }
 }
 
@@ -193,8 +194,8 @@
 }
 
 void UpstreamAttempt::NoteSilent(const HttpClient& client) {
-  counts_ = state_.pool.OnSilentConnection(pick_.upstream->info.id, client,
-                                           BootClock::now());
+  counts_ = state_.connection_pool.OnSilentConnection(pick_.upstream->info.id,
+                                                      client, BootClock::now());
 }
 
 void UpstreamAttempt::NoteEnded() {
--- a/src/pathcleat/http/http_client.cpp
+++ b/src/pathcleat/http/http_client.cpp
@@ -346,7 +346,7 @@
   CallResult result;
   result.outcome = outcome;
   result.detail = std::move(detail);
-  result.silent = silent_;
+  result.connection_silent = silent_;
   result.closed_locally = !peer_ended_;
   Finish(std::move(result));
 }
@@ -358,9 +358,9 @@
   matcher_ = nullptr;
   on_opened_ = nullptr;
   idle_since_ = BootClock::now();
-  result.bytes = received_;
+  result.received_bytes = received_;
   if (received_ > 0) {
-    result.transfer = idle_since_ - first_byte_;
+    result.transfer_time = idle_since_ - first_byte_;
   }
   if (spent_) {
     Close();
--- a/src/pathcleat/http/http_client_test.cpp
+++ b/src/pathcleat/http/http_client_test.cpp
@@ -29,7 +29,7 @@
     result.reset();
     client->Send({"GET", "/", {{"Host", "test"}}, ""}, timeouts,
                  [this](const CallResult& ended) { result = ended; });
-    cr_assert(Await([this] { return server.Has("GET /"); }));
+    cr_assert(Await([this] { return server.HasReceived("GET /"); }));
   }
   bool Await(const std::function<bool()>& condition) {
     return WaitUntil(loop, condition);
@@ -64,8 +64,8 @@
   world.server.Send(AnswerOf(100).substr(0, 60));
   cr_assert(world.AwaitEnd());
   cr_assert(world.result->outcome == CallOutcome::kTimedOut);
-  cr_assert(world.result->silent);
-  cr_assert(world.client->silent());
+  cr_assert(world.result->connection_silent);
+  cr_assert(world.client->IsSilent());
   cr_assert_not(world.client->IsReusable());
 }
 
@@ -75,7 +75,7 @@
   world.Ask({kFarOff, kShort * 10, kShort, kNoTimeout});
   cr_assert(world.AwaitEnd());
   cr_assert(world.result->outcome == CallOutcome::kTimedOut);
-  cr_assert(world.result->silent);
+  cr_assert(world.result->connection_silent);
 }
 
 Test(http_client, total_time_ends_an_answer_that_still_arrives) {
@@ -84,7 +84,7 @@
   world.server.SendByteByByte(AnswerOf(100'000), kPace);
   cr_assert(world.AwaitEnd());
   cr_assert(world.result->outcome == CallOutcome::kTimedOut);
-  cr_assert_not(world.result->silent);
+  cr_assert_not(world.result->connection_silent);
 }
 
 // A kept connection's second answer has its own limits. Checked to fail with
@@ -97,7 +97,7 @@
   world.Ask({kFarOff, kShort * 10, kShort, kNoTimeout});
   cr_assert(world.client->reused());
   cr_assert(world.AwaitEnd());
-  cr_assert(world.result->silent);
+  cr_assert(world.result->connection_silent);
 }
 
 // An interim answer is none: what works on may take its time after it.
@@ -119,7 +119,7 @@
 struct SilentWorld {
   boost::asio::io_context loop{1};
   ScriptedServer server{loop, UniqueLoopbackAddress()};
-  PassThrough way{loop, UniqueLoopbackAddress(), server.endpoint()};
+  TcpProxy way{loop, UniqueLoopbackAddress(), server.endpoint()};
   HttpClientPtr client =
       std::make_shared<HttpClient>(loop, way.endpoint(), HttpLimits());
   std::optional<CallResult> result;
@@ -140,25 +140,25 @@
 Test(http_client, wait_on_a_connection_that_fell_silent_is_given_up) {
   SilentWorld world;
   world.Ask();
-  cr_assert(world.Await([&] { return world.server.Has("\r\n\r\n"); }));
+  cr_assert(world.Await([&] { return world.server.HasReceived("\r\n\r\n"); }));
   world.way.SilenceConnections(SilenceMode::kDropPackets);
   cr_assert(world.Await([&] { return world.result.has_value(); }));
   cr_assert(world.result->outcome == CallOutcome::kConnectionLost);
-  cr_assert(world.result->silent);
+  cr_assert(world.result->connection_silent);
 }
 
 // Checked to fail in the same way.
 Test(http_client, idle_connection_that_fell_silent_is_given_up) {
   SilentWorld world;
   world.Ask();
-  cr_assert(world.Await([&] { return world.server.Has("\r\n\r\n"); }));
+  cr_assert(world.Await([&] { return world.server.HasReceived("\r\n\r\n"); }));
   world.server.Send(AnswerOf(1));
   cr_assert(world.Await([&] { return world.result.has_value(); }));
   cr_assert(world.client->IsReusable());
   cr_assert_not(world.client->HasUnacknowledgedBytes());
   world.way.SilenceConnections(SilenceMode::kDropPackets);
   cr_assert(world.Await([&] { return !world.client->IsReusable(); }));
-  cr_assert(world.client->silent());
+  cr_assert(world.client->IsSilent());
 }
 
 // What was sent into silence is told from what a peer is at work on.
@@ -166,7 +166,7 @@
 Test(http_client, request_sent_into_silence_is_not_acknowledged) {
   SilentWorld world;
   world.Ask();
-  cr_assert(world.Await([&] { return world.server.Has("\r\n\r\n"); }));
+  cr_assert(world.Await([&] { return world.server.HasReceived("\r\n\r\n"); }));
   cr_assert(
       world.Await([&] { return !world.client->HasUnacknowledgedBytes(); }));
   world.server.Send(AnswerOf(1));
@@ -177,7 +177,7 @@
   cr_assert(
       world.Await([&] { return world.client->HasUnacknowledgedBytes(); }));
   cr_assert(world.Await([&] { return world.result.has_value(); }));
-  cr_assert(world.result->silent);
+  cr_assert(world.result->connection_silent);
 }
 
 }  // namespace
--- a/src/pathcleat/http/http_exchange.cpp
+++ b/src/pathcleat/http/http_exchange.cpp
@@ -3,7 +3,7 @@
 
 namespace pathcleat {
 
-void Exchange::Respond(HttpResponse response) {
+void HttpExchange::Respond(HttpResponse response) {
   if (!IsOpen()) {
     return;
   }
@@ -17,18 +17,18 @@
   }
 }
 
-void Exchange::Drop() {
+void HttpExchange::DropConnection() {
   on_abandoned_ = nullptr;
   if (const auto callback = std::exchange(on_dropped_, nullptr)) {
     callback();
   }
 }
 
-void Exchange::OnDropped(std::function<void()> callback) {
+void HttpExchange::OnConnectionDropped(std::function<void()> callback) {
   on_dropped_ = std::move(callback);
 }
 
-void Exchange::OnAbandoned(std::function<void()> callback) {
+void HttpExchange::OnAbandoned(std::function<void()> callback) {
   if (abandoned_) {
     callback();
     return;
@@ -36,22 +36,22 @@
   on_abandoned_ = std::move(callback);
 }
 
-void Exchange::OnCallerEnded(std::function<void()> callback) {
+void HttpExchange::OnCallerHalfClosed(std::function<void()> callback) {
   on_ended_ = std::move(callback);
 }
 
-void Exchange::OnConnectionCheck(std::function<void()> callback) {
+void HttpExchange::OnConnectionCheck(std::function<void()> callback) {
   on_check_ = std::move(callback);
 }
 
-void Exchange::CheckCaller() {
+void HttpExchange::CheckConnection() {
   // The check may end the exchange, and with it the callback.
   if (const auto check = on_check_) {
     check();
   }
 }
 
-bool Exchange::NotifyCallerHalfClosed() {
+bool HttpExchange::NotifyCallerHalfClosed() {
   if (!IsOpen() || !on_ended_) {
     return false;
   }
@@ -59,11 +59,11 @@
   return true;
 }
 
-void Exchange::OnAnswered(std::function<void()> callback) {
+void HttpExchange::OnAnswered(std::function<void()> callback) {
   on_answered_ = std::move(callback);
 }
 
-void Exchange::Abandon() {
+void HttpExchange::Abandon() {
   if (!IsOpen()) {
     return;
   }
--- a/src/pathcleat/http/http_server.cpp
+++ b/src/pathcleat/http/http_server.cpp
@@ -160,7 +160,7 @@
   const std::vector<std::shared_ptr<ServerSession>> sessions(sessions_.begin(),
                                                              sessions_.end());
   for (const auto& session : sessions) {
-    session->Finish();
+    session->CloseGracefully();
   }
 }
 
--- a/src/pathcleat/http/http_server_test.cpp
+++ b/src/pathcleat/http/http_server_test.cpp
@@ -58,11 +58,12 @@
   }
 
   void Callers(int count, const std::string& text) {
-    const std::size_t before = server.connections();
+    const std::size_t before = server.connection_count();
     for (int i = 0; i < count; ++i) {
       Caller(text);
     }
-    cr_assert(Await([&] { return server.connections() == before + count; }));
+    cr_assert(
+        Await([&] { return server.connection_count() == before + count; }));
     cr_assert(Await([&] { return !hold || held.size() >= before + count; }));
   }
 
@@ -79,13 +80,13 @@
   world.server.SetMaxConnections(kMost);
   world.Callers(kMost, kHalf);
   RawClient& caller = world.Caller(kWhole);
-  cr_assert(world.Await([&] { return caller.Has("200 OK"); }));
+  cr_assert(world.Await([&] { return caller.HasReceived("200 OK"); }));
   RawClient& longest = *world.callers.front();
   cr_assert(world.Await([&] { return longest.IsClosed(); }));
-  cr_assert(longest.Has("HTTP/1.1 503"));
-  cr_assert(longest.Has("not run"));
-  cr_assert(longest.Has("Retry-After: "));
-  cr_assert_leq(world.server.connections(), kMost);
+  cr_assert(longest.HasReceived("HTTP/1.1 503"));
+  cr_assert(longest.HasReceived("not run"));
+  cr_assert(longest.HasReceived("Retry-After: "));
+  cr_assert_leq(world.server.connection_count(), kMost);
 }
 
 // Requests under way are never ended for others; those get a true answer.
@@ -99,14 +100,15 @@
   world.Callers(kMost, kWhole);
   RawClient& caller = world.Caller(kWhole);
   cr_assert(world.Await([&] { return caller.IsClosed(); }));
-  cr_assert(caller.Has("HTTP/1.1 503"));
-  cr_assert(caller.Has("Retry-After: "));
+  cr_assert(caller.HasReceived("HTTP/1.1 503"));
+  cr_assert(caller.HasReceived("Retry-After: "));
   cr_assert_eq(world.held.size(), kMost);
   for (const HttpExchangePtr& exchange : world.held) {
     exchange->Respond(TextResponse(200, "done\n"));
   }
   for (std::size_t i = 0; i < kMost; ++i) {
-    cr_assert(world.Await([&] { return world.callers[i]->Has("200 OK"); }));
+    cr_assert(
+        world.Await([&] { return world.callers[i]->HasReceived("200 OK"); }));
   }
 }
 
@@ -116,7 +118,7 @@
   world.Callers(4, kHalf);
   boost::asio::ip::tcp::socket socket(world.loop);
   socket.open(boost::asio::ip::tcp::v4());
-  const NoDescriptors none;
+  const DescriptorExhaustion none;
   socket.connect({boost::asio::ip::make_address(world.address), world.port});
   boost::asio::write(socket, boost::asio::buffer(std::string(kWhole)));
   cr_assert(world.Await([&] { return socket.available() > 0; }));
@@ -134,13 +136,13 @@
   world.Callers(2, kWhole);
   boost::asio::ip::tcp::socket socket(world.loop);
   socket.open(boost::asio::ip::tcp::v4());
-  NoDescriptors none;
+  DescriptorExhaustion none;
   socket.connect({boost::asio::ip::make_address(world.address), world.port});
   cr_assert(world.Await([&] { return !world.server.CanAccept(); }));
-  cr_assert_eq(world.server.connections(), 2U);
+  cr_assert_eq(world.server.connection_count(), 2U);
   none.Release(4);
   cr_assert(world.Await([&] { return world.server.CanAccept(); }));
-  cr_assert_eq(world.server.connections(), 3U);
+  cr_assert_eq(world.server.connection_count(), 3U);
 }
 
 }  // namespace
--- a/src/pathcleat/http/listen_probe.cpp
+++ b/src/pathcleat/http/listen_probe.cpp
@@ -19,9 +19,9 @@
 
 }  // namespace
 
-void ListenProbe::Ask(const tcp::endpoint& endpoint,
-                      Duration timeout,
-                      std::function<void()> refused) {
+void ListenProbe::Probe(const tcp::endpoint& endpoint,
+                        Duration timeout,
+                        std::function<void()> refused) {
   const auto attempt = std::make_shared<Attempt>(loop_);
   attempt->timer.expires_after(timeout);
   attempt->timer.async_wait([attempt](const error_code& error) {
--- a/src/pathcleat/http/listen_probe_test.cpp
+++ b/src/pathcleat/http/listen_probe_test.cpp
@@ -23,7 +23,7 @@
   boost::asio::io_context loop;
   ListenProbe probe(loop);
   bool refused = false;
-  probe.Ask(Endpoint(), kTimeout, [&refused] { refused = true; });
+  probe.Probe(Endpoint(), kTimeout, [&refused] { refused = true; });
   cr_assert(WaitUntil(loop, [&refused] { return refused; }));
 }
 
@@ -32,8 +32,8 @@
   tcp::acceptor acceptor(loop, Endpoint());
   ListenProbe probe(loop);
   bool refused = false;
-  probe.Ask(acceptor.local_endpoint(), kTimeout,
-            [&refused] { refused = true; });
+  probe.Probe(acceptor.local_endpoint(), kTimeout,
+              [&refused] { refused = true; });
   bool accepted = false;
   acceptor.async_accept([&accepted](const boost::system::error_code& error,
                                     const tcp::socket&) { accepted = !error; });
@@ -49,7 +49,7 @@
   bool refused = false;
   {
     ListenProbe probe(loop);
-    probe.Ask(Endpoint(), kTimeout, [&refused] { refused = true; });
+    probe.Probe(Endpoint(), kTimeout, [&refused] { refused = true; });
   }
   loop.run();
   cr_assert_not(refused);
--- a/src/pathcleat/http/server_session.cpp
+++ b/src/pathcleat/http/server_session.cpp
@@ -83,7 +83,7 @@
 
 // What a caller has sent, also if this host has not come to read it yet, is
 // read and answered. A read that has ended is handled first.
-void ServerSession::Finish() {
+void ServerSession::CloseGracefully() {
   last_request_ = true;
   boost::asio::post(socket_.get_executor(),
                     [self = shared_from_this()] { self->CloseIfIdle(); });
@@ -253,10 +253,10 @@
 
 void ServerSession::TakeRequest() {
   last_request_ = last_request_ || !parser_->get().keep_alive();
-  exchange_ = std::make_shared<Exchange>(FromBeast(parser_->release()), caller_,
-                                         BootClock::now());
+  exchange_ = std::make_shared<HttpExchange>(FromBeast(parser_->release()),
+                                             caller_, BootClock::now());
   exchange_->OnAnswered([this] { Answer(); });
-  exchange_->OnDropped([this] { Close(); });
+  exchange_->OnConnectionDropped([this] { Close(); });
   exchange_->OnConnectionCheck([this] { CheckCaller(); });
   const auto exchange = exchange_;
   server_->handler_(exchange);
@@ -269,7 +269,7 @@
     server_->rejected_(status, caller_);
   }
   exchange_ =
-      std::make_shared<Exchange>(HttpRequest{}, caller_, BootClock::now());
+      std::make_shared<HttpExchange>(HttpRequest{}, caller_, BootClock::now());
   exchange_->OnAnswered([this] { Answer(); });
   exchange_->Respond(TextResponse(status, "request not accepted\n"));
 }
@@ -343,9 +343,9 @@
     return std::nullopt;
   }
   const bool half_sent = parser_->got_some() || buffer_.size() > 0;
-  return EvictionRank{
-      half_sent ? EvictionRank::Kind::kHalfSent : EvictionRank::Kind::kIdle,
-      phase_began_};
+  return EvictionRank{half_sent ? EvictionRank::Kind::kPartialRequest
+                                : EvictionRank::Kind::kIdle,
+                      phase_began_};
 }
 
 // Sent as far as the connection takes it at once. What has come is read, as
--- a/src/pathcleat/http/server_session.hpp
+++ b/src/pathcleat/http/server_session.hpp
@@ -18,7 +18,7 @@
 /// @brief What a connection without a request under way is worth, the least
 /// first: its kind, then since when it has been so.
 struct EvictionRank {
-  enum class Kind { kLingering, kHalfSent, kIdle };
+  enum class Kind { kLingering, kPartialRequest, kIdle };
   Kind kind = Kind::kIdle;
   Time since;
   auto operator<=>(const EvictionRank&) const = default;
@@ -36,7 +36,7 @@
   void Start();
 
   /// @brief Closes if idle; otherwise after the answer under way.
-  void Finish();
+  void CloseGracefully();
 
   /// @brief Ends what has taken too long. Called several times a second.
   void CheckTimeouts(Time now);
--- a/src/pathcleat/http/server_stop_test.cpp
+++ b/src/pathcleat/http/server_stop_test.cpp
@@ -76,8 +76,8 @@
 // Checked to fail (nothing received) without unread in CloseIfIdle.
 Test(http_server, request_that_waits_to_be_read_is_answered_at_the_end) {
   ServerWorld world;
-  cr_assert(
-      WaitUntil(world.loop, [&] { return world.server.connections() == 1; }));
+  cr_assert(WaitUntil(world.loop,
+                      [&] { return world.server.connection_count() == 1; }));
   world.Send();
   world.server.CloseGracefully();
   const std::string text = world.AwaitEnd();
@@ -86,8 +86,8 @@
 
 Test(http_server, connection_without_a_request_ends_at_the_end) {
   ServerWorld world;
-  cr_assert(
-      WaitUntil(world.loop, [&] { return world.server.connections() == 1; }));
+  cr_assert(WaitUntil(world.loop,
+                      [&] { return world.server.connection_count() == 1; }));
   world.server.CloseGracefully();
   cr_assert_str_empty(world.AwaitEnd().c_str());
   cr_assert_eq(world.handled, 0);
--- a/src/pathcleat/lab/account_slopes.cpp
+++ b/src/pathcleat/lab/account_slopes.cpp
@@ -18,13 +18,14 @@
          std::to_string(which);
 }
 
-RoutingConfig ConfigOf(int accounts, const KeyDigester& digester) {
+RoutingConfig ConfigOf(int accounts, const KeyedHasher& digester) {
   RoutingConfig config;
   config.version = 1;
   for (int i = 0; i < accounts; ++i) {
     Account account;
     account.name = "account-" + std::to_string(i);
-    account.keys = {digester.Digest(KeyOf(i, 0)), digester.Digest(KeyOf(i, 1))};
+    account.key_digests = {digester.Digest(KeyOf(i, 0)),
+                           digester.Digest(KeyOf(i, 1))};
     account.limit = {100, 100};
     config.accounts.push_back(account);
   }
@@ -41,11 +42,11 @@
 // Bytes that another host is told: the whole, or that one key was taken.
 double BytesTold(const RoutingConfig& config, bool whole) {
   ConfigHistory history;
-  history.Note(config);
+  history.Append(config);
   RoutingConfig changed = config;
   changed.version = 2;
-  changed.accounts.front().keys.pop_back();
-  history.Note(changed);
+  changed.accounts.front().key_digests.pop_back();
+  history.Append(changed);
   return static_cast<double>(
       history.EncodedUpdateSince(changed, whole ? 0 : 1).size());
 }
@@ -58,12 +59,12 @@
   CostCurve taken = SlopeOf("request counted in its limit, us");
   CostCurve whole = SlopeOf("configuration told whole, bytes");
   CostCurve change = SlopeOf("one key taken away told, bytes");
-  KeyDigester digester;
+  KeyedHasher digester;
   digester.SetSecret("a secret");
   for (const int size : kSizes) {
     const RoutingConfig config = ConfigOf(size, digester);
     AccountTable table;
-    table.Adopt(std::make_shared<std::vector<Account>>(config.accounts));
+    table.SetAccounts(std::make_shared<std::vector<Account>>(config.accounts));
     std::vector<HttpHeaders> callers;
     std::vector<HttpHeaders> strangers;
     for (int i = 0; i < size; ++i) {
@@ -84,7 +85,7 @@
     const Time now = BootClock::now();
     taken.points.push_back(MakeCostPoint(
         size, TimeCalls(kCalls, [&](std::size_t i) {
-          quotas.Take(config.accounts[i % size], now + Duration(i));
+          quotas.Admit(config.accounts[i % size], now + Duration(i));
         })));
     whole.points.push_back(MakeCostPoint(size, {BytesTold(config, true)}));
     change.points.push_back(MakeCostPoint(size, {BytesTold(config, false)}));
--- a/src/pathcleat/lab/accounts_test.cpp
+++ b/src/pathcleat/lab/accounts_test.cpp
@@ -79,7 +79,7 @@
   int KeysSeen() {
     int keys_seen = 0;
     world.ForEachUpstream([&](UpstreamStandIn& upstream) {
-      keys_seen += upstream.ledger().keys_seen;
+      keys_seen += upstream.ledger().requests_with_authorization;
     });
     return keys_seen;
   }
@@ -149,7 +149,7 @@
   cr_assert_eq(world.SendToHost(0, request).response.status, http_status::kOk);
   int keys_seen = 0;
   world.ForEachUpstream([&](UpstreamStandIn& upstream) {
-    keys_seen += upstream.ledger().keys_seen;
+    keys_seen += upstream.ledger().requests_with_authorization;
   });
   cr_assert_eq(keys_seen, 1);
 }
@@ -279,15 +279,15 @@
   plan.hosts_in_domain = {1, 1};
   AccountWorld accounts(plan);
   TestCluster& world = accounts.world;
-  world.config().accounts[0].home_regions = {"region-1"};
-  world.config().routes[1].home_regions = {"region-0"};
+  world.config().accounts[0].allowed_regions = {"region-1"};
+  world.config().routes[1].allowed_regions = {"region-0"};
   accounts.Put();
   world.StartAll();
   accounts.AwaitInForce(2);
   for (int i = 0; i < 20; ++i) {
     cr_assert_eq(accounts.Status(0, kRunnersKey), http_status::kOk);
   }
-  for (std::size_t i = 0; i < world.upstreams(); ++i) {
+  for (std::size_t i = 0; i < world.upstream_count(); ++i) {
     const bool home = world.upstream_info(i).domain == "domain-1";
     cr_assert(home || world.upstream(i).ledger().runs == 0);
   }
@@ -315,7 +315,7 @@
   cr_assert(one.find(kRunnersKey) == std::string::npos);
   cr_assert(world.RunCommand(0, "account nobody")
                 .response.body.starts_with("no account"));
-  const std::string page = world.Metrics(0).response.body;
+  const std::string page = world.FetchMetrics(0).response.body;
   cr_assert(page.find("pathcleat_account_requests_total{account=\"runners\"") !=
             std::string::npos);
 }
@@ -333,11 +333,11 @@
   for (const Event& event : world.host(0).state().events.Snapshot()) {
     told += ToJsonLine(event);
   }
-  told += world.Metrics(0).response.body;
+  told += world.FetchMetrics(0).response.body;
   told += world.RunCommand(0, "show config").response.body;
   ConfigHistory history;
   const RoutingConfig& config = world.host(0).state().routes.config();
-  history.Note(config);
+  history.Append(config);
   told += history.EncodedUpdateSince(config, 0);
   cr_assert(told.find("runners") != std::string::npos);
   cr_assert(told.find(kRunnersKey) == std::string::npos);
--- a/src/pathcleat/lab/agenda.hpp
+++ b/src/pathcleat/lab/agenda.hpp
@@ -16,11 +16,11 @@
  public:
   Time now() const { return now_; }
 
-  void At(Time time, std::function<void()> step) {
+  void ScheduleAt(Time time, std::function<void()> step) {
     steps_.push({time, next_++, std::move(step)});
   }
-  void After(Duration wait, std::function<void()> step) {
-    At(now_ + wait, std::move(step));
+  void ScheduleAfter(Duration wait, std::function<void()> step) {
+    ScheduleAt(now_ + wait, std::move(step));
   }
   void Run() {
     while (!steps_.empty()) {
--- a/src/pathcleat/lab/block_table_slopes.cpp
+++ b/src/pathcleat/lab/block_table_slopes.cpp
@@ -40,13 +40,13 @@
   for (const std::size_t size : kSizes) {
     const auto x = static_cast<double>(size);
     const std::vector<ClientBlockRow> rows = MakeRows(size);
-    std::vector<double> builds =
-        TimeCalls(1, [&rows](std::size_t) { const BlockTable built(rows); });
+    std::vector<double> builds = TimeCalls(
+        1, [&rows](std::size_t) { const ClientBlockTable built(rows); });
     for (double& micros : builds) {
       micros /= kNanos;
     }
     build.points.push_back(MakeCostPoint(x, builds));
-    BlockTable table(rows);
+    ClientBlockTable table(rows);
     memory.points.push_back(MakeCostPoint(
         x, {static_cast<double>(table.MemoryBytes()) / kMegabyte}));
     std::mt19937 random(1);
--- a/src/pathcleat/lab/broken_off_test.cpp
+++ b/src/pathcleat/lab/broken_off_test.cpp
@@ -40,8 +40,8 @@
   const CallResult got = AskWith(world, {{Kind::kNeverAnswer, milliseconds(0)},
                                          {Kind::kAnswer, milliseconds(0)}});
   cr_assert_eq(got.response.status, http_status::kOk);
-  cr_assert_eq(BrokenOff(world, AbortCause::kPatience), 1U);
-  const std::string page = world.Metrics(0).response.body;
+  cr_assert_eq(BrokenOff(world, AbortCause::kFailoverTimeout), 1U);
+  const std::string page = world.FetchMetrics(0).response.body;
   cr_assert_neq(page.find("pathcleat_broken_off_total{cause=\"patience\"} 1\n"),
                 std::string::npos);
 }
@@ -87,7 +87,7 @@
   }
   cr_assert(world.Await([&] { return world.InFlight() == kCallers; }));
   world.platform().SetDomainDrained("domain-0", true);
-  for (std::size_t i = 0; i < world.upstreams(); ++i) {
+  for (std::size_t i = 0; i < world.upstream_count(); ++i) {
     world.platform().RemoveUpstream(world.upstream_info(i).id);
   }
   world.config().version = 2;
@@ -106,7 +106,7 @@
   });
   for (std::size_t i = 0; i < kCallers; ++i) {
     const std::string end = "end r" + std::to_string(i);
-    cr_assert(world.Await([&] { return callers[i]->Has(end); }));
+    cr_assert(world.Await([&] { return callers[i]->HasReceived(end); }));
   }
   cr_assert_eq(world.TotalRuns(), kCallers);
   cr_assert(world.host(0).state().metrics.aborted().empty());
--- a/src/pathcleat/lab/caller_leaves_test.cpp
+++ b/src/pathcleat/lab/caller_leaves_test.cpp
@@ -53,7 +53,7 @@
 // Leaves a connection open to each upstream, on which a request goes out
 // without a turn of the loop between.
 int OpenConnections(TestCluster& world) {
-  for (std::size_t i = 0; i < world.upstreams(); ++i) {
+  for (std::size_t i = 0; i < world.upstream_count(); ++i) {
     for (int j = 0; world.upstream(i).ledger().runs == 0; ++j) {
       world.Get(0, "warm" + std::to_string(i) + "-" + std::to_string(j));
     }
@@ -85,12 +85,13 @@
   TestCluster world;
   world.StartAll();
   tcp::socket caller = SendAtOnce(world, PostText("left", 10));
-  while (world.host(0).state().requests == 0) {
+  while (world.host(0).state().in_flight_count == 0) {
     world.loop().restart();
     world.loop().poll_one();
   }
   caller.close();
-  cr_assert(world.Await([&] { return world.host(0).state().requests == 0; }));
+  cr_assert(
+      world.Await([&] { return world.host(0).state().in_flight_count == 0; }));
   cr_assert_eq(LeftWith(world, AbandonedWork::kNotStarted), 1U);
   cr_assert_eq(world.Get(0, "after").response.status, http_status::kOk);
   cr_assert_eq(world.RunsOf("left"), 0);
@@ -110,9 +111,10 @@
     }
   });
   caller.close();
-  cr_assert(world.Await([&] { return world.host(0).state().requests == 0; }));
+  cr_assert(
+      world.Await([&] { return world.host(0).state().in_flight_count == 0; }));
   cr_assert_eq(Left(world), 1U);
-  world.Settle();
+  world.PollEventLoop();
   cr_assert_eq(world.RunsOf("left"), 1);
 }
 
@@ -202,7 +204,8 @@
   caller.Send(text);
   cr_assert(world.Await([&] { return world.platform().writes() > writes; }));
   caller.Close();
-  cr_assert(world.Await([&] { return world.host(0).state().requests == 0; }));
+  cr_assert(
+      world.Await([&] { return world.host(0).state().in_flight_count == 0; }));
   world.platform().SetFaults({});
   cr_assert_eq(LeftWith(world, AbandonedWork::kNotStarted), 1U);
   cr_assert(world.Await([&] {
@@ -253,16 +256,16 @@
   cr_assert(world.Await([&] { return world.InFlight() == 1; }));
   caller.HalfClose();
   cr_assert(world.Await([&] { return caller.IsClosed(); }));
-  cr_assert(caller.Has("HTTP/1.1 502"));
-  cr_assert(caller.Has("Pathcleat-Outcome: unknown"));
+  cr_assert(caller.HasReceived("HTTP/1.1 502"));
+  cr_assert(caller.HasReceived("Pathcleat-Outcome: unknown"));
   cr_assert(world.Await([&] { return world.InFlight() == 0; }));
   // With nothing sent yet, the answer is a promise.
   RawClient early(world.loop(), world.address(), world.CallerPort(0));
   early.Send(PostText("early", 1));
   early.HalfClose();
   cr_assert(world.Await([&] { return early.IsClosed(); }));
-  cr_assert(early.Has("HTTP/1.1 503"));
-  cr_assert(early.Has("Pathcleat-Outcome: not-run"));
+  cr_assert(early.HasReceived("HTTP/1.1 503"));
+  cr_assert(early.HasReceived("Pathcleat-Outcome: not-run"));
   cr_assert_eq(world.RunsOf("early"), 0);
 }
 
@@ -281,8 +284,8 @@
   world.ForEachUpstream(
       [](UpstreamStandIn& u) { u.ReleaseAnswerOfRun("held"); });
   cr_assert(world.Await([&] { return caller.IsClosed(); }));
-  cr_assert(caller.Has("HTTP/1.1 200"));
-  cr_assert(caller.Has("end held"));
+  cr_assert(caller.HasReceived("HTTP/1.1 200"));
+  cr_assert(caller.HasReceived("end held"));
 }
 
 // An answer that is being written is worth its end; the request behind it is
@@ -299,7 +302,7 @@
   cr_assert(world.Await([&] { return !caller.received().empty(); }));
   caller.HalfClose();
   cr_assert(world.Await([&] { return caller.IsClosed(); }));
-  cr_assert(caller.Has("end big"));
+  cr_assert(caller.HasReceived("end big"));
   cr_assert_eq(world.RunsOf("behind"), 0);
 }
 
--- a/src/pathcleat/lab/config_transfer_test.cpp
+++ b/src/pathcleat/lab/config_transfer_test.cpp
@@ -43,7 +43,8 @@
 }
 
 bool Follows(TestCluster& world, std::size_t host) {
-  return world.host(host).Versions().store == StoreAccess::kFollowingPeer;
+  return world.host(host).Versions().store_access ==
+         StoreAccess::kFollowingPeer;
 }
 
 template <class Value>
@@ -88,7 +89,7 @@
     Route route = config.routes.front();
     route.name = "more-" + std::to_string(i);
     route.path_prefix = "/more/" + std::to_string(i) + "/";
-    route.home_regions = {"region-0"};
+    route.allowed_regions = {"region-0"};
     config.routes.push_back(route);
   }
 }
@@ -96,7 +97,8 @@
 std::uint64_t OrdersSent(TestCluster& world) {
   std::uint64_t sent = 0;
   for (std::size_t i = 0; i < kHosts; ++i) {
-    sent += world.host(i).state().peer_traffic.sent(PeerMessageKind::kOrders);
+    sent +=
+        world.host(i).state().peer_traffic.bytes_sent(PeerMessageKind::kOrders);
   }
   return sent;
 }
--- a/src/pathcleat/lab/crash_model.cpp
+++ b/src/pathcleat/lab/crash_model.cpp
@@ -27,7 +27,7 @@
     for (int d = 0; d < plan.domains; ++d) {
       for (int h = 0; h < plan.hosts_in_domain; ++h) {
         const std::string domain = "domain-" + std::to_string(d);
-        hosts_.push_back({std::make_unique<CrashLedger>(
+        hosts_.push_back({std::make_unique<CrashTracker>(
                               domain, domain + "-" + std::to_string(h)),
                           d});
       }
@@ -45,7 +45,7 @@
   }
 
   CrashModelResult Run() {
-    const Time end = now_ + plan_.lasts;
+    const Time end = now_ + plan_.duration;
     for (; now_ < end; now_ += kStep) {
       CrashByThemselves();
       EndRuns();
@@ -58,7 +58,7 @@
 
  private:
   struct Host {
-    std::unique_ptr<CrashLedger> ledger;
+    std::unique_ptr<CrashTracker> ledger;
     int domain;
   };
   struct Upstream {
@@ -123,8 +123,8 @@
       return run.upstream == index;
     });
     for (const Work& run : ended) {
-      const CrashLedger& ledger = *hosts_[run.host].ledger;
-      const bool suspected = ledger.Judge(run.request, now_).crashes > 0;
+      const CrashTracker& ledger = *hosts_[run.host].ledger;
+      const bool suspected = ledger.Decide(run.request, now_).crash_count > 0;
       hosts_[run.host].ledger->OnCrash(run.request, id, now_);
       Tell(run.host);
       if (run.attempt < kMostAttempts &&
@@ -165,13 +165,13 @@
   }
 
   void Send(RequestDigest request, std::size_t host, int attempt) {
-    CrashLedger& ledger = *hosts_[host].ledger;
-    const CrashDecision verdict = ledger.Judge(request, now_);
+    CrashTracker& ledger = *hosts_[host].ledger;
+    const CrashDecision verdict = ledger.Decide(request, now_);
     if (request != kFatal && attempt == 1) {
-      ++result_.repeats;
+      ++result_.repeated_requests;
       result_.wrongly_refused += verdict.blocked ? 1 : 0;
       result_.with_two_crashes +=
-          verdict.crashes + 1 >= kCrashBlockThreshold ? 1 : 0;
+          verdict.crash_count + 1 >= kCrashBlockThreshold ? 1 : 0;
     }
     if (verdict.blocked) {
       return;
@@ -190,7 +190,7 @@
             ? plan_.fatal_crash_delay
             : Duration(static_cast<std::int64_t>(
                   std::exponential_distribution<double>(1.0)(random_) *
-                  static_cast<double>(plan_.run_time.count())));
+                  static_cast<double>(plan_.mean_run_time.count())));
     runs_.push_back(
         {request, host, up[AnyOf(up.size())], now_ + takes, attempt});
   }
@@ -220,7 +220,7 @@
 
   void Post(std::size_t to, const CrashReport& report) {
     if (!report.entries.empty()) {
-      messages_.push_back({now_ + plan_.one_way, to, report});
+      messages_.push_back({now_ + plan_.one_way_delay, to, report});
     }
   }
 
@@ -229,9 +229,9 @@
       const Message message = messages_.front();
       messages_.pop_front();
       Host& host = hosts_[message.to];
-      if (message.report.pass_on) {
+      if (message.report.forward_to_domain) {
         CrashReport passed = message.report;
-        passed.pass_on = false;
+        passed.forward_to_domain = false;
         for (std::size_t to = 0; to < hosts_.size(); ++to) {
           if (to != message.to && hosts_[to].domain == host.domain) {
             Post(to, passed);
--- a/src/pathcleat/lab/crash_model_test.cpp
+++ b/src/pathcleat/lab/crash_model_test.cpp
@@ -35,7 +35,7 @@
     plan.crashing_share = 0.15;
     plan.seed = seed;
     const CrashModelResult result = RunCrashModel(plan);
-    cr_assert_gt(result.repeats, 10'000);
+    cr_assert_gt(result.repeated_requests, 10'000);
     cr_assert_eq(result.wrongly_refused, 0);
   }
 }
--- a/src/pathcleat/lab/crashing_request_test.cpp
+++ b/src/pathcleat/lab/crashing_request_test.cpp
@@ -33,13 +33,13 @@
 
 // As the store does once they have been silent for a while.
 void TakeCrashedOffTheList(TestCluster& world) {
-  for (std::size_t i = 0; i < world.upstreams(); ++i) {
+  for (std::size_t i = 0; i < world.upstream_count(); ++i) {
     if (world.upstream(i).HasCrashed()) {
       world.platform().RemoveUpstream(world.upstream_info(i).id);
     }
   }
   const auto left =
-      world.upstreams() - static_cast<std::size_t>(Crashed(world));
+      world.upstream_count() - static_cast<std::size_t>(Crashed(world));
   cr_assert(world.Await([&world, left] {
     for (std::size_t host = 0; host < kHosts; ++host) {
       if (world.host(host).state().upstreams.size() != left) {
--- a/src/pathcleat/lab/deadline_test.cpp
+++ b/src/pathcleat/lab/deadline_test.cpp
@@ -27,7 +27,8 @@
     for (const HttpRequest& request :
          {world.GetRequest(id), world.PostRequest(id),
           world.PostRequest(id, "key" + id)}) {
-      const CallResult result = world.Ask(host, WithDeadline(request, text));
+      const CallResult result =
+          world.SendAndWait(host, WithDeadline(request, text));
       cr_assert_eq(result.response.status, http_status::kUnavailable);
       cr_assert_str_eq(TestCluster::OutcomeHeader(result).c_str(), "not-run");
     }
@@ -47,7 +48,7 @@
                            "soon", "", "1000000000000"}) {
     const std::string id = std::string("absurd") + text;
     const CallResult result =
-        world.Ask(host, WithDeadline(world.GetRequest(id), text));
+        world.SendAndWait(host, WithDeadline(world.GetRequest(id), text));
     cr_assert_eq(result.response.status, http_status::kOk);
     cr_assert_eq(world.RunsOf(id), 1);
   }
--- a/src/pathcleat/lab/deployment_config.cpp
+++ b/src/pathcleat/lab/deployment_config.cpp
@@ -42,7 +42,7 @@
   return deployment.name + ".example";
 }
 
-RoutingConfig ConfigOf(const Deployment& deployment) {
+RoutingConfig RoutingConfigOf(const Deployment& deployment) {
   RoutingConfig config;
   config.version = 1;
   for (const Service& service : deployment.services) {
@@ -80,7 +80,7 @@
         {{"name", domain.name}, {"region", deployment.At(domain.region).name}});
   }
   ordered_json links = ordered_json::array();
-  for (const Link& link : deployment.links) {
+  for (const RegionLink& link : deployment.links) {
     if (link.from == deployment.RegionOf(index)) {
       links.push_back({{"to", deployment.At(link.to).name},
                        {"max_in_flight", link.max_in_flight}});
--- a/src/pathcleat/lab/faults_test.cpp
+++ b/src/pathcleat/lab/faults_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 void SpoilAll(TestCluster& world, AnswerCorruption how) {
-  world.ForEachUpstream([how](UpstreamStandIn& u) { u.Spoil(how); });
+  world.ForEachUpstream([how](UpstreamStandIn& u) { u.CorruptAnswers(how); });
 }
 
 // Promise: a submission that may not be repeated runs at most once.
@@ -19,7 +19,7 @@
 Test(promise, broken_submission_is_unknown_and_never_sent_again) {
   TestCluster world;
   world.StartAll();
-  SpoilAll(world, AnswerCorruption::kLost);
+  SpoilAll(world, AnswerCorruption::kNoAnswer);
   const CallResult post = world.Post(0, "r1");
   cr_assert_eq(post.response.status, http_status::kBadGateway);
   cr_assert_str_eq(TestCluster::OutcomeHeader(post).c_str(), "unknown");
@@ -32,7 +32,7 @@
 Test(promise, broken_lookup_that_no_upstream_answers_is_unknown) {
   TestCluster world;
   world.StartAll();
-  SpoilAll(world, AnswerCorruption::kLost);
+  SpoilAll(world, AnswerCorruption::kNoAnswer);
   const CallResult first = world.Get(0, "r0");
   cr_assert_eq(first.response.status, http_status::kBadGateway);
   cr_assert_str_eq(TestCluster::OutcomeHeader(first).c_str(), "unknown");
@@ -51,8 +51,8 @@
   plan.upstreams_in_domain = 2;
   TestCluster world(plan);
   world.StartAll();
-  world.upstream(0).Spoil(AnswerCorruption::kLost);
-  world.upstream(1).TurnAway(true);
+  world.upstream(0).CorruptAnswers(AnswerCorruption::kNoAnswer);
+  world.upstream(1).RejectRequests(true);
   for (int i = 0; i < 6; ++i) {
     const std::string id = "r" + std::to_string(i);
     const CallResult get = world.Get(0, id);
@@ -64,7 +64,7 @@
 Test(faults, broken_lookup_is_tried_at_another_upstream) {
   TestCluster world;
   world.StartAll();
-  world.upstream(0).Spoil(AnswerCorruption::kLost);
+  world.upstream(0).CorruptAnswers(AnswerCorruption::kNoAnswer);
   for (int i = 0; i < 8; ++i) {
     cr_assert_eq(world.Get(0, "r" + std::to_string(i)).response.status,
                  http_status::kOk);
@@ -93,7 +93,7 @@
 Test(faults, submission_that_an_upstream_did_not_run_goes_to_another) {
   TestCluster world;
   world.StartAll();
-  world.upstream(0).TurnAway(true);
+  world.upstream(0).RejectRequests(true);
   for (int i = 0; i < 6; ++i) {
     const std::string id = "r" + std::to_string(i);
     cr_assert_eq(world.Post(0, id).response.status, http_status::kOk);
@@ -105,7 +105,7 @@
 Test(promise, refusal_means_that_nothing_ran_and_says_when_to_come_back) {
   TestCluster world;
   world.StartAll();
-  world.ForEachUpstream([](UpstreamStandIn& u) { u.TurnAway(true); });
+  world.ForEachUpstream([](UpstreamStandIn& u) { u.RejectRequests(true); });
   const CallResult post = world.Post(0, "r1");
   cr_assert_eq(post.response.status, http_status::kUnavailable);
   cr_assert_str_eq(TestCluster::OutcomeHeader(post).c_str(), "not-run");
@@ -200,7 +200,7 @@
   world.platform().PutConfig(world.config());  // version 1 again
   world.platform().ForgetHistory();
   cr_assert_eq(world.Get(0, "r2").response.status, http_status::kOk);
-  world.Settle();
+  world.PollEventLoop();
   cr_assert_eq(world.host(0).state().routes.version(), 7U);
 }
 
@@ -281,7 +281,7 @@
   constexpr double kEarly = 0.1;
   for (int i = 0;; ++i) {
     const std::string block = "127.101." + std::to_string(i);
-    if (UnitHash(block) < kEarly) {
+    if (UnitIntervalHash(block) < kEarly) {
       return block + ".1";
     }
   }
@@ -307,8 +307,8 @@
   int at_cap = 0;
   cr_assert(world.Await([&] {
     ++offered;
-    world.Ask(endpoint, world.GetRequest("s" + std::to_string(offered)),
-              caller);
+    world.SendAndWait(endpoint, world.GetRequest("s" + std::to_string(offered)),
+                      caller);
     away = world.upstream(2).ledger().runs + world.upstream(3).ledger().runs;
     cr_assert_leq(away * 10, offered * 3);
     // Well beyond the moment when the shift is at its cap.
--- a/src/pathcleat/lab/foreign_entries_test.cpp
+++ b/src/pathcleat/lab/foreign_entries_test.cpp
@@ -14,7 +14,7 @@
     R"("Sequence":1,"born":1764736000000})";
 
 bool IsUpstream(const std::string& value) {
-  const KeyDigester digester;
+  const KeyedHasher digester;
   return std::holds_alternative<UpstreamInfo>(platform::DecodeRow(
       SourceTopic::kUpstreams, digester, "i-1", false, value));
 }
@@ -97,17 +97,17 @@
   info.domain = "d";
   info.started_ms = 1;
   table.Put(info, Time());
-  const UpstreamPtr before = table.Of("s").front();
+  const UpstreamPtr before = table.ForService("s").front();
   before->keys.Touch(kKey);
   before->load.OnSent();
   cr_assert_not(table.Put(info, Time()));
-  cr_assert(table.Of("s").front()->keys.Contains(kKey));
+  cr_assert(table.ForService("s").front()->keys.Contains(kKey));
   info.started_ms = 2;
   cr_assert(table.Put(info, Time()));
-  cr_assert_eq(table.Of("s").size(), 1U);
-  const UpstreamPtr after = table.Of("s").front();
+  cr_assert_eq(table.ForService("s").size(), 1U);
+  const UpstreamPtr after = table.ForService("s").front();
   cr_assert_not(after->keys.Contains(kKey));
-  cr_assert_eq(after->load.own(), 0);
+  cr_assert_eq(after->load.own_in_flight(), 0);
   cr_assert(before->removed);
 }
 
--- a/src/pathcleat/lab/heartbeat_slopes.cpp
+++ b/src/pathcleat/lab/heartbeat_slopes.cpp
@@ -31,7 +31,7 @@
     const std::string bytes = AppendMac(EncodeHeartbeat(HeartbeatOf(i)), kKey);
     const auto message = VerifyMac(bytes, kKey);
     const auto heartbeat = DecodeHeartbeat(*message);
-    table.OnHeard(heartbeat->host, heartbeat->versions, BootClock::now());
+    table.OnHeartbeat(heartbeat->host, heartbeat->versions, BootClock::now());
   }
   return CpuMicros() - began;
 }
--- a/src/pathcleat/lab/leaving_upstream_test.cpp
+++ b/src/pathcleat/lab/leaving_upstream_test.cpp
@@ -42,7 +42,7 @@
 
   UpstreamPtr Chosen() {
     for (const UpstreamPtr& upstream : state().upstreams.All()) {
-      if (upstream->load.own() > 0) {
+      if (upstream->load.own_in_flight() > 0) {
         return upstream;
       }
     }
@@ -50,15 +50,16 @@
   }
 
   void ExpectAnswerFromAnother(const UpstreamPtr& chosen) {
-    cr_assert(world.Await([this] { return caller->Has("\r\n\r\n"); }));
-    cr_assert(caller->Has("HTTP/1.1 200"), "%s", caller->received().c_str());
+    cr_assert(world.Await([this] { return caller->HasReceived("\r\n\r\n"); }));
+    cr_assert(caller->HasReceived("HTTP/1.1 200"), "%s",
+              caller->received().c_str());
     cr_assert_eq(world.TotalRuns(), 1);
-    for (std::size_t i = 0; i < world.upstreams(); ++i) {
+    for (std::size_t i = 0; i < world.upstream_count(); ++i) {
       if (world.upstream(i).id() == chosen->info.id) {
         cr_assert_eq(world.upstream(i).ledger().runs, 0);
       }
     }
-    cr_assert_eq(chosen->load.own(), 0);
+    cr_assert_eq(chosen->load.own_in_flight(), 0);
   }
 
   GatewayState& state() { return world.host(0).state(); }
@@ -99,10 +100,10 @@
   OpeningWorld opening;
   const UpstreamPtr chosen = opening.SendAndAwaitChoice(kGet);
   const Time now = BootClock::now();
-  while (chosen->share.TryAcquire(now)) {
+  while (chosen->rate_share.TryAcquire(now)) {
   }
   UpstreamInfo cold = chosen->info;
-  cold.cold_for = Duration(60'000'000);
+  cold.cold_remaining = Duration(60'000'000);
   opening.state().upstreams.Put(cold, now);
   opening.ExpectAnswerFromAnother(chosen);
 }
@@ -116,10 +117,10 @@
     leaving.leaving = true;
     opening.state().upstreams.Put(leaving, BootClock::now());
   }
-  cr_assert(
-      opening.world.Await([&] { return opening.caller->Has("\r\n\r\n"); }));
-  cr_assert(opening.caller->Has("HTTP/1.1 503"));
-  cr_assert(opening.caller->Has("Pathcleat-Outcome: not-run"));
+  cr_assert(opening.world.Await(
+      [&] { return opening.caller->HasReceived("\r\n\r\n"); }));
+  cr_assert(opening.caller->HasReceived("HTTP/1.1 503"));
+  cr_assert(opening.caller->HasReceived("Pathcleat-Outcome: not-run"));
   cr_assert_eq(opening.world.TotalRuns(), 0);
 }
 
--- a/src/pathcleat/lab/limit_cases.cpp
+++ b/src/pathcleat/lab/limit_cases.cpp
@@ -20,7 +20,7 @@
   LimitModelPlan plan;
   plan.hosts_in_domain = hosts_in_domain;
   plan.upstreams = upstreams;
-  plan.limited = limited;
+  plan.limited_upstreams = limited;
   plan.requests_per_second = 5.0 * upstreams;
   return plan;
 }
@@ -40,8 +40,8 @@
   cases[5].plan.limit_per_second = 10;
   cases[5].plan.requests_per_second = 480;
   cases[6].plan.restart_one_in = 3;
-  cases[7].plan.cut_from = Duration(10'000'000);
-  cases[8].plan.cut_from = Duration(10'000'000);
+  cases[7].plan.partition_from = Duration(10'000'000);
+  cases[8].plan.partition_from = Duration(10'000'000);
   return cases;
 }
 
@@ -51,7 +51,7 @@
       return "none";
     case LimitStrategy::kEqualShare:
       return "own part";
-    case LimitStrategy::kUsage:
+    case LimitStrategy::kReportedUsage:
       return "usage told";
     case LimitStrategy::kFewSenders:
       return "few senders";
@@ -60,7 +60,7 @@
 }
 
 std::string Row(LimitModelPlan plan, LimitStrategy way, int seeds) {
-  plan.way = way;
+  plan.strategy = way;
   LimitModelResult sum;
   LimitModelResult worst;
   for (int seed = 1; seed <= seeds; ++seed) {
@@ -72,14 +72,14 @@
         worst.max_informed_window_ratio, result.max_informed_window_ratio);
     worst.end_delay_seconds =
         std::max(worst.end_delay_seconds, result.end_delay_seconds);
-    sum.used += result.used / seeds;
-    sum.refused += result.refused / seeds;
+    sum.used_share += result.used_share / seeds;
+    sum.refused_share += result.refused_share / seeds;
     sum.bytes_per_host_per_second += result.bytes_per_host_per_second / seeds;
   }
   std::ostringstream row;
   row << std::fixed << std::setprecision(2) << " | " << ToString(way) << " | "
       << worst.max_window_ratio << " | " << worst.max_informed_window_ratio
-      << " | " << sum.used << " | " << sum.refused << " | "
+      << " | " << sum.used_share << " | " << sum.refused_share << " | "
       << std::setprecision(1) << worst.end_delay_seconds << " | "
       << std::setprecision(0) << sum.bytes_per_host_per_second << " |\n";
   return row.str();
@@ -95,7 +95,7 @@
   for (const LimitCase& one : Cases()) {
     for (const LimitStrategy way :
          {LimitStrategy::kNone, LimitStrategy::kEqualShare,
-          LimitStrategy::kUsage, LimitStrategy::kFewSenders}) {
+          LimitStrategy::kReportedUsage, LimitStrategy::kFewSenders}) {
       table += std::string("| ") + one.name + Row(one.plan, way, seeds);
     }
   }
--- a/src/pathcleat/lab/limit_model.cpp
+++ b/src/pathcleat/lab/limit_model.cpp
@@ -46,7 +46,7 @@
   }
 
   LimitModelResult Run() {
-    const Time end = begun_ + plan_.lasts;
+    const Time end = begun_ + plan_.duration;
     for (; now_ < end; now_ += kStep) {
       Deliver();
       EndRuns();
@@ -98,7 +98,7 @@
     host.exchange->SetOnChange(
         [this](UpstreamState& upstream, LimitChange change) {
           if (change == LimitChange::kStarted) {
-            upstream.share.SetRate(0, now_);
+            upstream.rate_share.SetRate(0, now_);
           }
         });
     host.upstreams.clear();
@@ -124,14 +124,14 @@
   }
 
   bool IsNeeding(std::size_t upstream, Time at) const {
-    return upstream < Count(plan_.limited) &&
+    return upstream < Count(plan_.limited_upstreams) &&
            at >= begun_ + plan_.limited_from &&
            at < begun_ + plan_.limited_until;
   }
 
   bool IsCut(Time since) const {
-    return plan_.cut_from > Duration::zero() &&
-           since >= begun_ + plan_.cut_from &&
+    return plan_.partition_from > Duration::zero() &&
+           since >= begun_ + plan_.partition_from &&
            now_ < begun_ + plan_.limited_until;
   }
   bool Hears(const Host& one, const Host& other) const {
@@ -144,18 +144,18 @@
 
   double RateOf(const Host& host, const UpstreamState& upstream) const {
     const double limit = upstream.limit.PerSecond(now_);
-    if (plan_.way == LimitStrategy::kEqualShare) {
+    if (plan_.strategy == LimitStrategy::kEqualShare) {
       return limit / static_cast<double>(hosts_.size());
     }
     RateSenders senders(StableHash(host.name), "r");
     for (const Host& other : hosts_) {
       if (&other != &host && Shares(host, other)) {
-        senders.Add(StableHash(other.name), "r");
+        senders.AddHost(StableHash(other.name), "r");
       }
     }
     senders.SetFleetSize(static_cast<int>(hosts_.size()));
     return senders.Rate(
-        {limit, kLimitSlack + kLimitOverage * limit * Seconds(kLimitWindow)},
+        {limit, kLimitSlack + kLimitOverage * limit * ToSeconds(kLimitWindow)},
         upstream.hash, "r");
   }
 
@@ -163,25 +163,26 @@
   bool HasUsageLeft(const Upstream& upstream,
                     const UpstreamState& state,
                     std::size_t host) const {
-    const Time told =
-        begun_ + (now_ - plan_.one_way - begun_) / kTellEvery * kTellEvery;
+    const Time told = begun_ + (now_ - plan_.one_way_delay - begun_) /
+                                   kTellEvery * kTellEvery;
     double sent = 0;
     for (auto at = upstream.arrivals.rbegin();
          at != upstream.arrivals.rend() && now_ - at->at < kLimitWindow; ++at) {
       sent += at->host == host || at->at <= told ? 1 : 0;
     }
-    return sent < state.limit.PerSecond(now_) * Seconds(kLimitWindow);
+    return sent < state.limit.PerSecond(now_) * ToSeconds(kLimitWindow);
   }
 
   bool MayTake(std::size_t host, std::size_t index) {
     UpstreamState& state = *hosts_[host].upstreams[index];
-    if (plan_.way == LimitStrategy::kNone || !state.limit.IsInForce(now_)) {
+    if (plan_.strategy == LimitStrategy::kNone ||
+        !state.limit.IsInForce(now_)) {
       return true;
     }
-    if (plan_.way == LimitStrategy::kUsage) {
+    if (plan_.strategy == LimitStrategy::kReportedUsage) {
       return HasUsageLeft(upstreams_[index], state, host);
     }
-    return state.share.TryAcquire(now_);
+    return state.rate_share.TryAcquire(now_);
   }
 
   // As UpstreamPicker does it.
@@ -189,16 +190,17 @@
     const auto asked =
         std::find_if(order.begin(), order.end(), [&](std::size_t index) {
           const UpstreamState& state = *hosts_[host].upstreams[index];
-          return state.limit.ShouldProbe(now_) && state.share.CanAcquire(now_);
+          return state.limit.ShouldProbe(now_) &&
+                 state.rate_share.CanAcquire(now_);
         });
-    if (plan_.way == LimitStrategy::kFewSenders && asked != order.end()) {
+    if (plan_.strategy == LimitStrategy::kFewSenders && asked != order.end()) {
       std::iter_swap(order.begin(), asked);
     }
   }
 
   void Arrive() {
     std::poisson_distribution<int> count(plan_.requests_per_second *
-                                         Seconds(kStep));
+                                         ToSeconds(kStep));
     for (int left = count(random_); left > 0; --left) {
       const std::size_t host = AnyOf(hosts_.size());
       std::vector<std::size_t> order(upstreams_.size());
@@ -226,15 +228,15 @@
     Time ends = now_;
     if (slot - now_ < kLongestQueue) {
       std::exponential_distribution<double> draw(1.0);
-      const auto mean = static_cast<double>(plan_.run_time.count());
+      const auto mean = static_cast<double>(plan_.mean_run_time.count());
       slot = std::max(slot, now_) +
              Duration(static_cast<std::int64_t>(mean * draw(random_)));
       ends = slot;
     } else {
       ++refused_;
     }
-    runs_.push_back(
-        {ends + plan_.one_way, host, index, now_, IsNeeding(index, ends)});
+    runs_.push_back({ends + plan_.one_way_delay, host, index, now_,
+                     IsNeeding(index, ends)});
   }
 
   void EndRuns() {
@@ -291,7 +293,7 @@
       return;
     }
     bytes_ += static_cast<double>(EncodeLimits(report).size());
-    messages_.push_back({now_ + plan_.one_way, to, report});
+    messages_.push_back({now_ + plan_.one_way_delay, to, report});
   }
 
   void Deliver() {
@@ -300,11 +302,11 @@
       messages_.pop_front();
       Host& host = hosts_[message.to];
       host.exchange->OnLimitReport(message.report, now_);
-      if (!message.report.pass_on) {
+      if (!message.report.forward_to_domain) {
         continue;
       }
       LimitReport passed = message.report;
-      passed.pass_on = false;
+      passed.forward_to_domain = false;
       for (std::size_t to = 0; to < hosts_.size(); ++to) {
         if (to != message.to && hosts_[to].domain == host.domain) {
           Post(message.to, to, passed);
@@ -320,7 +322,7 @@
         host.next_tick += kTick;
         host.exchange->Tick(now_);
         for (const UpstreamPtr& upstream : host.table->MaybeRateBounded(now_)) {
-          upstream->share.SetRate(RateOf(host, *upstream), now_);
+          upstream->rate_share.SetRate(RateOf(host, *upstream), now_);
         }
       }
       if (now_ >= host.next_tell) {
@@ -345,7 +347,7 @@
   void NoteKnownOver() {
     const Time over = begun_ + plan_.limited_until;
     for (const Host& host : hosts_) {
-      if (now_ > over && !host.exchange->in_force().empty()) {
+      if (now_ > over && !host.exchange->limited_upstreams().empty()) {
         known_over_ = now_ - over;
       }
     }
@@ -356,7 +358,7 @@
     const Time over = begun_ + plan_.limited_until;
     LimitModelResult result;
     double used = 0;
-    for (std::size_t i = 0; i < Count(plan_.limited); ++i) {
+    for (std::size_t i = 0; i < Count(plan_.limited_upstreams); ++i) {
       const Upstream& upstream = upstreams_[i];
       const Time from = upstream.first_named + kContact;
       if (upstream.first_named == Time() || from >= over) {
@@ -368,14 +370,14 @@
           std::max(result.max_window_ratio, use.max_window_ratio);
       result.max_informed_window_ratio = std::max(
           result.max_informed_window_ratio, use.max_informed_window_ratio);
-      used += use.used;
+      used += use.used_share;
     }
-    result.used = used / plan_.limited;
-    result.refused = refused_ / requests_;
-    result.end_delay_seconds = Seconds(known_over_);
+    result.used_share = used / plan_.limited_upstreams;
+    result.refused_share = refused_ / requests_;
+    result.end_delay_seconds = ToSeconds(known_over_);
     result.bytes_per_host_per_second =
         bytes_ / static_cast<double>(hosts_.size()) /
-        Seconds(plan_.limited_until - plan_.limited_from);
+        ToSeconds(plan_.limited_until - plan_.limited_from);
     return result;
   }
 
--- a/src/pathcleat/lab/limit_model_test.cpp
+++ b/src/pathcleat/lab/limit_model_test.cpp
@@ -10,7 +10,7 @@
   LimitModelPlan plan;
   plan.hosts_in_domain = hosts_in_domain;
   plan.upstreams = upstreams;
-  plan.limited = upstreams / 3;
+  plan.limited_upstreams = upstreams / 3;
   plan.requests_per_second = 5.0 * upstreams;
   return plan;
 }
@@ -32,9 +32,9 @@
 // leave them the work.
 Test(limit_model, limits_are_used) {
   LimitModelPlan plan = Sized(2, 24);
-  plan.limited = 24;
+  plan.limited_upstreams = 24;
   const LimitModelResult result = RunLimitModel(plan);
-  cr_assert_geq(result.used, 0.8);
+  cr_assert_geq(result.used_share, 0.8);
   cr_assert_leq(result.max_window_ratio, 1.0);
 }
 
@@ -57,7 +57,7 @@
 Test(limit_model, limits_hold_while_the_fleet_is_cut_in_halves) {
   for (const int hosts_in_domain : {2, 13}) {
     LimitModelPlan plan = Sized(hosts_in_domain, 24);
-    plan.cut_from = Duration(10'000'000);
+    plan.partition_from = Duration(10'000'000);
     cr_assert_leq(RunLimitModel(plan).max_window_ratio, 1.0);
   }
 }
@@ -65,9 +65,9 @@
 // Checked to tell the ways apart: each fails what the few senders keep.
 Test(limit_model, other_ways_break_the_bound) {
   LimitModelPlan plan = Sized(50, 24);
-  plan.way = LimitStrategy::kNone;
+  plan.strategy = LimitStrategy::kNone;
   cr_assert_gt(RunLimitModel(plan).max_window_ratio, 1.0);
-  plan.way = LimitStrategy::kEqualShare;
+  plan.strategy = LimitStrategy::kEqualShare;
   cr_assert_gt(RunLimitModel(plan).max_window_ratio, 1.0);
 }
 
--- a/src/pathcleat/lab/limit_windows.hpp
+++ b/src/pathcleat/lab/limit_windows.hpp
@@ -16,7 +16,7 @@
 constexpr double kLimitOverage = 0.5;
 constexpr double kLimitSlack = 5;
 
-inline double Seconds(Duration duration) {
+inline double ToSeconds(Duration duration) {
   return std::chrono::duration<double>(duration).count();
 }
 
@@ -24,7 +24,7 @@
 struct LimitArrival {
   Time at;
   std::size_t host = 0;
-  bool told = false;  ///< its host had been told of the limit
+  bool informed = false;  ///< its host had been told of the limit
 };
 
 /// @brief A limit and the time for which it is judged.
@@ -38,7 +38,7 @@
 struct LimitUse {
   double max_window_ratio = 0;  ///< fullest window over what it may hold
   double max_informed_window_ratio = 0;  ///< the same, of hosts that were told
-  double used = 0;                       ///< part of the limit
+  double used_share = 0;                 ///< part of the limit
 };
 
 /// @brief The most arrivals in one window.
@@ -64,16 +64,16 @@
       continue;
     }
     all.push_back(arrival.at);
-    if (arrival.told) {
+    if (arrival.informed) {
       told.push_back(arrival.at);
     }
   }
   const double allowed =
-      (1 + kLimitOverage) * span.per_second * Seconds(kLimitWindow) +
+      (1 + kLimitOverage) * span.per_second * ToSeconds(kLimitWindow) +
       kLimitSlack;
   return {MaxInWindow(all) / allowed, MaxInWindow(told) / allowed,
           static_cast<double>(all.size()) /
-              (span.per_second * Seconds(span.until - span.from))};
+              (span.per_second * ToSeconds(span.until - span.from))};
 }
 
 }  // namespace pathcleat
