--- a/src/pathcleat/lab/limited_upstream_test.cpp
+++ b/src/pathcleat/lab/limited_upstream_test.cpp
@@ -48,7 +48,7 @@
   TestCluster world(Plan());
   world.StartAll();
   UpstreamStandIn& limited = world.upstream(0);
-  limited.NameLimit("2.0");
+  limited.SetLimitHeader("2.0");
   const Time begun = BootClock::now();
   Ask(world, kToldWithin + kWindow + kWindow / 2);
   const auto& arrivals = limited.ledger().arrivals;
@@ -61,7 +61,8 @@
 }
 
 bool Knows(TestCluster& world, std::size_t host, const std::string& upstream) {
-  return world.host(host).state().limits.in_force().contains(upstream);
+  return world.host(host).state().upstream_limits.limited_upstreams().contains(
+      upstream);
 }
 
 // Guards against hosts that learn of a limit, and of its end, by their own
@@ -72,7 +73,7 @@
   TestCluster world(plan);
   world.StartAll();
   UpstreamStandIn& limited = world.upstream(0);
-  limited.NameLimit("3");
+  limited.SetLimitHeader("3");
   int next = 0;
   const auto ask_first_host_until = [&](const std::function<bool()>& done) {
     while (!done()) {
@@ -91,7 +92,7 @@
   cr_assert(world.HasEvent(kHosts - 1, EventCode::kUpstreamLimited));
   const std::string shown = world.RunCommand(0, "show upstreams").response.body;
   cr_assert(shown.find("takes 3 requests a second") != std::string::npos);
-  limited.NameLimit("");
+  limited.SetLimitHeader("");
   ask_first_host_until([&] { return all_know(false); });
   cr_assert(world.HasEvent(kHosts - 1, EventCode::kUpstreamLimitEnded));
 }
@@ -103,7 +104,7 @@
   plan.hosts_in_domain = {1};
   TestCluster world(plan);
   world.StartAll();
-  world.ForEachUpstream([](UpstreamStandIn& u) { u.NameLimit("-1"); });
+  world.ForEachUpstream([](UpstreamStandIn& u) { u.SetLimitHeader("-1"); });
   for (int i = 0; i < 20; ++i) {
     cr_assert_eq(world.Get(0, "r" + std::to_string(i)).response.status,
                  http_status::kOk);
@@ -113,7 +114,7 @@
     told += event.code == EventCode::kUpstreamLimitUnreadable ? 1 : 0;
   }
   cr_assert_geq(told, 1);
-  cr_assert_leq(told, static_cast<int>(world.upstreams()));
+  cr_assert_leq(told, static_cast<int>(world.upstream_count()));
 }
 
 // Guards against requests that wait, or are sent all the same, where all
@@ -123,7 +124,7 @@
   plan.hosts_in_domain = {1};
   TestCluster world(plan);
   world.StartAll();
-  world.ForEachUpstream([](UpstreamStandIn& u) { u.NameLimit("1"); });
+  world.ForEachUpstream([](UpstreamStandIn& u) { u.SetLimitHeader("1"); });
   int refused = 0;
   for (int i = 0; i < 50; ++i) {
     const CallResult result = world.Get(0, "r" + std::to_string(i));
--- a/src/pathcleat/lab/load_audit.cpp
+++ b/src/pathcleat/lab/load_audit.cpp
@@ -15,18 +15,18 @@
                  "not a ledger"});
   }
   LoadAudit audit;
-  audit.over_slots = ledger["over_slots"].get<int>();
-  audit.turned_away = ledger["turned_away"].get<int>();
+  audit.upstreams_over_slots = ledger["over_slots"].get<int>();
+  audit.rejected = ledger["turned_away"].get<int>();
   for (const auto& [key, runs] : ledger["runs_by_key"].items()) {
     audit.duplicate_runs += runs.get<int>() > 1 ? 1 : 0;
   }
   const auto& runs_by_id = ledger["runs_by_id"];
   for (const LoadRecord& record : load.records()) {
     const bool ran = runs_by_id.contains(record.run_id);
-    audit.false_not_run += record.told_not_run && ran ? 1 : 0;
+    audit.false_not_run += record.reported_not_run && ran ? 1 : 0;
   }
   for (const auto& [kind, counts] : load.counts()) {
-    audit.cut += counts.cut;
+    audit.corrupt_answers += counts.corrupt_answers;
   }
   return audit;
 }
@@ -45,9 +45,9 @@
          << Quantile(counts.refusal_ms, kTail) << " ms\n";
   }
   text << "doubled " << audit.duplicate_runs << ", told not-run but run "
-       << audit.false_not_run << ", over slots " << audit.over_slots
-       << ", turned away by upstreams " << audit.turned_away << ", cut answers "
-       << audit.cut << "\n";
+       << audit.false_not_run << ", over slots " << audit.upstreams_over_slots
+       << ", turned away by upstreams " << audit.rejected << ", cut answers "
+       << audit.corrupt_answers << "\n";
   return text.str();
 }
 
--- a/src/pathcleat/lab/load_generator.cpp
+++ b/src/pathcleat/lab/load_generator.cpp
@@ -73,10 +73,10 @@
 }
 
 void LoadGenerator::ScheduleNext() {
-  std::exponential_distribution<double> gap(plan_.per_second);
+  std::exponential_distribution<double> gap(plan_.requests_per_second);
   constexpr double kMicros = 1e6;
   next_arrival_ += Duration(static_cast<Duration::rep>(gap(random_) * kMicros));
-  if (next_arrival_ - started_ > plan_.length) {
+  if (next_arrival_ - started_ > plan_.duration) {
     all_arrived_ = true;
     if (in_flight_ == 0) {
       finished_();
@@ -169,7 +169,7 @@
   ++request->tries;
   // Each try has its own run id, so that "not run" can be checked for each.
   request->record.run_id = request->id + "." + std::to_string(request->tries);
-  request->record.told_not_run = false;
+  request->record.reported_not_run = false;
   HttpRequest http{request->kind->method,
                    request->kind->path,
                    {{"Host", plan_.host_header},
@@ -192,7 +192,7 @@
   const bool may_repeat = request->tries < kMostTries;
   if (result.outcome != CallOutcome::kAnswered) {
     const bool unsent = result.outcome == CallOutcome::kNotSent;
-    request->record.told_not_run = unsent;
+    request->record.reported_not_run = unsent;
     records_.push_back(request->record);
     ++request->host_turn;
     request->caller->hosts_until = {};
@@ -208,7 +208,7 @@
   }
   const auto outcome =
       FindHeader(result.response.headers, "Pathcleat-Outcome").value_or("");
-  request->record.told_not_run = outcome == "not-run";
+  request->record.reported_not_run = outcome == "not-run";
   records_.push_back(request->record);
   const double latency = ToMilliseconds(BootClock::now() - request->scheduled);
   if (outcome == "not-run") {
@@ -226,7 +226,7 @@
     const bool own = run.substr(0, run.rfind('.')) == request->id;
     const bool whole =
         own && text == ExpectedAnswer(run, request->kind->path, request->body);
-    counts.cut += whole ? 0 : 1;
+    counts.corrupt_answers += whole ? 0 : 1;
     ++counts.answered;
     counts.latency_ms.push_back(latency);
   } else {
--- a/src/pathcleat/lab/metrics_test.cpp
+++ b/src/pathcleat/lab/metrics_test.cpp
@@ -18,9 +18,9 @@
   world.StartAll();
   world.Get(0, "r1");
   world.Get(0, "r2");
-  world.ForEachUpstream([](UpstreamStandIn& u) { u.TurnAway(true); });
+  world.ForEachUpstream([](UpstreamStandIn& u) { u.RejectRequests(true); });
   world.Post(0, "r3");
-  const std::string page = world.Metrics(0).response.body;
+  const std::string page = world.FetchMetrics(0).response.body;
   cr_assert(Has(page,
                 "pathcleat_requests_total{route=\"read\",outcome="
                 "\"answered\"} 2\n"));
@@ -42,7 +42,7 @@
   TestCluster world;
   world.StartAll();
   world.Get(0, "r1");
-  std::istringstream page(world.Metrics(0).response.body);
+  std::istringstream page(world.FetchMetrics(0).response.body);
   std::set<std::string> families;
   std::string family;
   for (std::string line; std::getline(page, line);) {
--- a/src/pathcleat/lab/model_queue.hpp
+++ b/src/pathcleat/lab/model_queue.hpp
@@ -28,8 +28,8 @@
 /// @ingroup lab
 struct ModelWork {
   std::uint64_t key = 0;
-  Duration run{0};        ///< mean, of a key not lately served
-  double warm_share = 1;  ///< of it, where the key was lately served
+  Duration mean_run_time{0};  ///< mean, of a key not lately served
+  double warm_run_share = 1;  ///< of it, where the key was lately served
   Time deadline;
   std::function<void(ModelWorkOutcome end)> done;
 };
@@ -41,8 +41,8 @@
  public:
   struct Options {
     int slots = 1;
-    int queue = 0;
-    std::size_t keys_remembered = 0;
+    int queue_capacity = 0;
+    std::size_t cached_keys = 0;
   };
 
   SimulatedUpstream(VirtualScheduler& agenda,
@@ -51,14 +51,14 @@
       : agenda_(agenda),
         random_(random),
         shape_(shape),
-        keys_(shape.keys_remembered) {}
+        keys_(shape.cached_keys) {}
 
   void Offer(const ModelWork& work) {
     if (HasFreeSlot()) {
       Begin(work);
       return;
     }
-    if (static_cast<int>(waiting_.size()) >= shape_.queue) {
+    if (static_cast<int>(waiting_.size()) >= shape_.queue_capacity) {
       work.done(ModelWorkOutcome::kNotRun);
       return;
     }
@@ -93,14 +93,14 @@
     constexpr double kRunSpread = 0.15;
     constexpr double kShortest = 0.3;
     std::normal_distribution<double> spread(1.0, kRunSpread);
-    const double share = keys_.Contains(work.key) ? work.warm_share : 1.0;
-    const double run = static_cast<double>(work.run.count()) * share *
+    const double share = keys_.Contains(work.key) ? work.warm_run_share : 1.0;
+    const double run = static_cast<double>(work.mean_run_time.count()) * share *
                        std::max(kShortest, spread(random_));
     keys_.Touch(work.key);
     const std::uint64_t number = next_++;
     running_[number] = work;
-    agenda_.After(Duration(static_cast<Duration::rep>(run)),
-                  [this, number] { End(number); });
+    agenda_.ScheduleAfter(Duration(static_cast<Duration::rep>(run)),
+                          [this, number] { End(number); });
   }
 
   void End(std::uint64_t number) {
--- a/src/pathcleat/lab/patience_test.cpp
+++ b/src/pathcleat/lab/patience_test.cpp
@@ -33,7 +33,7 @@
   cr_assert(
       world.Await([&] { return BootClock::now() - sent > kBeyondPatience; }));
   world.upstream(0).ReleaseAnswerOfRun("held");
-  cr_assert(world.Await([&] { return client.Has("end held"); }));
+  cr_assert(world.Await([&] { return client.HasReceived("end held"); }));
 }
 
 // An upstream that answers others is busy and not silent: what it has begun is
@@ -62,12 +62,12 @@
     cr_assert(world.Await([&] { return world.RunsOf(id) > 0; }));
     world.ForEachUpstream(
         [&id](UpstreamStandIn& u) { u.ReleaseAnswerOfRun(id); });
-    cr_assert(world.Await([&] { return other.Has("end " + id); }));
+    cr_assert(world.Await([&] { return other.HasReceived("end " + id); }));
   }
   cr_assert_eq(world.RunsOf("held"), 1);
   world.ForEachUpstream(
       [](UpstreamStandIn& u) { u.ReleaseAnswerOfRun("held"); });
-  cr_assert(world.Await([&] { return client.Has("end held"); }));
+  cr_assert(world.Await([&] { return client.HasReceived("end held"); }));
 }
 
 }  // namespace
--- a/src/pathcleat/lab/planned_stop_test.cpp
+++ b/src/pathcleat/lab/planned_stop_test.cpp
@@ -55,8 +55,9 @@
     u.ReleaseAnswerOfRun("late");
   });
   cr_assert(world.Await([&] { return stopped; }));
-  cr_assert(world.Await(
-      [&] { return client.Has("end held") && late.Has("end late"); }));
+  cr_assert(world.Await([&] {
+    return client.HasReceived("end held") && late.HasReceived("end late");
+  }));
 }
 
 // A host that is being stopped broke off downloads that were being worked on
@@ -116,9 +117,9 @@
   RawClient late(world.loop(), world.address(), world.CallerPort(0));
   late.Send(GetText("late"));
   cr_assert(world.Await([&] { return stopped; }));
-  cr_assert(late.Has("HTTP/1.1 503"));
-  cr_assert(late.Has("Pathcleat-Outcome: not-run"));
-  cr_assert(late.Has("Connection: close"));
+  cr_assert(late.HasReceived("HTTP/1.1 503"));
+  cr_assert(late.HasReceived("Pathcleat-Outcome: not-run"));
+  cr_assert(late.HasReceived("Connection: close"));
   cr_assert_eq(world.RunsOf("late"), 0);
 }
 
@@ -153,8 +154,8 @@
   late.Send(GetText("late"));
   cr_assert(world.Await([&] { return stopped; }));
   for (const RawClient* client : {&get, &post, &late}) {
-    cr_assert(client->Has("HTTP/1.1 504"));
-    cr_assert(client->Has("Pathcleat-Outcome: unknown"));
+    cr_assert(client->HasReceived("HTTP/1.1 504"));
+    cr_assert(client->HasReceived("Pathcleat-Outcome: unknown"));
   }
   for (const char* id : {"get", "post", "late"}) {
     cr_assert_eq(world.RunsOf(id), 1);
@@ -180,21 +181,22 @@
   RawClient post(world.loop(), world.address(), world.CallerPort(0));
   get.Send(get_text.substr(0, get_text.size() / 2));
   post.Send(post_text.substr(0, post_text.size() / 2));
-  world.Settle();
+  world.PollEventLoop();
   bool stopped = false;
   world.host(0).Stop([&stopped] { stopped = true; });
   get.Send(get_text.substr(get_text.size() / 2));
   post.Send(post_text.substr(post_text.size() / 2));
   cr_assert(world.Await([&] {
-    return stopped || (get.Has("HTTP/1.1") && post.Has("HTTP/1.1"));
+    return stopped ||
+           (get.HasReceived("HTTP/1.1") && post.HasReceived("HTTP/1.1"));
   }));
   cr_assert_not(stopped);
-  cr_assert(get.Has("not run: host_stops"));
-  cr_assert(post.Has("not run: host_stops"));
+  cr_assert(get.HasReceived("not run: host_stops"));
+  cr_assert(post.HasReceived("not run: host_stops"));
   for (const RawClient* client : {&get, &post}) {
-    cr_assert(client->Has("HTTP/1.1 503"));
-    cr_assert(client->Has("Connection: close"));
-    cr_assert(client->Has("Retry-After: 0.010"));
+    cr_assert(client->HasReceived("HTTP/1.1 503"));
+    cr_assert(client->HasReceived("Connection: close"));
+    cr_assert(client->HasReceived("Retry-After: 0.010"));
   }
   cr_assert(world.Await([&] { return stopped; }));
   cr_assert_eq(world.TotalRuns(), 0);
@@ -221,13 +223,13 @@
   world.platform().SetFaults(slow);
   bool stopped = false;
   world.host(0).Stop([&stopped] { stopped = true; });
-  world.Settle();
+  world.PollEventLoop();
   world.ForEachUpstream(
       [](UpstreamStandIn& u) { u.ReleaseAnswerOfRun("post"); });
-  cr_assert(world.Await([&] { return client.Has("end post"); }));
+  cr_assert(world.Await([&] { return client.HasReceived("end post"); }));
   client.Close();
   cr_assert(world.Await([&] { return stopped; }));
-  cr_assert_eq(world.host(0).state().keys.pending(), 0);
+  cr_assert_eq(world.host(0).state().idempotency_keys.pending_writes(), 0);
 }
 
 // What is sent ahead of a last answer is never begun: its caller sees the
@@ -241,11 +243,11 @@
   bool stopped = false;
   world.host(0).Stop([&stopped] { stopped = true; });
   client.Send(GetText("second"));
-  world.Settle();
+  world.PollEventLoop();
   world.upstream(0).ReleaseAnswerOfRun("first");
   cr_assert(world.Await([&] { return client.IsClosed(); }));
-  cr_assert(client.Has("end first"));
-  cr_assert(client.Has("Connection: close"));
+  cr_assert(client.HasReceived("end first"));
+  cr_assert(client.HasReceived("Connection: close"));
   cr_assert_eq(world.RunsOf("second"), 0);
 }
 
--- a/src/pathcleat/lab/quota_model.cpp
+++ b/src/pathcleat/lab/quota_model.cpp
@@ -55,7 +55,7 @@
 class QuotaModel {
  public:
   QuotaModel(QuotaPolicy policy,
-             const QuotaTrace& trace,
+             const QuotaScenario& trace,
              const QuotaModelPlan& plan)
       : policy_(policy), trace_(trace), plan_(plan), random_(plan.seed) {
     account_.name = "account";
@@ -93,8 +93,8 @@
            At() < trace_.peak_from + trace_.peak_seconds;
   }
   bool IsCut() const {
-    return At() >= trace_.cut_from &&
-           At() < trace_.cut_from + trace_.partition_seconds;
+    return At() >= trace_.partition_from &&
+           At() < trace_.partition_from + trace_.partition_seconds;
   }
   bool AreApart(int a, int b) const {
     const int half = plan_.domains / 2;
@@ -125,12 +125,12 @@
   // A host that starts in a cut has never heard the other half.
   QuotaHosts SharersOf(int index) const {
     QuotaHosts sharers;
-    sharers.known = static_cast<int>(hosts_.size());
-    sharers.hears_most = !IsCut();
+    sharers.host_count = static_cast<int>(hosts_.size());
+    sharers.sees_majority = !IsCut();
     const bool cut_at_start =
-        hosts_[index].started >= start_ + FromSeconds(trace_.cut_from);
-    for (int i = 0; i < sharers.known && cut_at_start; ++i) {
-      sharers.unheard += AreApart(index, i) ? 1 : 0;
+        hosts_[index].started >= start_ + FromSeconds(trace_.partition_from);
+    for (int i = 0; i < sharers.host_count && cut_at_start; ++i) {
+      sharers.never_seen_count += AreApart(index, i) ? 1 : 0;
     }
     return sharers;
   }
@@ -155,7 +155,7 @@
       account_.limit.per_second *= trace_.limit_factor;
       account_.limit.burst *= trace_.limit_factor;
       for (Host& host : hosts_) {
-        host.quotas->Adopt({account_});
+        host.quotas->SetAccounts({account_});
       }
     }
   }
@@ -180,7 +180,7 @@
           static_cast<std::uint64_t>(now_.time_since_epoch().count());
       report.time.counter = ++counter_;
     }
-    if (Draw() >= plan_.loss && !AreApart(from, to)) {
+    if (Draw() >= plan_.datagram_loss && !AreApart(from, to)) {
       mail_.emplace(now_ + delay, std::make_pair(to, std::move(report)));
     }
   }
@@ -194,9 +194,9 @@
         continue;
       }
       hosts_[to].quotas->OnUsageReport(report, now_);
-      if (report.pass_on) {
+      if (report.forward_to_domain) {
         UsageReport passed = report;
-        passed.pass_on = false;
+        passed.forward_to_domain = false;
         ForNeighbours(to, [&](int i) { Post(to, i, passed, kNear); });
       }
     }
@@ -248,7 +248,8 @@
   }
 
   void Arrive() {
-    const double rate = trace_.usual * (IsRush() ? trace_.rush : 1);
+    const double rate =
+        trace_.usual_per_second * (IsRush() ? trace_.peak_factor : 1);
     std::poisson_distribution<int> draw(rate * Seconds(kStep));
     for (int left = draw(random_); left > 0; --left) {
       int host = DrawHost();
@@ -263,8 +264,8 @@
   bool Takes(int index) {
     switch (policy_) {
       case QuotaPolicy::kAdaptive:
-        return hosts_[index].quotas->Take(account_, now_).allowed;
-      case QuotaPolicy::kEven:
+        return hosts_[index].quotas->Admit(account_, now_).allowed;
+      case QuotaPolicy::kEqualShare:
         return hosts_[index].even->TryAcquire(now_);
       case QuotaPolicy::kOwner:
         // The owner is in the second half; what it is not asked is refused.
@@ -276,7 +277,8 @@
 
   void Judge(bool taken) {
     const double limit = account_.limit.per_second;
-    const bool below = !IsRush() && trace_.usual < limit && At() > kSettled;
+    const bool below =
+        !IsRush() && trace_.usual_per_second < limit && At() > kSettled;
     below_ += below ? 1 : 0;
     refused_below_ += below && !taken ? 1 : 0;
     if (taken) {
@@ -323,7 +325,7 @@
   }
 
   QuotaPolicy policy_;
-  QuotaTrace trace_;
+  QuotaScenario trace_;
   QuotaModelPlan plan_;
   std::mt19937_64 random_;
   Account account_;
@@ -342,7 +344,7 @@
 }  // namespace
 
 QuotaModelResult RunQuotaModel(QuotaPolicy policy,
-                               const QuotaTrace& trace,
+                               const QuotaScenario& trace,
                                const QuotaModelPlan& plan) {
   return QuotaModel(policy, trace, plan).Play();
 }
--- a/src/pathcleat/lab/ready_test.cpp
+++ b/src/pathcleat/lab/ready_test.cpp
@@ -30,7 +30,8 @@
   }
   cr_assert(world.Await([&] {
     return std::all_of(callers.begin(), callers.end(), [](const auto& caller) {
-      return caller->Has("HTTP/1.1 200") || caller->Has("HTTP/1.1 503");
+      return caller->HasReceived("HTTP/1.1 200") ||
+             caller->HasReceived("HTTP/1.1 503");
     });
   }));
 }
@@ -45,7 +46,7 @@
   cr_assert(world.Await([&] { return world.InFlight() == 1; }));
   boost::asio::ip::tcp::socket late(world.loop());
   late.open(boost::asio::ip::tcp::v4());
-  NoDescriptors none;
+  DescriptorExhaustion none;
   late.connect(
       {boost::asio::ip::make_address(world.address()), world.CallerPort(0)});
   cr_assert(world.Await([&] { return !world.host(0).IsReady(); }));
--- a/src/pathcleat/lab/refusal_test.cpp
+++ b/src/pathcleat/lab/refusal_test.cpp
@@ -27,12 +27,12 @@
 Test(refusals, nobody_is_told_to_come_later_than_it_heeds) {
   TestCluster world;
   world.StartAll();
-  world.ForEachUpstream([](UpstreamStandIn& u) { u.TurnAway(true); });
+  world.ForEachUpstream([](UpstreamStandIn& u) { u.RejectRequests(true); });
   const std::string host =
       world.address() + ":" + std::to_string(world.CallerPort(0));
   constexpr int kDeadlineMs = 600;
   for (int i = 0; i < 4; ++i) {
-    const CallResult result = world.Ask(
+    const CallResult result = world.SendAndWait(
         host, Waiting(world.PostRequest("r" + std::to_string(i)), kDeadlineMs));
     cr_assert_eq(result.response.status, http_status::kUnavailable);
     cr_assert_leq(RetryAfterMs(result), kDeadlineMs / kHeededPart);
@@ -53,7 +53,7 @@
       world.address() + ":" + std::to_string(world.CallerPort(0));
   constexpr int kDeadlineMs = 600;
   const CallResult result =
-      world.Ask(host, Waiting(world.GetRequest("early"), kDeadlineMs));
+      world.SendAndWait(host, Waiting(world.GetRequest("early"), kDeadlineMs));
   cr_assert_eq(result.response.status, http_status::kUnavailable);
   cr_assert_eq(RetryAfterMs(result), kDeadlineMs / kHeededPart);
   // Its readiness is asked for by schedule: nothing to tell.
@@ -77,7 +77,7 @@
   constexpr int kDeadlineMs = 600;
   const auto told = [&](const std::string& run_id) {
     const CallResult result =
-        world.Ask(host, Waiting(world.GetRequest(run_id), kDeadlineMs));
+        world.SendAndWait(host, Waiting(world.GetRequest(run_id), kDeadlineMs));
     cr_assert_eq(result.response.status, http_status::kUnavailable);
     return RetryAfterMs(result);
   };
@@ -94,8 +94,8 @@
   const std::string host =
       world.address() + ":" + std::to_string(world.CallerPort(0));
   constexpr int kDeadlineMs = 900;
-  const CallResult result =
-      world.Ask(host, Waiting(world.PostRequest("k", "key"), kDeadlineMs));
+  const CallResult result = world.SendAndWait(
+      host, Waiting(world.PostRequest("k", "key"), kDeadlineMs));
   cr_assert_eq(result.response.status, http_status::kUnavailable);
   cr_assert_leq(RetryAfterMs(result), kDeadlineMs / kHeededPart);
 }
--- a/src/pathcleat/lab/relay_test.cpp
+++ b/src/pathcleat/lab/relay_test.cpp
@@ -36,7 +36,7 @@
 int Watching(TestCluster& world) {
   int watching = 0;
   for (std::size_t i = 0; i < kHosts; ++i) {
-    const auto store = world.host(i).Versions().store;
+    const auto store = world.host(i).Versions().store_access;
     watching += store == StoreAccess::kWatching ? 1 : 0;
   }
   return watching;
@@ -78,7 +78,7 @@
   world.StartAll();
   platform::StandInFaults away;
   for (std::size_t i = 0; i + 2 < kHosts; ++i) {
-    away.turned_away.insert(TestCluster::StoreClientAddress(i));
+    away.rejected_addresses.insert(TestCluster::StoreClientAddress(i));
   }
   world.platform().SetFaults(away);
   for (std::uint64_t version = 2; version < 5; ++version) {
@@ -111,7 +111,7 @@
       [&] { return AllAt(world, 2) && Watching(world) == kWatchers; }));
   std::map<std::size_t, std::uint64_t> answers_to_followers;
   for (std::size_t i = 0; i < kHosts; ++i) {
-    if (world.host(i).Versions().store == StoreAccess::kFollowingPeer) {
+    if (world.host(i).Versions().store_access == StoreAccess::kFollowingPeer) {
       answers_to_followers[i] = AnswersOfStore(world, i);
     }
   }
@@ -141,7 +141,7 @@
 // The store is away, and its list of upstreams runs out meanwhile.
 void LoseList(TestCluster& world) {
   TakeStoreAway(world);
-  for (std::size_t i = 0; i < world.upstreams(); ++i) {
+  for (std::size_t i = 0; i < world.upstream_count(); ++i) {
     world.platform().RemoveUpstream(world.upstream_info(i).id);
   }
   world.platform().SetFaults({});
@@ -159,7 +159,7 @@
   world.StartAll();
   LoseList(world);
   cr_assert_eq(world.Get(0, "r1").response.status, http_status::kOk);
-  for (std::size_t i = 0; i < world.upstreams(); ++i) {
+  for (std::size_t i = 0; i < world.upstream_count(); ++i) {
     world.platform().PutUpstream(world.upstream_info(i));
   }
   cr_assert(world.Await([&] {
@@ -168,7 +168,7 @@
       return u->lapse_deadline.has_value();
     });
   }));
-  cr_assert_eq(world.host(0).state().upstreams.size(), world.upstreams());
+  cr_assert_eq(world.host(0).state().upstreams.size(), world.upstream_count());
   cr_assert_not(world.HasEvent(0, EventCode::kUpstreamGone));
 }
 
--- a/src/pathcleat/lab/return_cases.cpp
+++ b/src/pathcleat/lab/return_cases.cpp
@@ -21,18 +21,18 @@
 // has a key of its own. They are weighed by their slot time.
 CallerRetryPlan OverloadPlan(double load) {
   CallerRetryPlan plan = UrgentAndShortPlan();
-  plan.per_second *= load;
+  plan.requests_per_second *= load;
   return plan;
 }
 
 std::vector<ReturnCase> ReturnCases() {
   CallerRetryPlan burst;
-  burst.per_second = 400;
-  burst.trouble.load = 1.7;
+  burst.requests_per_second = 400;
+  burst.fault.load_factor = 1.7;
   CallerRetryPlan loss;
-  loss.per_second = 400;
-  loss.trouble.domain_fails = true;
-  loss.trouble.cold_per_second = 4;
+  loss.requests_per_second = 400;
+  loss.fault.domain_fails = true;
+  loss.fault.cold_requests_per_second = 4;
   return {{"burst of 1.7 for 3 s", burst},
           {"a domain lost for 3 s, cold after", loss},
           {"150%", OverloadPlan(1.5)},
@@ -53,7 +53,7 @@
   urgent.name = "urgent";
   urgent.target_latency = Duration(500'000);
   urgent.deadline = Duration(3'000'000);
-  urgent.run = Duration(400'000);
+  urgent.mean_run_time = Duration(400'000);
   urgent.keys = 0;
   CallerRetryKind brief;
   brief.name = "short";
@@ -61,7 +61,7 @@
   brief.weight = 3;
   plan.kinds = {urgent, brief};
   // 72 slots; a request takes 0.4 s once and 0.144 s three times of four.
-  plan.per_second = 345;
+  plan.requests_per_second = 345;
   return plan;
 }
 
--- a/src/pathcleat/lab/return_model.cpp
+++ b/src/pathcleat/lab/return_model.cpp
@@ -66,10 +66,10 @@
 
   std::map<std::string, CallerRetryCounts> Run() {
     ScheduleArrival();
-    const Time at = start_ + plan_.trouble.at;
-    if (plan_.trouble.domain_fails) {
-      agenda_.At(at, [this] { LoseDomain(); });
-      agenda_.At(at + plan_.trouble.length, [this] { ReturnDomain(); });
+    const Time at = start_ + plan_.fault.at;
+    if (plan_.fault.domain_fails) {
+      agenda_.ScheduleAt(at, [this] { LoseDomain(); });
+      agenda_.ScheduleAt(at + plan_.fault.duration, [this] { ReturnDomain(); });
     }
     agenda_.Run();
     return counts_;
@@ -98,8 +98,8 @@
         upstreams_[info.id] = std::make_unique<SimulatedUpstream>(
             agenda_, random_,
             SimulatedUpstream::Options{
-                plan_.slots, plan_.queue,
-                static_cast<std::size_t>(plan_.keys_remembered)});
+                plan_.slots, plan_.queue_capacity,
+                static_cast<std::size_t>(plan_.cached_keys)});
       }
     }
     for (const auto& host : hosts_) {
@@ -122,7 +122,7 @@
 
   // They come back under new names, as upstreams that start do.
   void ReturnDomain() {
-    const CallerRetryFault& trouble = plan_.trouble;
+    const CallerRetryFault& trouble = plan_.fault;
     for (UpstreamInfo info : list_) {
       if (info.domain != DomainName(0)) {
         continue;
@@ -130,8 +130,9 @@
       SimulatedUpstream* queue = upstreams_[info.id].get();
       info.id += "-again";
       again_[info.id] = queue;
-      info.cold_for =
-          trouble.cold_per_second > 0 ? trouble.cold_for : Duration::zero();
+      info.cold_remaining = trouble.cold_requests_per_second > 0
+                                ? trouble.cold_duration
+                                : Duration::zero();
       for (const auto& host : hosts_) {
         host->table.Put(info, agenda_.now());
         ShareRates(*host, info.id);
@@ -140,32 +141,33 @@
   }
 
   void ShareRates(ReturnHost& host, const std::string& id) {
-    for (const UpstreamPtr& upstream : host.table.Of(kService)) {
+    for (const UpstreamPtr& upstream : host.table.ForService(kService)) {
       if (upstream->info.id == id) {
-        upstream->share.SetRate(
-            plan_.trouble.cold_per_second / static_cast<double>(hosts_.size()),
-            agenda_.now());
+        upstream->rate_share.SetRate(plan_.fault.cold_requests_per_second /
+                                         static_cast<double>(hosts_.size()),
+                                     agenda_.now());
       }
     }
   }
 
   double LoadNow() const {
-    const Duration since = agenda_.now() - start_ - plan_.trouble.at;
+    const Duration since = agenda_.now() - start_ - plan_.fault.at;
     const bool troubled =
-        since >= Duration::zero() && since < plan_.trouble.length;
-    return troubled ? plan_.trouble.load : 1;
+        since >= Duration::zero() && since < plan_.fault.duration;
+    return troubled ? plan_.fault.load_factor : 1;
   }
 
   void ScheduleArrival() {
-    std::exponential_distribution<double> gap(plan_.per_second * LoadNow());
+    std::exponential_distribution<double> gap(plan_.requests_per_second *
+                                              LoadNow());
     constexpr double kMicros = 1e6;
-    agenda_.After(Duration(static_cast<Duration::rep>(gap(random_) * kMicros)),
-                  [this] {
-                    if (agenda_.now() - start_ < plan_.length) {
-                      Arrive();
-                      ScheduleArrival();
-                    }
-                  });
+    agenda_.ScheduleAfter(
+        Duration(static_cast<Duration::rep>(gap(random_) * kMicros)), [this] {
+          if (agenda_.now() - start_ < plan_.duration) {
+            Arrive();
+            ScheduleArrival();
+          }
+        });
   }
 
   void Arrive() {
@@ -221,18 +223,18 @@
     pick.upstream->load.OnSent();
     pick.upstream->keys.Touch(asked->key);
     if (pick.upstream->IsCold(sent)) {
-      pick.upstream->share.TryAcquire(sent);
+      pick.upstream->rate_share.TryAcquire(sent);
     }
     request.excluded.insert(pick.upstream->info.id);
     SimulatedUpstream* queue = QueueOf(pick.upstream->info.id);
     ModelWork work;
     work.key = asked->key;
-    work.run = asked->kind->run;
-    work.warm_share = asked->kind->warm_share;
+    work.mean_run_time = asked->kind->mean_run_time;
+    work.warm_run_share = asked->kind->warm_run_share;
     work.deadline = asked->Deadline();
     work.done = [=, this, &host](ModelWorkOutcome end) {
       const LoadReport report = queue->Report();
-      agenda_.After(one_way, [=, this, &host] {
+      agenda_.ScheduleAfter(one_way, [=, this, &host] {
         pick.upstream->load.OnReport(report, agenda_.now());
         pick.upstream->load.OnEnded();
         if (end != ModelWorkOutcome::kRan) {
@@ -246,7 +248,7 @@
         Finish(asked);
       });
     };
-    agenda_.After(one_way, [queue, work] { queue->Offer(work); });
+    agenda_.ScheduleAfter(one_way, [queue, work] { queue->Offer(work); });
   }
 
   void TryElsewhere(ReturnHost& host,
@@ -268,15 +270,16 @@
       (asked->returns == 0 ? asked->counts->told_to_retry
                            : asked->counts->retries_refused) += 1;
     }
-    if (asked->returns >= plan_.returns) {
+    if (asked->returns >= plan_.max_retries) {
       return;
     }
     const Duration left = asked->Deadline() - agenda_.now();
     const Duration heeded(static_cast<Duration::rep>(
         static_cast<double>(left.count()) * plan_.max_wait_share));
     ++asked->returns;
-    agenda_.After(std::min(told > Duration::zero() ? told : kToldElse, heeded),
-                  [this, asked] { Try(asked); });
+    agenda_.ScheduleAfter(
+        std::min(told > Duration::zero() ? told : kToldElse, heeded),
+        [this, asked] { Try(asked); });
   }
 
   void Fail(const AskedPtr& asked) {
--- a/src/pathcleat/lab/return_model_test.cpp
+++ b/src/pathcleat/lab/return_model_test.cpp
@@ -10,8 +10,8 @@
 
 Test(return_model, each_request_ends_once) {
   CallerRetryPlan plan;
-  plan.per_second = 400;
-  plan.trouble.load = 1.7;
+  plan.requests_per_second = 400;
+  plan.fault.load_factor = 1.7;
   const CallerRetryCounts counts = RunCallerRetryModel(plan)["work"];
   cr_assert_gt(counts.offered, 4'000);
   cr_assert_eq(counts.offered, counts.in_time + counts.late +
@@ -30,7 +30,7 @@
 // The model at a load that its upstreams bear.
 Test(return_model, without_overload_nearly_all_are_in_time) {
   CallerRetryPlan plan;
-  plan.per_second = 200;
+  plan.requests_per_second = 200;
   const CallerRetryCounts counts = RunCallerRetryModel(plan)["work"];
   cr_assert_gt(counts.CreditShare(), 0.95);
   cr_assert_gt(counts.ServedShare(), 0.99);
@@ -52,8 +52,8 @@
 // at most a quarter of what is left, as it once was.
 Test(return_model, after_a_burst_most_are_served_at_their_first_return) {
   CallerRetryPlan plan;
-  plan.per_second = 400;
-  plan.trouble.load = 1.7;
+  plan.requests_per_second = 400;
+  plan.fault.load_factor = 1.7;
   const CallerRetryCounts counts = SumOf(plan);
   cr_assert_gt(counts.told_to_retry, 1'000);
   cr_assert_gt(counts.FirstRetryShare(), 0.8);
@@ -63,7 +63,7 @@
 // made first tries late, which returned.
 Test(return_model, overload_does_not_make_all_late) {
   CallerRetryPlan plan = UrgentAndShortPlan();
-  plan.per_second *= 1.5;
+  plan.requests_per_second *= 1.5;
   const CallerRetryCounts counts = RunCallerRetryModel(plan)["short"];
   cr_assert_gt(counts.CreditShare(), 0.25);
 }
@@ -77,7 +77,7 @@
   constexpr double kEarnedLess = 0.15;
   constexpr std::uint64_t kSeeds = 3;
   CallerRetryPlan plan = UrgentAndShortPlan();
-  plan.per_second *= load;
+  plan.requests_per_second *= load;
   for (plan.seed = 1; plan.seed <= kSeeds; ++plan.seed) {
     auto counts = RunCallerRetryModel(plan);
     const CallerRetryCounts urgent = counts["urgent"];
@@ -105,22 +105,22 @@
   plan.hosts_in_domain = 40;
   plan.upstreams_in_domain = 20;
   plan.slots = 9;
-  plan.queue = 27;
+  plan.queue_capacity = 27;
   CallerRetryKind work;
   work.name = "long";
   work.weight = 20;
   work.target_latency = Duration(1'500'000);
   work.deadline = Duration(12'000'000);
-  work.run = Duration(2'200'000);
+  work.mean_run_time = Duration(2'200'000);
   work.keys = 0;
   CallerRetryKind brief;
   brief.name = "brief";
   brief.target_latency = Duration(1'000'000);
   brief.deadline = Duration(1'000'000);
-  brief.run = Duration(20'000);
+  brief.mean_run_time = Duration(20'000);
   plan.kinds = {work, brief};
-  plan.per_second = 285;
-  plan.length = Duration(30'000'000);
+  plan.requests_per_second = 285;
+  plan.duration = Duration(30'000'000);
   plan.warm_up = Duration(12'000'000);
   auto counts = RunCallerRetryModel(plan);
   cr_assert_gt(counts["brief"].ServedShare(), 0.45);
--- a/src/pathcleat/lab/rollout_path_test.cpp
+++ b/src/pathcleat/lab/rollout_path_test.cpp
@@ -16,8 +16,8 @@
 class RolloutWorld {
  public:
   RolloutWorld() : world(PlanOf()) {
-    for (std::size_t i = 0; i < world.upstreams(); ++i) {
-      Put(i, i < world.upstreams() / 2 ? "v1" : "v2");
+    for (std::size_t i = 0; i < world.upstream_count(); ++i) {
+      Put(i, i < world.upstream_count() / 2 ? "v1" : "v2");
     }
     world.platform().PutRollout({"s", "v2", kAllowed, 0});
     world.StartAll();
@@ -30,8 +30,8 @@
 
   int RunsOf(bool fresh) {
     int runs = 0;
-    for (std::size_t i = 0; i < world.upstreams(); ++i) {
-      const bool is_fresh = i >= world.upstreams() / 2;
+    for (std::size_t i = 0; i < world.upstream_count(); ++i) {
+      const bool is_fresh = i >= world.upstream_count() / 2;
       runs += is_fresh == fresh ? world.upstream(i).ledger().runs : 0;
     }
     return runs;
@@ -86,8 +86,8 @@
 Test(rollout_path, version_that_loses_answers_is_taken_back) {
   constexpr int kMostBad = 50;
   RolloutWorld rollout;
-  rollout.world.upstream(2).Spoil(AnswerCorruption::kLost);
-  rollout.world.upstream(3).Spoil(AnswerCorruption::kLost);
+  rollout.world.upstream(2).CorruptAnswers(AnswerCorruption::kNoAnswer);
+  rollout.world.upstream(3).CorruptAnswers(AnswerCorruption::kNoAnswer);
   cr_assert(rollout.AskUntil("rolled_back"));
   const int fresh_runs = rollout.RunsOf(true);
   cr_assert_leq(fresh_runs, kMostBad);
--- a/src/pathcleat/lab/routing_model.cpp
+++ b/src/pathcleat/lab/routing_model.cpp
@@ -38,7 +38,7 @@
       : agenda_(agenda),
         plan_(plan),
         random_(random),
-        keys_(static_cast<std::size_t>(plan.keys_remembered)) {}
+        keys_(static_cast<std::size_t>(plan.cached_keys)) {}
 
   // Takes a request, or says at once that it does not.
   bool Offer(const ModelRequest& request) {
@@ -46,7 +46,7 @@
       Begin(request);
       return true;
     }
-    if (static_cast<int>(waiting_.size()) >= plan_.queue) {
+    if (static_cast<int>(waiting_.size()) >= plan_.queue_capacity) {
       return false;
     }
     waiting_.push_back(request);
@@ -61,19 +61,21 @@
   void Begin(const ModelRequest& request) {
     ++running_;
     std::normal_distribution<double> spread(1.0, 0.15);
-    const double share = keys_.Contains(request.key) ? plan_.warm_share : 1.0;
+    const double share =
+        keys_.Contains(request.key) ? plan_.warm_run_share : 1.0;
     const double run = static_cast<double>(plan_.mean_cold_run_time.count()) *
                        share * std::max(0.3, spread(random_));
-    agenda_.After(Duration(static_cast<Duration::rep>(run)), [this, request] {
-      keys_.Touch(request.key);
-      --running_;
-      request.done(true);
-      if (!waiting_.empty()) {
-        const ModelRequest next = waiting_.front();
-        waiting_.pop_front();
-        Begin(next);
-      }
-    });
+    agenda_.ScheduleAfter(Duration(static_cast<Duration::rep>(run)),
+                          [this, request] {
+                            keys_.Touch(request.key);
+                            --running_;
+                            request.done(true);
+                            if (!waiting_.empty()) {
+                              const ModelRequest next = waiting_.front();
+                              waiting_.pop_front();
+                              Begin(next);
+                            }
+                          });
   }
 
   VirtualScheduler& agenda_;
@@ -120,8 +122,8 @@
     if (plan.policy == RoutingModelPolicy::kSharedQueue) {
       shared_plan_ = plan;
       shared_plan_.slots = plan.slots * plan.upstreams_in_region * plan.regions;
-      shared_plan_.queue = 1'000'000;
-      shared_plan_.keys_remembered = plan.keys;
+      shared_plan_.queue_capacity = 1'000'000;
+      shared_plan_.cached_keys = plan.keys;
       upstreams_["shared"] =
           std::make_unique<ModelUpstream>(agenda_, shared_plan_, random_);
     } else {
@@ -165,15 +167,15 @@
   }
 
   void ScheduleArrival() {
-    std::exponential_distribution<double> gap(plan_.per_second);
+    std::exponential_distribution<double> gap(plan_.requests_per_second);
     constexpr double kMicros = 1e6;
-    agenda_.After(Duration(static_cast<Duration::rep>(gap(random_) * kMicros)),
-                  [this] {
-                    if (agenda_.now() - start_ < plan_.length) {
-                      Arrive();
-                      ScheduleArrival();
-                    }
-                  });
+    agenda_.ScheduleAfter(
+        Duration(static_cast<Duration::rep>(gap(random_) * kMicros)), [this] {
+          if (agenda_.now() - start_ < plan_.duration) {
+            Arrive();
+            ScheduleArrival();
+          }
+        });
   }
 
   void Arrive() {
@@ -212,7 +214,7 @@
     std::uniform_int_distribution<std::size_t> draw(
         0, static_cast<std::size_t>(plan_.upstreams_in_region) - 1);
     Pick pick;
-    pick.upstream = host.table.Of(
+    pick.upstream = host.table.ForService(
         kService)[static_cast<std::size_t>(request.region *
                                            plan_.upstreams_in_region) +
                   draw(random_)];
@@ -235,11 +237,11 @@
     const auto back = [this, &host, pick, request, sent, target, one_way,
                        counts, away](bool ran) {
       const LoadReport report = target->Report();
-      agenda_.After(one_way, [=, this, &host] {
+      agenda_.ScheduleAfter(one_way, [=, this, &host] {
         pick.upstream->load.OnReport(report, agenda_.now());
         pick.upstream->load.OnEnded();
         if (!ran) {
-          result_.turned_away += counts ? 1 : 0;
+          result_.rejected += counts ? 1 : 0;
           result_.refused += counts ? 1 : 0;
           return;
         }
@@ -254,7 +256,7 @@
       });
     };
     request.done = back;
-    agenda_.After(one_way, [target, request, back] {
+    agenda_.ScheduleAfter(one_way, [target, request, back] {
       if (!target->Offer(request)) {
         back(false);
       }
@@ -326,7 +328,7 @@
       for (int seed = 1; seed <= seeds; ++seed) {
         RoutingModelPlan plan;
         plan.policy = policy;
-        plan.per_second = rate;
+        plan.requests_per_second = rate;
         plan.seed = static_cast<std::uint64_t>(seed);
         const RoutingModelResult result = RunRoutingModel(plan);
         const double offered = std::max(1, result.offered);
@@ -334,7 +336,7 @@
         p50.push_back(result.p50_ms);
         p99.push_back(result.p99_ms);
         refused.push_back(result.refused / offered);
-        turned.push_back(result.turned_away / offered);
+        turned.push_back(result.rejected / offered);
         away.push_back(result.other_region_share);
       }
       const auto cell = [](const std::vector<double>& values) {
--- a/src/pathcleat/lab/silence_test.cpp
+++ b/src/pathcleat/lab/silence_test.cpp
@@ -16,14 +16,14 @@
 // All hosts reach the store by one way.
 struct StoreWorld {
   TestCluster world;
-  PassThrough way{world.loop(), world.address(),
-                  *ParseTcpEndpoint(world.store_address())};
+  TcpProxy way{world.loop(), world.address(),
+               *ParseTcpEndpoint(world.store_address())};
 
   explicit StoreWorld(const TestClusterPlan& plan) : world(plan) {
     world.SetStoreAddress(way.address());
     world.StartAll();
     cr_assert(world.Await([this] {
-      return world.host(0).Versions().store == StoreAccess::kWatching;
+      return world.host(0).Versions().store_access == StoreAccess::kWatching;
     }));
   }
 
@@ -48,7 +48,7 @@
   StoreWorld silent(plan);
   TestCluster& world = silent.world;
   const int lost = silent.way.forwarding_count();
-  const int before = silent.way.accepted();
+  const int before = silent.way.accepted_count();
   silent.way.SilenceConnections(SilenceMode::kDropPackets);
   RoutingConfig newer = world.config();
   newer.version = 2;
@@ -68,9 +68,9 @@
   for (std::size_t i = 0; i < 4; ++i) {
     cr_assert_not(world.HasEvent(i, EventCode::kPlatformDown));
   }
-  cr_assert_leq(silent.way.accepted() - before, lost);
+  cr_assert_leq(silent.way.accepted_count() - before, lost);
   cr_assert_gt(world.StoreCallsOf(0).silent_connections, 0U);
-  cr_assert_not(Has(world.Metrics(0).response.body,
+  cr_assert_not(Has(world.FetchMetrics(0).response.body,
                     "pathcleat_silent_connections_total{link=\"store\"} 0\n"));
 }
 
@@ -98,11 +98,11 @@
   // Claims and settlements are answered: nothing is under way.
   cr_assert(world.Await([&] {
     return world.TotalRuns() == kKept && world.InFlight() == 0 &&
-           world.host(0).state().requests == 0 &&
-           world.host(0).state().keys.pending() == 0;
+           world.host(0).state().in_flight_count == 0 &&
+           world.host(0).state().idempotency_keys.pending_writes() == 0;
   }));
   cr_assert_geq(silent.way.forwarding_count(), kKept);
-  silent.way.SilenceConnections(SilenceMode::kPeer);
+  silent.way.SilenceConnections(SilenceMode::kStopForwarding);
   const std::uint64_t before = silent.Calls(0, StoreOutcome::kUnknown);
   const CallResult post = world.Post(0, "after", "after");
   cr_assert_eq(post.response.status, http_status::kOk);
@@ -115,13 +115,13 @@
 // One host, which reaches each upstream by a way of its own.
 struct UpstreamWorld {
   TestCluster world;
-  std::vector<std::unique_ptr<PassThrough>> ways;
+  std::vector<std::unique_ptr<TcpProxy>> ways;
   std::vector<std::unique_ptr<RawClient>> callers;
 
   explicit UpstreamWorld(int upstreams) : world(PlanFor(upstreams)) {
-    for (std::size_t i = 0; i < world.upstreams(); ++i) {
+    for (std::size_t i = 0; i < world.upstream_count(); ++i) {
       UpstreamInfo info = world.upstream_info(i);
-      ways.push_back(std::make_unique<PassThrough>(
+      ways.push_back(std::make_unique<TcpProxy>(
           world.loop(), world.address(), *ParseTcpEndpoint(info.address)));
       info.address = ways.back()->address();
       world.platform().PutUpstream(info);
@@ -166,7 +166,8 @@
       const std::string id = "keep" + std::to_string(i);
       world.ForEachUpstream(
           [&id](UpstreamStandIn& u) { u.ReleaseAnswerOfRun(id); });
-      cr_assert(world.Await([&] { return callers.at(i)->Has("end " + id); }));
+      cr_assert(
+          world.Await([&] { return callers.at(i)->HasReceived("end " + id); }));
     }
     world.ForEachUpstream([](UpstreamStandIn& u) { u.HoldAnswers(false); });
   }
@@ -180,7 +181,7 @@
   int Opened() const {
     int opened = 0;
     for (const auto& way : ways) {
-      opened += way->accepted();
+      opened += way->accepted_count();
     }
     return opened;
   }
@@ -215,7 +216,7 @@
   cr_assert_leq(silent.Retried(), 2);
   cr_assert_leq(silent.Opened() - before, kAfter);
   cr_assert_not(
-      Has(world.Metrics(0).response.body,
+      Has(world.FetchMetrics(0).response.body,
           "pathcleat_silent_connections_total{link=\"upstream\"} 0\n"));
 }
 
@@ -228,12 +229,14 @@
   silent.Keep(1);
   silent.SilenceAll();
   RawClient& caller = silent.Caller(UpstreamWorld::GetText("lost"));
-  cr_assert(world.Await([&] { return world.host(0).state().requests == 1; }));
-  for (int i = 0; !caller.Has("end lost") && !caller.Has("502"); ++i) {
+  cr_assert(
+      world.Await([&] { return world.host(0).state().in_flight_count == 1; }));
+  for (int i = 0; !caller.HasReceived("end lost") && !caller.HasReceived("502");
+       ++i) {
     cr_assert_eq(world.Get(0, "other" + std::to_string(i)).response.status,
                  http_status::kOk);
   }
-  cr_assert(caller.Has("end lost"));
+  cr_assert(caller.HasReceived("end lost"));
   cr_assert_eq(world.RunsOf("lost"), 1);
 }
 
@@ -252,9 +255,9 @@
   cr_assert(
       world.Await([&] { return BootClock::now() - sent > kBeyondPatience; }));
   cr_assert_eq(world.Get(0, "other").response.status, http_status::kOk);
-  cr_assert(world.Await([&] { return caller.Has("HTTP/1.1"); }));
-  cr_assert(caller.Has("HTTP/1.1 502"));
-  cr_assert(caller.Has("unknown"));
+  cr_assert(world.Await([&] { return caller.HasReceived("HTTP/1.1"); }));
+  cr_assert(caller.HasReceived("HTTP/1.1 502"));
+  cr_assert(caller.HasReceived("unknown"));
   cr_assert_eq(world.RunsOf("lost"), 0);
 }
 
--- a/src/pathcleat/lab/silent_outage_test.cpp
+++ b/src/pathcleat/lab/silent_outage_test.cpp
@@ -26,7 +26,7 @@
   TestCluster world(plan);
   world.StartAll();
   platform::StandInFaults silent;
-  silent.silent = true;
+  silent.unresponsive = true;
   world.platform().SetFaults(silent);
   const std::uint64_t before = world.platform().calls();
   world.platform().CloseFeeds();
--- a/src/pathcleat/lab/store_faults_test.cpp
+++ b/src/pathcleat/lab/store_faults_test.cpp
@@ -44,7 +44,7 @@
   TestCluster world;
   world.StartAll();
   platform::StandInFaults away;
-  away.turned_away = {TestCluster::StoreClientAddress(1)};
+  away.rejected_addresses = {TestCluster::StoreClientAddress(1)};
   world.platform().SetFaults(away);
   RoutingConfig newer = world.config();
   newer.version = 2;
@@ -67,7 +67,7 @@
 Test(faults, host_without_configuration_says_503_and_is_not_ready) {
   TestCluster world;
   platform::StandInFaults away;
-  away.silent = true;
+  away.unresponsive = true;
   world.platform().SetFaults(away);
   world.StartHost(0);
   const CallResult get = world.Get(0, "r1");
--- a/src/pathcleat/lab/suspended_machine_test.cpp
+++ b/src/pathcleat/lab/suspended_machine_test.cpp
@@ -39,7 +39,7 @@
   RawClient caller(world.loop(), world.address(), world.CallerPort(0));
   SendHeld(world, caller);
   AdvanceBootClock(std::chrono::minutes(2));
-  cr_assert(world.Await([&caller] { return caller.Has("504"); }));
+  cr_assert(world.Await([&caller] { return caller.HasReceived("504"); }));
   cr_assert(world.HasEvent(0, EventCode::kHostStoodStill));
 }
 
@@ -52,7 +52,7 @@
   SendHeld(world, caller);
   AdvanceBootClock(std::chrono::minutes(2));
   world.ForEachUpstream([](UpstreamStandIn& u) { u.ReleaseAnswerOfRun("r"); });
-  cr_assert(world.Await([&caller] { return caller.Has("end r"); }));
+  cr_assert(world.Await([&caller] { return caller.HasReceived("end r"); }));
 }
 
 // Guards against hosts that take each other for dead on waking, and against
--- a/src/pathcleat/lab/truthful_test.cpp
+++ b/src/pathcleat/lab/truthful_test.cpp
@@ -95,9 +95,10 @@
     }
   });
   RC_ASSERT(world.Await([&] { return caller.IsClosed(); }));
-  RC_ASSERT(world.Await([&] { return world.host(0).state().requests == 0; }));
+  RC_ASSERT(
+      world.Await([&] { return world.host(0).state().in_flight_count == 0; }));
   timer.cancel();
-  world.Settle();
+  world.PollEventLoop();
   constexpr std::size_t kStatusAt = 9;
   const int status = std::stoi(caller.received().substr(kStatusAt));
   const bool promises = status == http_status::kRequestTimeout ||
@@ -105,7 +106,7 @@
                         status == http_status::kTooManyRequests ||
                         status == http_status::kUnavailable;
   RC_ASSERT(!(promises && world.RunsOf("r") > 0));
-  RC_ASSERT(promises == caller.Has("Pathcleat-Outcome: not-run"));
+  RC_ASSERT(promises == caller.HasReceived("Pathcleat-Outcome: not-run"));
   if (!order.repeatable) {
     RC_ASSERT(world.RunsOf("r") <= 1);
   }
--- a/src/pathcleat/lab/upstream_farm.cpp
+++ b/src/pathcleat/lab/upstream_farm.cpp
@@ -54,9 +54,9 @@
     const UpstreamLedger& ledger = upstreams_[i]->ledger();
     runs[deployment_.upstreams[i].name] = ledger.runs;
     sum.runs += ledger.runs;
-    over_slots += ledger.most_in_flight > upstreams_[i]->slots() ? 1 : 0;
-    sum.turned_away += ledger.turned_away;
-    sum.most_in_flight = std::max(sum.most_in_flight, ledger.most_in_flight);
+    over_slots += ledger.peak_in_flight > upstreams_[i]->slots() ? 1 : 0;
+    sum.rejected += ledger.rejected;
+    sum.peak_in_flight = std::max(sum.peak_in_flight, ledger.peak_in_flight);
     for (const auto& [id, count] : ledger.runs_by_id) {
       sum.runs_by_id[id] += count;
     }
@@ -66,8 +66,8 @@
   }
   const nlohmann::json ledger = {{"runs", sum.runs},
                                  {"over_slots", over_slots},
-                                 {"turned_away", sum.turned_away},
-                                 {"most_in_flight", sum.most_in_flight},
+                                 {"turned_away", sum.rejected},
+                                 {"most_in_flight", sum.peak_in_flight},
                                  {"runs_by_upstream", runs},
                                  {"runs_by_id", sum.runs_by_id},
                                  {"runs_by_key", sum.runs_by_key}};
--- a/src/pathcleat/lab/upstream_stand_in.cpp
+++ b/src/pathcleat/lab/upstream_stand_in.cpp
@@ -61,7 +61,7 @@
 void UpstreamStandIn::AddState(HttpResponse& response) const {
   response.headers.push_back({options_.headers.load, LoadText()});
   if (!limit_.empty()) {
-    response.headers.push_back({options_.headers.limit, limit_});
+    response.headers.push_back({options_.headers.rate_limit, limit_});
   }
 }
 
@@ -83,7 +83,7 @@
     return;
   }
   const bool full = in_flight_ >= options_.slots &&
-                    static_cast<int>(queue_.size()) >= options_.queue;
+                    static_cast<int>(queue_.size()) >= options_.queue_capacity;
   if (turn_away_ || full) {
     RefuseNotRun(exchange, http_status::kUnavailable);
     return;
@@ -119,7 +119,7 @@
   if (kind == UpstreamAction::Kind::kReject) {
     RefuseNotRun(exchange, http_status::kUnavailable);
   } else if (kind == UpstreamAction::Kind::kDisconnect) {
-    exchange->Drop();
+    exchange->DropConnection();
     End();
   } else {
     Answer(exchange);
@@ -162,7 +162,7 @@
 
 void UpstreamStandIn::RefuseNotRun(const HttpExchangePtr& exchange,
                                    int status) {
-  ++ledger_.turned_away;
+  ++ledger_.rejected;
   HttpResponse response = TextResponse(status, "not run\n");
   response.headers.push_back({options_.headers.not_run, "1"});
   AddState(response);
@@ -185,10 +185,11 @@
     ++ledger_.runs_by_key[key];
   }
   ++ledger_.runs_by_account[Field(exchange, options_.headers.account)];
-  ledger_.keys_seen += Field(exchange, "Authorization").empty() ? 0 : 1;
+  ledger_.requests_with_authorization +=
+      Field(exchange, "Authorization").empty() ? 0 : 1;
   CountSlots();
   ++in_flight_;
-  ledger_.most_in_flight = std::max(ledger_.most_in_flight, in_flight_);
+  ledger_.peak_in_flight = std::max(ledger_.peak_in_flight, in_flight_);
   exchange->OnAbandoned([this] { End(); });
   if (exchange->request().target == fatal_target_) {
     // Not inside the server's own callback.
@@ -260,8 +261,8 @@
   if (!names.signature.empty() && spoilt_ != AnswerCorruption::kNoSignature) {
     response.headers.push_back({names.signature, "signed." + id});
   }
-  if (spoilt_ == AnswerCorruption::kLost) {
-    exchange->Drop();
+  if (spoilt_ == AnswerCorruption::kNoAnswer) {
+    exchange->DropConnection();
   } else {
     exchange->Respond(std::move(response));
   }
--- a/src/pathcleat/lab/whole_path_test.cpp
+++ b/src/pathcleat/lab/whole_path_test.cpp
@@ -40,8 +40,8 @@
       "Transfer-Encoding: chunked\r\n\r\n");
   client.Send("3\r\nabc\r\n");
   client.Send("2\r\nde\r\n0\r\n\r\n");
-  cr_assert(world.Await([&] { return client.Has("end c"); }));
-  cr_assert(client.Has("\nabcde\n"));
+  cr_assert(world.Await([&] { return client.HasReceived("end c"); }));
+  cr_assert(client.HasReceived("\nabcde\n"));
 }
 
 // Promise: every caller receives the whole answer to its own request.
@@ -60,7 +60,7 @@
   cr_assert(world.Await([&] {
     answer("second");
     answer("first");
-    return client.Has("end first") && client.Has("end second");
+    return client.HasReceived("end first") && client.HasReceived("end second");
   }));
   cr_assert_lt(client.received().find("run first"),
                client.received().find("run second"));
@@ -82,8 +82,8 @@
   cr_assert(world.Await([&] { return world.InFlight() == 1; }));
   world.ForEachUpstream(
       [](UpstreamStandIn& u) { u.ReleaseAnswerOfRun("next"); });
-  cr_assert(world.Await([&] { return next.Has("end next"); }));
-  cr_assert(!next.Has("left"));
+  cr_assert(world.Await([&] { return next.HasReceived("end next"); }));
+  cr_assert(!next.HasReceived("left"));
 }
 
 // A submission whose caller leaves runs to its end: nobody could tell how far
@@ -112,7 +112,7 @@
       "POST /s/write/x HTTP/1.1\r\nHost: test.example\r\n"
       "Content-Length: 209715200\r\n\r\n");
   announced.Send(std::string(1'000'000, 'x'));
-  cr_assert(world.Await([&] { return announced.Has("HTTP/1.1 413"); }));
+  cr_assert(world.Await([&] { return announced.HasReceived("HTTP/1.1 413"); }));
   RawClient chunked(world.loop(), world.address(), world.CallerPort(0));
   chunked.Send(
       "POST /s/write/x HTTP/1.1\r\nHost: test.example\r\n"
@@ -120,7 +120,7 @@
   for (int i = 0; i < 20; ++i) {
     chunked.Send("186A0\r\n" + std::string(100'000, 'x') + "\r\n");
   }
-  cr_assert(world.Await([&] { return chunked.Has("HTTP/1.1 413"); }));
+  cr_assert(world.Await([&] { return chunked.HasReceived("HTTP/1.1 413"); }));
   cr_assert_eq(world.Get(0, "after").response.status, http_status::kOk);
   cr_assert_eq(world.TotalRuns(), 1);
 }
@@ -138,8 +138,9 @@
     clients.back()->Send("GET /s/read/item HTTP/1.1\r\nHo");
   }
   cr_assert(world.Await([&] {
-    return std::all_of(clients.begin(), clients.end(),
-                       [](const auto& c) { return c->Has("HTTP/1.1 408"); });
+    return std::all_of(clients.begin(), clients.end(), [](const auto& c) {
+      return c->HasReceived("HTTP/1.1 408");
+    });
   }));
   cr_assert_eq(world.Get(0, "after").response.status, http_status::kOk);
 }
@@ -150,7 +151,7 @@
   const auto status = [&](const std::string& bytes, const char* expected) {
     RawClient client(world.loop(), world.address(), world.CallerPort(0));
     client.Send(bytes);
-    return world.Await([&] { return client.Has(expected); });
+    return world.Await([&] { return client.HasReceived(expected); });
   };
   cr_assert(status("not http at all\r\n\r\n", "HTTP/1.1 400"));
   cr_assert(status("GET /s/read/item HTTP/1.1\r\nA: " +
@@ -194,7 +195,7 @@
                 doubt.head + "\r\n" + GetText("smuggled"));
     cr_assert(world.Await([&] { return client.IsClosed(); }), "%s: %s",
               doubt.name, client.received().c_str());
-    cr_assert(client.Has("HTTP/1.1 400"), "%s: %s", doubt.name,
+    cr_assert(client.HasReceived("HTTP/1.1 400"), "%s: %s", doubt.name,
               client.received().c_str());
   }
   cr_assert_eq(world.RunsOf("smuggled"), 0);
@@ -211,8 +212,8 @@
         "POST /s/write/x HTTP/1.1\r\nHost: test.example\r\n"
         "Transfer-Encoding: chunked\r\n\r\n" +
         chunk);
-    cr_assert(world.Await([&] { return client.Has("HTTP/1.1 4"); }), "%s",
-              chunk.c_str());
+    cr_assert(world.Await([&] { return client.HasReceived("HTTP/1.1 4"); }),
+              "%s", chunk.c_str());
   }
   cr_assert_eq(world.TotalRuns(), 0);
 }
@@ -263,7 +264,7 @@
     request.headers.push_back({"Pathcleat-Affinity-Key", "object-7"});
     const std::string endpoint =
         world.address() + ":" + std::to_string(world.CallerPort(i % 3));
-    cr_assert_eq(world.Ask(endpoint, request).response.status,
+    cr_assert_eq(world.SendAndWait(endpoint, request).response.status,
                  http_status::kOk);
   }
   std::size_t used = 0;
--- a/src/pathcleat/lab/why_test.cpp
+++ b/src/pathcleat/lab/why_test.cpp
@@ -91,8 +91,9 @@
   const CollectedLogs logs;
   TestCluster world;
   world.StartAll();
-  world.ForEachUpstream(
-      [](UpstreamStandIn& u) { u.Spoil(AnswerCorruption::kLost); });
+  world.ForEachUpstream([](UpstreamStandIn& u) {
+    u.CorruptAnswers(AnswerCorruption::kNoAnswer);
+  });
   cr_assert_eq(world.Post(0, "r1").response.status, http_status::kBadGateway);
   const RequestDiagnosis story = logs.StoryOf("r1");
   cr_assert(story.causes[0].cause == RequestCause::kLostAnswer);
@@ -107,7 +108,7 @@
     cr_assert(world.Await(
         [this] { return world.host(0).IsReady() && world.host(1).IsReady(); }));
     platform::StandInFaults away;
-    away.turned_away = {TestCluster::StoreClientAddress(0)};
+    away.rejected_addresses = {TestCluster::StoreClientAddress(0)};
     world.platform().SetFaults(away);
     // What waits at the store already may still be told of one change.
     PutVersion(2);
@@ -141,8 +142,9 @@
   cut_off.PutVersion(3);
   cr_assert(
       world.Await([&] { return world.host(1).state().routes.version() == 3; }));
-  world.ForEachUpstream(
-      [](UpstreamStandIn& u) { u.Spoil(AnswerCorruption::kLost); });
+  world.ForEachUpstream([](UpstreamStandIn& u) {
+    u.CorruptAnswers(AnswerCorruption::kNoAnswer);
+  });
   world.Post(0, "r1");
   const RequestDiagnosis story = logs.StoryOf("r1");
   cr_assert(story.causes[0].cause == RequestCause::kStaleConfig);
@@ -159,8 +161,9 @@
   world.platform().PutUpstream(leaving);
   cr_assert(world.Await(
       [&] { return world.HasEvent(1, EventCode::kUpstreamLeaving); }));
-  world.ForEachUpstream(
-      [](UpstreamStandIn& u) { u.Spoil(AnswerCorruption::kLost); });
+  world.ForEachUpstream([](UpstreamStandIn& u) {
+    u.CorruptAnswers(AnswerCorruption::kNoAnswer);
+  });
   world.Post(0, "r1");
   const RequestDiagnosis story = logs.StoryOf("r1");
   cr_assert(story.causes[0].cause == RequestCause::kLeavingUpstream);
--- a/src/pathcleat/query/command.cpp
+++ b/src/pathcleat/query/command.cpp
@@ -161,10 +161,10 @@
     ShiftPlan plan;
     BOOST_LEAF_ASSIGN(plan.service, Service());
     BOOST_LEAF_CHECK(Keyword("from"));
-    BOOST_LEAF_ASSIGN(plan.from, Region());
+    BOOST_LEAF_ASSIGN(plan.from_region, Region());
     BOOST_LEAF_CHECK(Keyword("to"));
-    BOOST_LEAF_ASSIGN(plan.to, Region());
-    if (plan.from == plan.to) {
+    BOOST_LEAF_ASSIGN(plan.to_region, Region());
+    if (plan.from_region == plan.to_region) {
       --next_;
       return Expected("another region than the one to leave");
     }
@@ -172,7 +172,7 @@
     BOOST_LEAF_ASSIGN(plan.cap, Share());
     if (next_ < words_.size()) {
       BOOST_LEAF_CHECK(Keyword("over"));
-      BOOST_LEAF_ASSIGN(plan.over, Span());
+      BOOST_LEAF_ASSIGN(plan.ramp_time, Span());
     }
     return Change(StartShift{plan});
   }
@@ -182,7 +182,7 @@
     BOOST_LEAF_CHECK(Keyword("shift"));
     BOOST_LEAF_ASSIGN(stop.service, Service());
     BOOST_LEAF_CHECK(Keyword("from"));
-    BOOST_LEAF_ASSIGN(stop.from, Region());
+    BOOST_LEAF_ASSIGN(stop.from_region, Region());
     return Change(stop);
   }
 
--- a/src/pathcleat/query/command_test.cpp
+++ b/src/pathcleat/query/command_test.cpp
@@ -28,8 +28,8 @@
   const auto& change = std::get<ChangeCommand>(command.value());
   const ShiftPlan& plan = std::get<StartShift>(change.operation).plan;
   cr_assert_float_eq(plan.cap, 0.3, 1e-9);
-  cr_assert_eq(plan.over.count(), 600'000'000);
-  cr_assert_str_eq(plan.to.c_str(), "south");
+  cr_assert_eq(plan.ramp_time.count(), 600'000'000);
+  cr_assert_str_eq(plan.to_region.c_str(), "south");
 }
 
 Test(command, every_line_of_the_help_can_be_said) {
--- a/src/pathcleat/records/command_log.cpp
+++ b/src/pathcleat/records/command_log.cpp
@@ -43,7 +43,7 @@
       on_change_(std::move(on_change)),
       log_(kKeptChanges) {}
 
-bool CommandLog::Take(const TableRow& row) {
+bool CommandLog::HandleRow(const TableRow& row) {
   if (!row.key.starts_with(kPrefix)) {
     return false;
   }
@@ -98,7 +98,7 @@
   }
   const std::uint64_t before = log_.version();
   Apply(changes);
-  if (scan.more && log_.version() > before) {
+  if (scan.has_more && log_.version() > before) {
     ScanNext();
     return;
   }
--- a/src/pathcleat/records/fleet_rows.cpp
+++ b/src/pathcleat/records/fleet_rows.cpp
@@ -18,22 +18,22 @@
 
 }  // namespace
 
-FleetRows::FleetRows(boost::asio::io_context& loop,
-                     TableStore& store,
-                     HostTable& hosts,
-                     std::function<void(const TableRow&)> on_row,
-                     std::function<void()> on_read)
+StartupLoader::StartupLoader(boost::asio::io_context& loop,
+                             TableStore& store,
+                             HostTable& hosts,
+                             std::function<void(const TableRow&)> on_row,
+                             std::function<void()> on_read)
     : store_(store),
       hosts_(hosts),
       on_row_(std::move(on_row)),
       on_read_(std::move(on_read)),
       timer_(loop) {}
 
-void FleetRows::Start() {
+void StartupLoader::Start() {
   WriteOwn();
 }
 
-void FleetRows::WriteOwn() {
+void StartupLoader::WriteOwn() {
   const HostInfo& self = hosts_.self();
   store_.Overwrite(kHostPrefix + self.name, EncodeBinary(self),
                    [this](const TableWriteResult& write) {
@@ -42,12 +42,12 @@
                    });
 }
 
-void FleetRows::Read(const std::string& from) {
+void StartupLoader::Read(const std::string& from) {
   store_.Scan(from, kAfterLastRow, kPageRows,
               [this](const TableScanResult& scan) { OnScan(scan); });
 }
 
-void FleetRows::Take(const TableRow& row) {
+void StartupLoader::Take(const TableRow& row) {
   if (!row.key.starts_with(kHostPrefix)) {
     on_row_(row);
   } else if (const auto host = DecodeBinary<HostInfo>(row.value)) {
@@ -55,7 +55,7 @@
   }
 }
 
-void FleetRows::OnScan(const TableScanResult& scan) {
+void StartupLoader::OnScan(const TableScanResult& scan) {
   if (scan.outcome != StoreOutcome::kDone) {
     Retry([this] { Read(kFirstRow); });
     return;
@@ -63,7 +63,7 @@
   for (const TableRow& row : scan.rows) {
     Take(row);
   }
-  if (scan.more && !scan.rows.empty()) {
+  if (scan.has_more && !scan.rows.empty()) {
     Read(scan.rows.back().key + '\1');
     return;
   }
@@ -73,7 +73,7 @@
   }
 }
 
-void FleetRows::Retry(std::function<void()> step) {
+void StartupLoader::Retry(std::function<void()> step) {
   timer_.expires_after(kRetryPause);
   timer_.async_wait(
       [step = std::move(step)](const boost::system::error_code& error) {
--- a/src/pathcleat/records/fleet_rows_test.cpp
+++ b/src/pathcleat/records/fleet_rows_test.cpp
@@ -57,9 +57,9 @@
   HostTable hosts{HostNamed("self"), kSilence};
   std::vector<std::string> others;
   int reads = 0;
-  FleetRows rows{loop, store, hosts,
-                 [this](const TableRow& row) { others.push_back(row.key); },
-                 [this] { ++reads; }};
+  StartupLoader rows{loop, store, hosts,
+                     [this](const TableRow& row) { others.push_back(row.key); },
+                     [this] { ++reads; }};
 };
 
 Test(fleet_rows, rows_are_told_apart) {
--- a/src/pathcleat/records/fleet_secrets.cpp
+++ b/src/pathcleat/records/fleet_secrets.cpp
@@ -42,7 +42,7 @@
   on_known_();
 }
 
-bool FleetSecrets::Take(const TableRow& row) {
+bool FleetSecrets::HandleRow(const TableRow& row) {
   if (row.key != kRow) {
     return false;
   }
--- a/src/pathcleat/records/rollout_writer.cpp
+++ b/src/pathcleat/records/rollout_writer.cpp
@@ -55,8 +55,8 @@
   due_since_ = std::move(since);
   for (const auto& [service, state] : commands_.state().rollouts) {
     ToldStatus& told = told_[service];
-    if (told.order != state.order || told.phase != state.phase) {
-      told = {now, told.asking, false, state.order, state.phase};
+    if (told.order != state.order_id || told.phase != state.phase) {
+      told = {now, told.asking, false, state.order_id, state.phase};
     }
     if (!told.told && !told.asking && now - told.since >= kTurn * ahead) {
       Tell(service, state);
@@ -74,7 +74,7 @@
       events_.Record(EventCode::kRolloutStep, due.step.service, due.reason,
                      {{field::kVersion, due.step.version},
                       {field::kPhase, ToString(due.step.phase)},
-                      IntegerField(field::kOrder, due.step.order)});
+                      IntegerField(field::kOrder, due.step.order_id)});
     }
   });
 }
--- a/src/pathcleat/rollouts/answer_judge.cpp
+++ b/src/pathcleat/rollouts/answer_judge.cpp
@@ -31,7 +31,7 @@
          (static_cast<double>(answers.total()) + kAssumedAnswers);
 }
 
-void AnswerJudge::Add(const AnswerCounts& answers, double usual) {
+void VersionEvaluator::Add(const AnswerCounts& answers, double usual) {
   const double base = std::min(usual, kMostUsual);
   const double good = base + kGoodBeyondUsual;
   const double bad = base * kBadTimesUsual + kBadBeyondUsual;
@@ -42,15 +42,15 @@
   worst_ = std::max(0.0, worst_ + step);
 }
 
-bool AnswerJudge::IsBad() const {
+bool VersionEvaluator::IsBad() const {
   return worst_ >= kSure;
 }
 
-bool AnswerJudge::IsGood() const {
+bool VersionEvaluator::IsGood() const {
   return ratio_ <= -kSure && worst_ < kInDoubt;
 }
 
-bool AnswerJudge::IsLikelyGood() const {
+bool VersionEvaluator::IsLikelyGood() const {
   return ratio_ < 0 && worst_ < kInDoubt;
 }
 
--- a/src/pathcleat/rollouts/rollout.cpp
+++ b/src/pathcleat/rollouts/rollout.cpp
@@ -30,14 +30,14 @@
 
 VersionRulePtr Only(const std::string& version, double part) {
   VersionRule rule;
-  rule.only = version;
-  rule.part = part;
+  rule.required_version = version;
+  rule.upstream_share = part;
   return std::make_shared<const VersionRule>(rule);
 }
 
 VersionRulePtr NoneOf(const std::set<std::string>& versions) {
   VersionRule rule;
-  rule.avoided = versions;
+  rule.excluded_versions = versions;
   return std::make_shared<const VersionRule>(rule);
 }
 
@@ -50,12 +50,12 @@
       board_(order.id),
       canary_(Only(order.version, kCanaryShare)),
       others_(NoneOf({order.version})) {
-  own_.order = order.id;
+  own_.order_id = order.id;
 }
 
 void Rollout::SetState(const RolloutState& state) {
   state_ = state;
-  promoted_ = NoneOf(state.replaced);
+  promoted_ = NoneOf(state.replaced_versions);
 }
 
 // Before it is known here that the rollout has begun, nothing is tried.
@@ -69,7 +69,7 @@
   if (state_->phase != RolloutPhase::kRunning) {
     return promoted_;
   }
-  return first && gate_.IsOpen() ? canary_ : others_;
+  return first && gate_.MaySend() ? canary_ : others_;
 }
 
 bool Rollout::IsVersionAllowed(const std::string& version) const {
@@ -91,7 +91,7 @@
     fresh_runs_ = versions.contains(order_.version);
     others_run_ = versions.size() > versions.count(order_.version);
   }
-  own_.on_others = on_others;
+  own_.other_versions_in_flight = on_others;
   own_.promoted_host_count =
       state_ && state_->phase == RolloutPhase::kPromoted ? 1 : 0;
 }
@@ -101,18 +101,18 @@
                        bool bad) {
   const AnswerCounts one{bad ? 0U : 1U, bad ? 1U : 0U};
   if (!IsFresh(version)) {
-    own_.others.Add(one);
+    own_.other_versions.Add(one);
     return;
   }
-  own_.fresh.Add(one);
+  own_.new_version.Add(one);
   own_.new_version_by_route[route].Add(one);
 }
 
-void Rollout::Judge(Time now) {
+void Rollout::Evaluate(Time now) {
   board_.OnHostTally(incarnation_, own_, now);
   const RolloutTally fleet = board_.FleetTally(now);
-  const double usual = ExpectedBadRatio(fleet.others);
-  all_.Add(Since(fleet.fresh, judged_.fresh), usual);
+  const double usual = ExpectedBadRatio(fleet.other_versions);
+  all_.Add(Since(fleet.new_version, judged_.new_version), usual);
   for (const auto& [route, answers] : fleet.new_version_by_route) {
     by_route_[route].Add(Since(answers, judged_.new_version_by_route[route]),
                          usual);
@@ -121,13 +121,13 @@
 }
 
 bool Rollout::HasManyBad() const {
-  if (judged_.fresh.bad < kManyBad) {
+  if (judged_.new_version.bad < kManyBad) {
     return false;
   }
-  const auto answers = static_cast<double>(judged_.fresh.total());
-  const double usual = ExpectedBadRatio(judged_.others);
+  const auto answers = static_cast<double>(judged_.new_version.total());
+  const double usual = ExpectedBadRatio(judged_.other_versions);
   const double error = std::sqrt(usual * (1 - usual) / answers);
-  return static_cast<double>(judged_.fresh.bad) / answers >
+  return static_cast<double>(judged_.new_version.bad) / answers >
          usual + kManyBadErrors * error;
 }
 
@@ -148,7 +148,7 @@
 RolloutStep Rollout::StepTo(RolloutPhase phase) const {
   RolloutStep step;
   step.service = order_.service;
-  step.order = order_.id;
+  step.order_id = order_.id;
   step.version = order_.version;
   step.phase = phase;
   return step;
@@ -183,18 +183,18 @@
 std::optional<RolloutStep> Rollout::WhileRunning(const RolloutInput& facts,
                                                  std::string& reason) const {
   RolloutStep promote = StepTo(RolloutPhase::kPromoted);
-  promote.replaced = versions_;
-  promote.replaced.erase(order_.version);
+  promote.replaced_versions = versions_;
+  promote.replaced_versions.erase(order_.version);
   const bool runs = versions_.contains(order_.version);
-  if (runs && promote.replaced.empty()) {
+  if (runs && promote.replaced_versions.empty()) {
     reason = "no other version runs";
     return promote;
   }
-  if (runs && facts.elapsed >= order_.allowed * kTryAtLeast && IsGood()) {
+  if (runs && facts.elapsed >= order_.timeout * kTryAtLeast && IsGood()) {
     reason = "its answers are as good as those of other versions";
     return promote;
   }
-  if (facts.elapsed >= order_.allowed * kTryAtMost) {
+  if (facts.elapsed >= order_.timeout * kTryAtMost) {
     reason = "not known to be good in time";
     return StepTo(RolloutPhase::kRolledBack);
   }
@@ -207,12 +207,13 @@
                                                   Time now,
                                                   std::string& reason) const {
   const RolloutTally fleet = board_.FleetTally(now);
-  if (fresh_runs_ && fleet.on_others == 0 &&
-      fleet.promoted_host_count >= static_cast<std::uint32_t>(facts.hosts)) {
+  if (fresh_runs_ && fleet.other_versions_in_flight == 0 &&
+      fleet.promoted_host_count >=
+          static_cast<std::uint32_t>(facts.host_count)) {
     reason = "nothing runs at other versions";
     return StepTo(RolloutPhase::kCompleted);
   }
-  if (facts.elapsed >= order_.allowed * kFinishBy) {
+  if (facts.elapsed >= order_.timeout * kFinishBy) {
     reason = "work at other versions has not ended in time";
     return StepTo(RolloutPhase::kRolledBack);
   }
--- a/src/pathcleat/rollouts/rollout_control.cpp
+++ b/src/pathcleat/rollouts/rollout_control.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-void RolloutControl::OnOrders(const std::vector<RolloutOrder>& orders) {
+void RolloutControl::SetOrders(const std::vector<RolloutOrder>& orders) {
   orders_ = orders;
   for (const RolloutOrder& order : orders) {
     const auto known = rollouts_.find(order.service);
@@ -27,14 +27,14 @@
     }
     rollouts_.insert_or_assign(order.service, Rollout(order, incarnation_));
   }
-  Adopt(states_);
+  SetStates(states_);
 }
 
-void RolloutControl::Adopt(const RolloutStates& states) {
+void RolloutControl::SetStates(const RolloutStates& states) {
   states_ = states;
   for (auto& [service, rollout] : rollouts_) {
     const auto state = states.find(service);
-    if (state != states.end() && state->second.order == rollout.order().id) {
+    if (state != states.end() && state->second.order_id == rollout.order().id) {
       rollout.SetState(state->second);
     }
   }
@@ -94,19 +94,19 @@
                      });
 }
 
-std::vector<ProposedStep> RolloutControl::Judge(const RolloutContext& fleet,
-                                                Time now) {
+std::vector<ProposedStep> RolloutControl::Evaluate(const RolloutContext& fleet,
+                                                   Time now) {
   std::vector<ProposedStep> due;
   for (auto& [service, rollout] : rollouts_) {
     if (rollout.state() && rollout.state()->IsFinal()) {
       continue;
     }
-    rollout.Judge(now);
+    rollout.Evaluate(now);
     RolloutInput facts;
     facts.is_order_active = IsOrdered(rollout);
-    facts.hosts = fleet.hosts;
+    facts.host_count = fleet.host_count;
     if (rollout.state()) {
-      facts.elapsed = Between(rollout.state()->started, fleet.time);
+      facts.elapsed = Between(rollout.state()->start_time, fleet.time);
     }
     std::string reason;
     if (const auto step = rollout.ProposeStep(facts, now, reason)) {
--- a/src/pathcleat/rollouts/rollout_test.cpp
+++ b/src/pathcleat/rollouts/rollout_test.cpp
@@ -32,7 +32,7 @@
   Fleet(int hosts, std::uint64_t seed) : random_(seed) {
     for (int i = 0; i < hosts; ++i) {
       controls_.emplace_back("d", ++incarnations_);
-      controls_.back().OnOrders({Order()});
+      controls_.back().SetOrders({Order()});
     }
   }
 
@@ -54,19 +54,19 @@
       }
     }
     RolloutContext fleet;
-    fleet.hosts = static_cast<int>(controls_.size());
+    fleet.host_count = static_cast<int>(controls_.size());
     fleet.time = {static_cast<std::uint64_t>(now.time_since_epoch().count()),
                   0};
     for (RolloutControl& control : controls_) {
       control.Find("s")->SetLocalState({"v1", "v2"}, 0);
     }
     for (RolloutControl& control : controls_) {
-      for (const ProposedStep& due : control.Judge(fleet, now)) {
+      for (const ProposedStep& due : control.Evaluate(fleet, now)) {
         Apply(states_, due.step, fleet.time);
       }
     }
     for (RolloutControl& control : controls_) {
-      control.Adopt(states_);
+      control.SetStates(states_);
     }
     if (states_["s"].phase == RolloutPhase::kRolledBack && taken_back_ == 0) {
       taken_back_ = fresh_sent_;
@@ -75,8 +75,8 @@
 
   void Kill(std::size_t index) {
     controls_[index] = RolloutControl("d", ++incarnations_);
-    controls_[index].OnOrders({Order()});
-    controls_[index].Adopt(states_);
+    controls_[index].SetOrders({Order()});
+    controls_[index].SetStates(states_);
   }
 
   RolloutPhase phase() { return states_["s"].phase; }
@@ -134,7 +134,7 @@
         gate = CanaryLimiter(0.08);
         continue;
       }
-      const bool tries = gate.IsOpen();
+      const bool tries = gate.MaySend();
       gate.OnSent(tries);
       ++sent;
       fresh += tries ? 1 : 0;
@@ -159,8 +159,8 @@
                              {}};
       Apply(states, next, {});
       const RolloutState& after = states["s"];
-      RC_ASSERT(after.order >= before.order);
-      if (before.IsFinal() && after.order == before.order) {
+      RC_ASSERT(after.order_id >= before.order_id);
+      if (before.IsFinal() && after.order_id == before.order_id) {
         RC_ASSERT(after.phase == before.phase);
       }
     }
@@ -255,21 +255,21 @@
   const auto decide = [&](Time now) {
     RolloutContext fleet;
     control.Find("s")->SetLocalState({"v1", "v2"}, 0);
-    for (const ProposedStep& due : control.Judge(fleet, now)) {
+    for (const ProposedStep& due : control.Evaluate(fleet, now)) {
       Apply(states, due.step, {});
     }
-    control.Adopt(states);
+    control.SetStates(states);
   };
-  control.OnOrders({Order(1)});
+  control.SetOrders({Order(1)});
   decide(kStart);
   cr_assert(states["s"].phase == RolloutPhase::kRunning);
-  control.OnOrders({});
+  control.SetOrders({});
   decide(kStart);
   cr_assert(states["s"].phase == RolloutPhase::kRolledBack);
-  control.OnOrders({Order(2)});
+  control.SetOrders({Order(2)});
   decide(kStart);
   cr_assert(states["s"].phase == RolloutPhase::kRunning);
-  cr_assert_eq(states["s"].order, 2U);
+  cr_assert_eq(states["s"].order_id, 2U);
 }
 
 // Work that runs at an old version holds its end back.
@@ -280,21 +280,21 @@
   RolloutContext fleet;
   const auto decide = [&](Time now, std::uint32_t under_way) {
     control.Find("s")->SetLocalState({"v2"}, under_way);
-    for (const ProposedStep& due : control.Judge(fleet, now)) {
+    for (const ProposedStep& due : control.Evaluate(fleet, now)) {
       Apply(states, due.step, {});
     }
-    control.Adopt(states);
+    control.SetStates(states);
   };
-  control.OnOrders({Order()});
+  control.SetOrders({Order()});
   decide(kStart, 1);
   decide(kStart, 1);
   cr_assert(states["s"].phase == RolloutPhase::kPromoted);
   decide(kStart + kPeriod, 1);
   cr_assert(states["s"].phase == RolloutPhase::kPromoted);
-  fleet.hosts = 2;  // One host has not said that it sends there no more.
+  fleet.host_count = 2;  // One host has not said that it sends there no more.
   decide(kStart + kPeriod * 2, 0);
   cr_assert(states["s"].phase == RolloutPhase::kPromoted);
-  fleet.hosts = 1;
+  fleet.host_count = 1;
   decide(kStart + kPeriod * 3, 0);
   cr_assert(states["s"].phase == RolloutPhase::kCompleted);
 }
@@ -302,11 +302,11 @@
 // Takes a rollout to a phase by hand.
 void Decide(RolloutControl& control, RolloutPhase phase) {
   RolloutState state;
-  state.order = Order().id;
+  state.order_id = Order().id;
   state.version = "v2";
   state.phase = phase;
-  state.replaced = {"v1"};
-  control.Adopt({{"s", state}});
+  state.replaced_versions = {"v1"};
+  control.SetStates({{"s", state}});
 }
 
 // Before the list is known, a host that has just started must not take any
@@ -314,7 +314,7 @@
 // other versions, and the tried one got requests as any.
 Test(promise, unknown_list_opens_no_version) {
   RolloutControl control("d", 1);
-  control.OnOrders({Order()});
+  control.SetOrders({Order()});
   Rollout& rollout = *control.Find("s");
   rollout.SetLocalState({}, 0);
   for (const RolloutPhase phase :
@@ -331,7 +331,7 @@
 // opened, the tried version was taken back, or the old one was replaced.
 Test(promise, decided_rollout_binds_what_was_chosen_before) {
   RolloutControl control("d", 1);
-  control.OnOrders({Order()});
+  control.SetOrders({Order()});
   Rollout& rollout = *control.Find("s");
   rollout.SetLocalState({"v1", "v2"}, 0);
   Decide(control, RolloutPhase::kRunning);
@@ -344,7 +344,7 @@
 
 Test(promise, promoted_version_gets_what_was_chosen_for_the_old_one) {
   RolloutControl control("d", 1);
-  control.OnOrders({Order()});
+  control.SetOrders({Order()});
   Rollout& rollout = *control.Find("s");
   rollout.SetLocalState({"v1", "v2"}, 0);
   Decide(control, RolloutPhase::kPromoted);
@@ -356,7 +356,7 @@
 // is then not said to be done with either.
 Test(rollout, only_version_that_is_listed_serves) {
   RolloutControl control("d", 1);
-  control.OnOrders({Order()});
+  control.SetOrders({Order()});
   Rollout& rollout = *control.Find("s");
   Decide(control, RolloutPhase::kRolledBack);
   rollout.SetLocalState({"v2"}, 0);
@@ -364,7 +364,7 @@
   Decide(control, RolloutPhase::kPromoted);
   rollout.SetLocalState({"v1"}, 0);
   cr_assert(rollout.RuleFor(false) == nullptr);
-  cr_assert(control.Judge({1, {}}, kStart).empty());
+  cr_assert(control.Evaluate({1, {}}, kStart).empty());
 }
 
 }  // namespace
--- a/src/pathcleat/rollouts/tally_board.cpp
+++ b/src/pathcleat/rollouts/tally_board.cpp
@@ -11,16 +11,16 @@
 constexpr Duration kFreshFor{2'500'000};
 
 void RaiseAnswers(RolloutTally& kept, const RolloutTally& told) {
-  kept.others.MergeMax(told.others);
-  kept.fresh.MergeMax(told.fresh);
+  kept.other_versions.MergeMax(told.other_versions);
+  kept.new_version.MergeMax(told.new_version);
   for (const auto& [route, answers] : told.new_version_by_route) {
     kept.new_version_by_route[route].MergeMax(answers);
   }
 }
 
 void AddAnswers(RolloutTally& sum, const RolloutTally& told) {
-  sum.others.Add(told.others);
-  sum.fresh.Add(told.fresh);
+  sum.other_versions.Add(told.other_versions);
+  sum.new_version.Add(told.new_version);
   for (const auto& [route, answers] : told.new_version_by_route) {
     sum.new_version_by_route[route].Add(answers);
   }
@@ -28,61 +28,62 @@
 
 }  // namespace
 
-void TallyBoard::Keep(Told& kept, const RolloutTally& tally, Time now) {
+void TallyTable::Keep(Told& kept, const RolloutTally& tally, Time now) {
   RaiseAnswers(kept.tally, tally);
-  kept.tally.on_others = tally.on_others;
+  kept.tally.other_versions_in_flight = tally.other_versions_in_flight;
   kept.tally.promoted_host_count = tally.promoted_host_count;
   kept.heard = now;
 }
 
-void TallyBoard::Add(RolloutTally& sum, const Told& told, Time now) {
+void TallyTable::Add(RolloutTally& sum, const Told& told, Time now) {
   AddAnswers(sum, told.tally);
   if (now - told.heard <= kFreshFor) {
-    sum.on_others += told.tally.on_others;
+    sum.other_versions_in_flight += told.tally.other_versions_in_flight;
     sum.promoted_host_count += told.tally.promoted_host_count;
   }
 }
 
-void TallyBoard::OnHostTally(std::uint64_t incarnation,
+void TallyTable::OnHostTally(std::uint64_t incarnation,
                              const RolloutTally& tally,
                              Time now) {
-  if (tally.order == order_) {
+  if (tally.order_id == order_) {
     Keep(hosts_[incarnation], tally, now);
   }
 }
 
-void TallyBoard::OnDomainTally(const std::string& domain,
+void TallyTable::OnDomainTally(const std::string& domain,
                                const RolloutTally& tally,
                                Time now) {
-  if (tally.order == order_) {
+  if (tally.order_id == order_) {
     Keep(domains_[domain], tally, now);
   }
 }
 
-void TallyBoard::OnOwnDomainTally(const RolloutTally& tally, Time now) {
-  if (tally.order == order_) {
+void TallyTable::OnOwnDomainTally(const RolloutTally& tally, Time now) {
+  if (tally.order_id == order_) {
     Keep(own_domain_, tally, now);
   }
 }
 
 // A host of a large domain hears few others itself; both are of the same
 // answers.
-RolloutTally TallyBoard::DomainTally(Time now) const {
+RolloutTally TallyTable::DomainTally(Time now) const {
   RolloutTally heard;
-  heard.order = order_;
+  heard.order_id = order_;
   for (const auto& [incarnation, host] : hosts_) {
     Add(heard, host, now);
   }
   RolloutTally told;
   Add(told, own_domain_, now);
   RaiseAnswers(heard, told);
-  heard.on_others = std::max(heard.on_others, told.on_others);
+  heard.other_versions_in_flight =
+      std::max(heard.other_versions_in_flight, told.other_versions_in_flight);
   heard.promoted_host_count =
       std::max(heard.promoted_host_count, told.promoted_host_count);
   return heard;
 }
 
-RolloutTally TallyBoard::FleetTally(Time now) const {
+RolloutTally TallyTable::FleetTally(Time now) const {
   RolloutTally sum = DomainTally(now);
   for (const auto& [name, domain] : domains_) {
     Add(sum, domain, now);
--- a/src/pathcleat/routing/admission_control.cpp
+++ b/src/pathcleat/routing/admission_control.cpp
@@ -18,8 +18,8 @@
 
 // The part of what comes to an upstream that comes by this host.
 double OwnShare(const UpstreamState& upstream, Time now) {
-  const double own = std::max(1, upstream.load.own());
-  return own / std::max(own, upstream.load.Expected(now));
+  const double own = std::max(1, upstream.load.own_in_flight());
+  return own / std::max(own, upstream.load.ExpectedRequests(now));
 }
 
 // Requests of one route are of several kinds where accounts differ in urgency.
@@ -33,7 +33,7 @@
 // Until the end of the target latency, from the caller's first try on.
 Duration TargetLeft(const PickRequest& request, const RequestProfile& profile) {
   return request.route->target_latency -
-         profile.deadline.SinceFirstTry(request.caller_timeout);
+         profile.usual_deadline.SinceFirstTry(request.caller_timeout);
 }
 
 // When an upstream that may not be sent to now may be, if that is known, and
@@ -50,10 +50,11 @@
     return Opening{*retried - now, usual_run};
   }
   const auto takes = upstream.IsRateBounded(now)
-                         ? upstream.share.TimeUntilAvailable(now)
+                         ? upstream.rate_share.TimeUntilAvailable(now)
                          : std::nullopt;
   if (takes) {
-    return Opening{*takes, Times(kSecond, 1 / upstream.share.per_second())};
+    return Opening{*takes,
+                   Times(kSecond, 1 / upstream.rate_share.rate_per_second())};
   }
   return std::nullopt;
 }
@@ -67,25 +68,25 @@
   if (!request.excluded.empty()) {
     return true;
   }
-  profile.deadline.OnRequest(request.caller_timeout);
+  profile.usual_deadline.OnRequest(request.caller_timeout);
   if (!policy_.IsEnabled(Mechanism::kAdmission)) {
     return true;
   }
   AdmissionInput input;
-  input.wait = pick.wait;
-  input.service = pick.expected - pick.wait;
-  input.usual_run = profile.warmth.RunTime(true);
+  input.queue_wait = pick.expected_wait;
+  input.service_time = pick.expected_latency - pick.expected_wait;
+  input.usual_run_time = profile.warmth.RunTime(true);
   input.slots = pick.upstream->info.slots;
-  input.target = request.route->target_latency;
+  input.target_latency = request.route->target_latency;
   input.target_time_left = TargetLeft(request, profile);
-  input.is_retry = input.target_time_left < input.target;
-  UrgencyLedger& urgency = urgency_[request.service];
+  input.is_retry = input.target_time_left < input.target_latency;
+  UrgencyTracker& urgency = urgency_[request.service];
   const std::string kind = KindOf(request);
   if (!input.is_retry) {
-    urgency.OnOffered(kind, request.urgency(), now);
+    urgency.OnFirstAttempt(kind, request.urgency(), now);
   }
   // Where slots are free, nobody has to yield.
-  const bool yields = input.wait > WaitPerQueuedRequest(input) &&
+  const bool yields = input.queue_wait > WaitPerQueuedRequest(input) &&
                       urgency.IsOverServed(kind, now);
   if (yields || DecideAdmission(input) == AdmissionDecision::kRefuse) {
     return false;
@@ -98,15 +99,15 @@
                                               const PickRequest& request,
                                               const RequestProfile& profile,
                                               Time now) {
-  const Duration service = pick.expected - pick.wait;
+  const Duration service = pick.expected_latency - pick.expected_wait;
   const double slots = std::max(1, pick.upstream->info.slots);
   RetryWindow window;
-  window.room = pick.wait;
-  window.in_time = TargetLeft(request, profile) - service;
+  window.earliest = pick.expected_wait;
+  window.latest_in_time = TargetLeft(request, profile) - service;
   window.latest = LatestRetry(request.CallerTimeLeft(), service);
   window.spacing = Times(profile.warmth.RunTime(true),
                          1 / (slots * OwnShare(*pick.upstream, now)));
-  return pick.upstream->comeback.Reserve(window, now);
+  return pick.upstream->retry_scheduler.Reserve(window, now);
 }
 
 Duration AdmissionControl::RetryDelayForAny(
@@ -117,22 +118,22 @@
   const Duration run = profile.warmth.RunTime(true);
   RetryWindow window;
   window.latest = LatestRetry(request.CallerTimeLeft(), run);
-  window.in_time = TargetLeft(request, profile) - run;
-  window.room = Duration::max();
+  window.latest_in_time = TargetLeft(request, profile) - run;
+  window.earliest = Duration::max();
   window.spacing = run;
-  Comeback* book = &unknown_[request.service];
+  RetryScheduler* book = &unknown_[request.service];
   double bounded_rate = 0;
   bool bounded_first = false;
   for (const UpstreamPtr& upstream : open) {
     const bool bounded =
         !upstream->health.RetryTime() && upstream->IsRateBounded(now);
-    bounded_rate += bounded ? upstream->share.per_second() : 0;
+    bounded_rate += bounded ? upstream->rate_share.rate_per_second() : 0;
     const auto opening = OpeningOf(*upstream, run, now);
-    if (opening && opening->in < window.room) {
-      window.room = opening->in;
+    if (opening && opening->in < window.earliest) {
+      window.earliest = opening->in;
       window.spacing = opening->spacing;
       bounded_first = bounded;
-      book = bounded ? &unknown_[request.service] : &upstream->comeback;
+      book = bounded ? &unknown_[request.service] : &upstream->retry_scheduler;
     }
   }
   if (bounded_first) {
--- a/src/pathcleat/routing/admission_control_test.cpp
+++ b/src/pathcleat/routing/admission_control_test.cpp
@@ -51,9 +51,9 @@
   }
 
   void TurnCold(double per_second) {
-    info_.cold_for = Duration(60'000'000);
+    info_.cold_remaining = Duration(60'000'000);
     table_.Put(info_, kStart);
-    upstream().share.SetRate(per_second, kStart);
+    upstream().rate_share.SetRate(per_second, kStart);
   }
 
   UpstreamState& upstream() { return *table_.All().front(); }
@@ -74,7 +74,7 @@
   ReturnWorld world;
   world.TurnCold(5);
   cr_assert(world.Choose(kStart).upstream != nullptr);
-  world.upstream().share.TryAcquire(kStart);
+  world.upstream().rate_share.TryAcquire(kStart);
   std::vector<Duration> told;
   for (int i = 0; i < 3; ++i) {
     const Pick refused = world.Choose(kStart);
@@ -100,8 +100,8 @@
   other.id = "n1";
   world.table().Put(other, kStart);
   for (const UpstreamPtr& upstream : world.table().All()) {
-    upstream->share.SetRate(5, kStart);
-    upstream->share.TryAcquire(kStart);
+    upstream->rate_share.SetRate(5, kStart);
+    upstream->rate_share.TryAcquire(kStart);
   }
   std::vector<Duration> told;
   for (int i = 0; i < 3; ++i) {
--- a/src/pathcleat/routing/bound_room.cpp
+++ b/src/pathcleat/routing/bound_room.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-void BoundRoom::OnPlaced(const std::string& service, Duration run) {
+void PinnedCapacity::OnPlaced(const std::string& service, Duration run) {
   for (auto& [name, use] : uses_) {
     use.requests *= 1 - 1 / kRequestsKept;
   }
@@ -33,12 +33,13 @@
   use.requests += 1;
 }
 
-double BoundRoom::RunSecondsOf(const std::string& service) const {
+double PinnedCapacity::RunSecondsOf(const std::string& service) const {
   const auto use = uses_.find(service);
   return use == uses_.end() ? 0 : use->second.run_seconds;
 }
 
-void BoundRoom::SetDemand(const std::map<std::string, double>& per_second) {
+void PinnedCapacity::SetDemand(
+    const std::map<std::string, double>& per_second) {
   for (auto& [region, demand] : demand_) {
     const auto now = per_second.find(region);
     const double target = now == per_second.end() ? 0 : now->second;
@@ -49,9 +50,9 @@
   }
 }
 
-double BoundRoom::Taken(const std::string& service,
-                        const std::string& region,
-                        double slots) const {
+double PinnedCapacity::Taken(const std::string& service,
+                             const std::string& region,
+                             double slots) const {
   const auto demand = demand_.find(region);
   const auto use = uses_.find(service);
   if (demand == demand_.end() || use == uses_.end() || slots <= 0) {
@@ -66,9 +67,9 @@
   return std::min(kMostTaken, busy / slots);
 }
 
-double BoundRoom::ShareOf(const std::string& service,
-                          const std::string& region,
-                          double slots) {
+double PinnedCapacity::ShareOf(const std::string& service,
+                               const std::string& region,
+                               double slots) {
   const double taken = Taken(service, region, slots);
   double& told = told_[{service, region}];
   if (std::abs(taken - told) > kStep * kBeyondStep) {
--- a/src/pathcleat/routing/bound_room_test.cpp
+++ b/src/pathcleat/routing/bound_room_test.cpp
@@ -12,8 +12,8 @@
 
 // An account that sends 200 requests a second of 0.4 s to a region of 156
 // slots takes half of them.
-BoundRoom Settled(double per_second) {
-  BoundRoom room;
+PinnedCapacity Settled(double per_second) {
+  PinnedCapacity room;
   for (int i = 0; i < 300; ++i) {
     room.OnPlaced("s", kRun);
   }
@@ -24,14 +24,14 @@
 }
 
 Test(bound_room, demand_takes_its_part_of_its_region_alone) {
-  BoundRoom room = Settled(200);
+  PinnedCapacity room = Settled(200);
   cr_assert_float_eq(room.ShareOf("s", "north", 156), 0.5, 0.01);
   cr_assert_eq(room.ShareOf("s", "south", 156), 0.0);
   cr_assert_eq(room.ShareOf("other", "north", 156), 0.0);
 }
 
 Test(bound_room, services_take_by_their_part_of_the_requests) {
-  BoundRoom room;
+  PinnedCapacity room;
   for (int i = 0; i < 600; ++i) {
     room.OnPlaced(i % 3 == 0 ? "small" : "large", kRun);
   }
@@ -44,7 +44,7 @@
 
 // Hosts hear of the demand a little differently and are to place keys alike.
 Test(bound_room, small_differences_are_not_told) {
-  BoundRoom room = Settled(200);
+  PinnedCapacity room = Settled(200);
   const double before = room.ShareOf("s", "north", 156);
   for (int i = 0; i < kLong; ++i) {
     room.SetDemand({{"north", i % 2 == 0 ? 180.0 : 220.0}});
@@ -53,7 +53,7 @@
 }
 
 Test(bound_room, something_is_left_and_what_ends_is_given_back) {
-  BoundRoom room = Settled(2'000);
+  PinnedCapacity room = Settled(2'000);
   cr_assert_lt(room.ShareOf("s", "north", 156), 0.9);
   for (int i = 0; i < kLong; ++i) {
     room.SetDemand({});
--- a/src/pathcleat/routing/comeback.cpp
+++ b/src/pathcleat/routing/comeback.cpp
@@ -19,29 +19,30 @@
   return std::max(Duration::zero(), std::min(heeded, answered));
 }
 
-Duration Comeback::Reserve(const RetryWindow& window, Time now) {
+Duration RetryScheduler::Reserve(const RetryWindow& window, Time now) {
   booked_.erase(booked_.begin(), booked_.lower_bound(now));
   const Duration latest = std::max(window.latest, Duration::zero());
-  const Duration room = std::max(window.room, Duration::zero());
+  const Duration room = std::max(window.earliest, Duration::zero());
   const Duration place =
-      Place({room, window.in_time, latest, window.spacing}, now);
+      Place({room, window.latest_in_time, latest, window.spacing}, now);
   if (booked_.size() < kMostBooked) {
     booked_.insert(now + place);
   }
   return place;
 }
 
-Duration Comeback::Place(const RetryWindow& window, Time now) const {
-  const Duration in_time = std::min(window.in_time, window.latest);
-  if (window.room <= in_time) {
+Duration RetryScheduler::Place(const RetryWindow& window, Time now) const {
+  const Duration in_time = std::min(window.latest_in_time, window.latest);
+  if (window.earliest <= in_time) {
     if (const auto first =
-            FirstFree(window.room, in_time, window.spacing, now)) {
+            FirstFree(window.earliest, in_time, window.spacing, now)) {
       return *first;
     }
   }
   // Without a place of its own it gets one between two others, so that those
   // who must come anyway do not come together.
-  Duration from = window.room <= window.latest ? window.room : Duration::zero();
+  Duration from =
+      window.earliest <= window.latest ? window.earliest : Duration::zero();
   Duration spacing = window.spacing;
   for (int i = 0; i < kMostHalvings; ++i) {
     if (const auto last = LastFree(from, window.latest, spacing, now)) {
@@ -52,10 +53,10 @@
   return window.latest;
 }
 
-std::optional<Duration> Comeback::FirstFree(Duration from,
-                                            Duration to,
-                                            Duration spacing,
-                                            Time now) const {
+std::optional<Duration> RetryScheduler::FirstFree(Duration from,
+                                                  Duration to,
+                                                  Duration spacing,
+                                                  Time now) const {
   Time place = now + from;
   for (auto next = booked_.upper_bound(place - spacing);
        next != booked_.end() && *next < place + spacing; ++next) {
@@ -64,10 +65,10 @@
   return place <= now + to ? std::optional(place - now) : std::nullopt;
 }
 
-std::optional<Duration> Comeback::LastFree(Duration from,
-                                           Duration to,
-                                           Duration spacing,
-                                           Time now) const {
+std::optional<Duration> RetryScheduler::LastFree(Duration from,
+                                                 Duration to,
+                                                 Duration spacing,
+                                                 Time now) const {
   Time place = now + to;
   auto next = std::make_reverse_iterator(booked_.lower_bound(place + spacing));
   for (; next != booked_.rend() && *next > place - spacing; ++next) {
--- a/src/pathcleat/routing/comeback_test.cpp
+++ b/src/pathcleat/routing/comeback_test.cpp
@@ -15,8 +15,8 @@
 
 RetryWindow LateWindow(Duration room, Duration latest) {
   RetryWindow window;
-  window.room = room;
-  window.in_time = Duration(-1);
+  window.earliest = room;
+  window.latest_in_time = Duration(-1);
   window.latest = latest;
   window.spacing = kSpacing;
   return window;
@@ -40,14 +40,14 @@
 // Checked to fail with `place` in Book taken from window.room alone.
 Test(comeback, nobody_is_told_to_come_later_than_is_of_use) {
   cr_assert(Holds("0 <= told <= latest", [] {
-    Comeback comeback;
+    RetryScheduler comeback;
     Time now = kStart;
     const int requests = *rc::gen::inRange(1, 60);
     for (int i = 0; i < requests; ++i) {
       now += Micros(*rc::gen::inRange(0, 100'000));
       RetryWindow window;
-      window.room = Micros(*rc::gen::inRange(-100'000, 3'000'000));
-      window.in_time = Micros(*rc::gen::inRange(-500'000, 1'000'000));
+      window.earliest = Micros(*rc::gen::inRange(-100'000, 3'000'000));
+      window.latest_in_time = Micros(*rc::gen::inRange(-500'000, 1'000'000));
       window.latest = Micros(*rc::gen::inRange(0, 1'000'000));
       window.spacing = Micros(*rc::gen::inRange(0, 200'000));
       const Duration told = comeback.Reserve(window, now);
@@ -60,7 +60,7 @@
 // Checked to fail with booked_.insert taken out of Book.
 Test(comeback, each_gets_a_place_of_its_own_while_there_are_places) {
   cr_assert(Holds("returns are a spacing apart", [] {
-    Comeback comeback;
+    RetryScheduler comeback;
     std::set<Duration> told;
     const Duration room = Micros(*rc::gen::inRange(0, 100'000));
     const Duration latest = room + kSpacing * 19;
@@ -77,7 +77,7 @@
 
 // Checked to fail with kMostHalvings = 1: all the rest came together.
 Test(comeback, without_places_left_they_still_do_not_come_together) {
-  Comeback comeback;
+  RetryScheduler comeback;
   std::set<Duration> told;
   constexpr int kPlaces = 10;
   constexpr int kRequests = kPlaces * 8;
@@ -91,25 +91,25 @@
 // The earliest places stay for those who can be in time at all. Checked to
 // fail with FirstFree in place of LastFree.
 Test(comeback, those_who_can_be_in_time_come_first) {
-  Comeback comeback;
+  RetryScheduler comeback;
   RetryWindow late = LateWindow(Duration(100'000), Duration(800'000));
-  late.in_time = Duration(50'000);
+  late.latest_in_time = Duration(50'000);
   RetryWindow early = late;
-  early.in_time = Duration(200'000);
+  early.latest_in_time = Duration(200'000);
   for (int i = 0; i < 10; ++i) {
-    cr_assert_gt(comeback.Reserve(late, kStart), early.in_time);
+    cr_assert_gt(comeback.Reserve(late, kStart), early.latest_in_time);
   }
   cr_assert(comeback.Reserve(early, kStart) == Duration(100'000));
   cr_assert(comeback.Reserve(early, kStart) == Duration(150'000));
   cr_assert(comeback.Reserve(early, kStart) == Duration(200'000));
-  cr_assert_gt(comeback.Reserve(early, kStart), early.in_time);
+  cr_assert_gt(comeback.Reserve(early, kStart), early.latest_in_time);
 }
 
 // Those with the earlier deadline can only use the earlier places; those with
 // a later one leave them free. Checked to fail with FirstFree in place of
 // LastFree.
 Test(comeback, a_later_deadline_leaves_the_place_of_an_earlier_one) {
-  Comeback comeback;
+  RetryScheduler comeback;
   for (int i = 0; i < 4; ++i) {
     comeback.Reserve(LateWindow(Duration(0), Duration(800'000)), kStart);
   }
@@ -123,7 +123,7 @@
 }
 
 Test(comeback, without_room_in_time_the_last_useful_moment_is_told) {
-  Comeback comeback;
+  RetryScheduler comeback;
   const Duration latest{700'000};
   cr_assert(comeback.Reserve(LateWindow(Duration(9'000'000), latest), kStart) ==
             latest);
@@ -131,7 +131,7 @@
 
 // Checked to fail with kMostBooked taken out of Book.
 Test(comeback, memory_is_bounded) {
-  Comeback comeback;
+  RetryScheduler comeback;
   constexpr int kRequests = 5'000;
   for (int i = 0; i < kRequests; ++i) {
     comeback.Reserve(LateWindow(Duration(0), Duration(1'000'000)), kStart);
--- a/src/pathcleat/routing/limit_exchange.cpp
+++ b/src/pathcleat/routing/limit_exchange.cpp
@@ -36,7 +36,8 @@
 void LimitExchange::OnNoLimitReported(const UpstreamPtr& upstream,
                                       Time sent,
                                       Time now) {
-  if (upstream->limit.sign() && upstream->limit.sign()->per_second) {
+  if (upstream->limit.observation() &&
+      upstream->limit.observation()->per_second) {
     TakeOwn(upstream, {std::nullopt, sent, host_, domain_}, now);
   }
 }
@@ -54,8 +55,8 @@
                                 const LimitObservation& sign,
                                 Time now) {
   const LimitChange change = table_.UpdateLimit(upstream, sign, now);
-  const LimitObservation* newest = upstream->limit.sign();
-  if (newest != nullptr && newest->at == sign.at) {
+  const LimitObservation* newest = upstream->limit.observation();
+  if (newest != nullptr && newest->observed_at == sign.observed_at) {
     recent_[upstream->info.id] = upstream;
   }
   Note(upstream, change);
@@ -103,17 +104,18 @@
     if (next == told.end()) {
       next = told.begin();
     }
-    const LimitObservation& sign = *next->second->limit.sign();
+    const LimitObservation& sign = *next->second->limit.observation();
     if (!tells(sign)) {
       continue;
     }
     if (report.entries.size() == kMaxLimitEntries) {
-      last_told_ = report.entries.back().upstream;
+      last_told_ = report.entries.back().upstream_id;
       break;
     }
     const float per_second =
         sign.per_second ? static_cast<float>(*sign.per_second) : kNoRateLimit;
-    report.entries.push_back({next->first, per_second, AgeMs(sign.at, now)});
+    report.entries.push_back(
+        {next->first, per_second, AgeMs(sign.observed_at, now)});
   }
   return report;
 }
@@ -121,7 +123,7 @@
 LimitReport LimitExchange::OwnLimits(Time now) {
   std::erase_if(recent_, [now](const auto& named) {
     return named.second->removed ||
-           now - named.second->limit.sign()->at > kToldFor;
+           now - named.second->limit.observation()->observed_at > kToldFor;
   });
   return Report(
       false, recent_,
@@ -142,7 +144,7 @@
 
 void LimitExchange::OnLimitReport(const LimitReport& report, Time now) {
   for (const LimitEntry& entry : report.entries) {
-    const UpstreamPtr upstream = table_.Find(entry.upstream);
+    const UpstreamPtr upstream = table_.Find(entry.upstream_id);
     if (!upstream) {
       continue;
     }
@@ -150,7 +152,8 @@
     if (entry.per_second >= 0) {
       sign.per_second = static_cast<double>(entry.per_second);
     }
-    sign.at = now - std::chrono::milliseconds(entry.age_ms) - kLongestWay;
+    sign.observed_at =
+        now - std::chrono::milliseconds(entry.age_ms) - kLongestWay;
     sign.host = report.host;
     sign.domain = report.domain;
     Take(upstream, sign, now);
--- a/src/pathcleat/routing/limit_exchange_test.cpp
+++ b/src/pathcleat/routing/limit_exchange_test.cpp
@@ -81,8 +81,8 @@
     b.exchange.OnLimitReport(a.exchange.DomainLimits(now), now + kWay);
     a.exchange.OnLimitReport(b.exchange.DomainLimits(now), now + kWay);
   }
-  cr_assert_leq(a.upstream()->limit.sign()->at, kStart);
-  cr_assert_leq(b.upstream()->limit.sign()->at, kStart);
+  cr_assert_leq(a.upstream()->limit.observation()->observed_at, kStart);
+  cr_assert_leq(b.upstream()->limit.observation()->observed_at, kStart);
   cr_assert(a.exchange.DomainLimits(now).entries.empty());
 }
 
@@ -95,7 +95,7 @@
   a.exchange.OnNoLimitReported(a.upstream(), kStart + 2 * kSecond, later);
   b.exchange.OnLimitReport(a.exchange.OwnLimits(later), later);
   cr_assert_not(b.upstream()->limit.IsInForce(later));
-  cr_assert(b.exchange.in_force().empty());
+  cr_assert(b.exchange.limited_upstreams().empty());
   cr_assert(b.changes.back() == LimitChange::kEnded);
 }
 
@@ -103,9 +103,9 @@
   HostView host("a", "d1");
   host.exchange.OnLimitReported(host.upstream(), 1, kStart);
   host.exchange.Tick(kStart + 12 * kSecond);
-  cr_assert_eq(host.exchange.in_force().size(), 1U);
+  cr_assert_eq(host.exchange.limited_upstreams().size(), 1U);
   host.exchange.Tick(kStart + 120 * kSecond);
-  cr_assert(host.exchange.in_force().empty());
+  cr_assert(host.exchange.limited_upstreams().empty());
   cr_assert(host.changes.back() == LimitChange::kEnded);
 }
 
@@ -124,7 +124,8 @@
     cr_assert_leq(EncodeLimits(report).size(), 1'400U);
     other.exchange.OnLimitReport(report, kStart);
   }
-  cr_assert_eq(other.exchange.in_force().size(), std::size_t{kUpstreams});
+  cr_assert_eq(other.exchange.limited_upstreams().size(),
+               std::size_t{kUpstreams});
 }
 
 Test(limit_exchange, host_that_starts_is_told_what_is_in_force) {
@@ -146,7 +147,7 @@
   host.table.Put(again, kStart);
   host.exchange.Tick(kStart);
   cr_assert_not(host.upstream()->limit.IsInForce(kStart));
-  cr_assert(host.exchange.in_force().empty());
+  cr_assert(host.exchange.limited_upstreams().empty());
 }
 
 }  // namespace
--- a/src/pathcleat/routing/list_delta_test.cpp
+++ b/src/pathcleat/routing/list_delta_test.cpp
@@ -52,7 +52,7 @@
     routes[i].name = std::to_string(i);
   }
   const ListHashes old_marks = ContentHashes(routes);
-  routes[700].home_regions = {"north"};
+  routes[700].allowed_regions = {"north"};
   const auto steps = ComputeListDelta(old_marks, routes, ContentHashes(routes));
   cr_assert_eq(AddedIn(steps), 1U);
   cr_assert_eq(steps.size(), 2U);
@@ -77,7 +77,7 @@
   routes[12].target_latency += Duration(1);
   routes[13].needs_account_key = false;
   routes.push_back(plain);
-  routes.back().home_regions = {"north"};
+  routes.back().allowed_regions = {"north"};
   ListHashes marks = ContentHashes(routes);
   std::sort(marks.begin(), marks.end());
   cr_assert(std::adjacent_find(marks.begin(), marks.end()) == marks.end());
--- a/src/pathcleat/routing/rate_share_test.cpp
+++ b/src/pathcleat/routing/rate_share_test.cpp
@@ -25,7 +25,7 @@
   };
   RateSenders senders(self.hash, region_of(self));
   for (const RateSender& other : others) {
-    senders.Add(other.hash, region_of(other));
+    senders.AddHost(other.hash, region_of(other));
   }
   return senders.Rate(bound, upstream_hash, "near");
 }
@@ -150,7 +150,7 @@
       part.SetFleetSize(count);
       for (int other = 0; other < count; ++other) {
         if (other != i && (other < in_first) == (i < in_first)) {
-          part.Add(fleet[other].place.hash, "near");
+          part.AddHost(fleet[other].place.hash, "near");
         }
       }
       const double own = part.Rate(bound, 7, "near");
@@ -169,12 +169,12 @@
   const auto region = [](int i) { return "region-" + std::to_string(i % 3); };
   RateSenders senders(StableHash("self"), region(0));
   for (int i = 1; i < hosts; ++i) {
-    senders.Add(StableHash("host-" + std::to_string(i)), region(i));
+    senders.AddHost(StableHash("host-" + std::to_string(i)), region(i));
   }
   for (int i = 0; i < kUpstreams; ++i) {
     senders.Rate({4, 10}, StableHash("i-" + std::to_string(i)), region(i));
   }
-  return static_cast<double>(senders.ranked()) / kUpstreams;
+  return static_cast<double>(senders.ranked_count()) / kUpstreams;
 }
 
 // At 986 hosts and 2,629 upstreams that join at one moment all hosts were busy
--- a/src/pathcleat/routing/region_shares.cpp
+++ b/src/pathcleat/routing/region_shares.cpp
@@ -23,7 +23,7 @@
 }
 
 double SlotsLeft(const RegionCapacity& room) {
-  return room.slots * (1 - room.bound);
+  return room.slots * (1 - room.pinned_share);
 }
 
 }  // namespace
@@ -62,7 +62,7 @@
     const double by_room = name == own_region_
                                ? home_share_ / home.slots
                                : (1 - home_share_) * of_slot / spare_elsewhere;
-    const double unbound = 1 - regions.at(name).bound;
+    const double unbound = 1 - regions.at(name).pinned_share;
     weights_[name] = pull * by_room + (1 - pull) * unbound / slots;
   }
 }
--- a/src/pathcleat/routing/region_shares_test.cpp
+++ b/src/pathcleat/routing/region_shares_test.cpp
@@ -52,7 +52,7 @@
   RegionShares north("north", true);
   north.Update(regions);
   const double before = Part(north, "north", regions["north"]);
-  regions["north"].bound = 0.5;
+  regions["north"].pinned_share = 0.5;
   north.Update(regions);
   const double after = Part(north, "north", regions["north"]);
   cr_assert_gt(after, before * 0.45);
--- a/src/pathcleat/routing/route.cpp
+++ b/src/pathcleat/routing/route.cpp
@@ -5,7 +5,7 @@
 
 namespace pathcleat {
 
-std::uint64_t MarkOf(const Route& route) {
+std::uint64_t ContentHash(const Route& route) {
   FieldHash mark;
   mark.Add(route.name);
   mark.Add(route.host);
@@ -23,8 +23,8 @@
   mark.Add(route.max_attempts);
   mark.Add(route.timeout.count());
   mark.Add(route.target_latency.count());
-  mark.Add(route.home_regions.size());
-  for (const std::string& region : route.home_regions) {
+  mark.Add(route.allowed_regions.size());
+  for (const std::string& region : route.allowed_regions) {
     mark.Add(region);
   }
   return mark.hash();
--- a/src/pathcleat/routing/route_table.cpp
+++ b/src/pathcleat/routing/route_table.cpp
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-bool RouteTable::Adopt(RoutingConfig config) {
+bool RouteTable::ReplaceIfNewer(RoutingConfig config) {
   if (config_ && config.version <= config_->version) {
     return false;
   }
--- a/src/pathcleat/routing/route_table_test.cpp
+++ b/src/pathcleat/routing/route_table_test.cpp
@@ -29,7 +29,7 @@
 Test(route_table, longest_prefix_of_the_host_wins) {
   RouteTable table;
   cr_assert_not(table.IsLoaded());
-  cr_assert(table.Adopt(ConfigAt(1)));
+  cr_assert(table.ReplaceIfNewer(ConfigAt(1)));
   const auto name = [&table](const char* host, const char* target) {
     const auto route = table.Find(host, target);
     return route ? route->name : std::string("none");
@@ -48,7 +48,7 @@
     const auto versions = *rc::gen::container<std::vector<std::uint64_t>>(
         rc::gen::inRange<std::uint64_t>(1, 20));
     for (const std::uint64_t version : versions) {
-      RC_ASSERT(table.Adopt(ConfigAt(version)) == (version > newest));
+      RC_ASSERT(table.ReplaceIfNewer(ConfigAt(version)) == (version > newest));
       newest = std::max(newest, version);
       RC_ASSERT(table.version() == newest);
     }
@@ -58,11 +58,11 @@
 // A route in use outlives the version that brought it.
 Test(route_table, route_under_way_outlives_its_version) {
   RouteTable table;
-  table.Adopt(ConfigAt(1));
+  table.ReplaceIfNewer(ConfigAt(1));
   const auto route = table.Find("a.example", "/x/");
   RoutingConfig empty;
   empty.version = 2;
-  table.Adopt(empty);
+  table.ReplaceIfNewer(empty);
   cr_assert_str_eq(route->name.c_str(), "a.example/x/");
   cr_assert(table.Find("a.example", "/x/") == nullptr);
 }
@@ -78,7 +78,7 @@
     int first = 0;
     constexpr int kRequests = 400;
     for (int i = 0; i < kRequests; ++i) {
-      const double position = UnitHash(std::to_string(i % 5), seed);
+      const double position = UnitIntervalHash(std::to_string(i % 5), seed);
       first += balancer.Choose(route, position) == "one" ? 1 : 0;
     }
     const double share = static_cast<double>(first) / kRequests;
--- a/src/pathcleat/routing/shift_table.cpp
+++ b/src/pathcleat/routing/shift_table.cpp
@@ -6,8 +6,8 @@
 namespace pathcleat {
 namespace {
 
-ShiftStatus StatusOf(const ShiftGate& gate) {
-  return {gate.plan(), gate.fraction(), gate.offered(), gate.moved(),
+ShiftStatus StatusOf(const ShiftControl& gate) {
+  return {gate.plan(), gate.current_share(), gate.offered(), gate.moved(),
           gate.last_decision()};
 }
 
@@ -23,7 +23,7 @@
            found->second.id != entry.second.plan().id;
   });
   for (const auto& [key, plan] : config.shifts) {
-    if (plan.from == own_region_) {
+    if (plan.from_region == own_region_) {
       gates_.try_emplace(plan.service, plan, now);
     }
   }
@@ -34,14 +34,14 @@
                          Time now) {
   for (auto& [service, gate] : gates_) {
     const RampDecision before = gate.last_decision();
-    gate.Advance(target(service, gate.plan().to), now);
+    gate.Advance(target(service, gate.plan().to_region), now);
     if (gate.last_decision() != before) {
       observer(StatusOf(gate));
     }
   }
 }
 
-ShiftGate* ShiftTable::Find(const std::string& service) {
+ShiftControl* ShiftTable::Find(const std::string& service) {
   const auto found = gates_.find(service);
   return found == gates_.end() ? nullptr : &found->second;
 }
--- a/src/pathcleat/routing/upstream_health_test.cpp
+++ b/src/pathcleat/routing/upstream_health_test.cpp
@@ -16,7 +16,7 @@
   health.OnSent(kExpected, kStart);
   cr_assert(health.MayTry(kStart + Duration(500'000)));
   cr_assert_not(health.MayTry(kStart + Duration(700'000)));
-  health.OnHeard(kStart + Duration(800'000));
+  health.OnResponse(kStart + Duration(800'000));
   cr_assert(health.MayTry(kStart + Duration(900'000)));
 }
 
--- a/src/pathcleat/routing/upstream_limit.cpp
+++ b/src/pathcleat/routing/upstream_limit.cpp
@@ -22,9 +22,10 @@
 
 }  // namespace
 
-bool UpstreamLimit::Take(const LimitObservation& sign) {
+bool UpstreamLimit::Update(const LimitObservation& sign) {
   const bool ends = sign_ && sign_->per_second && !sign.per_second;
-  if (sign_ && sign.at <= sign_->at + (ends ? kEndsAfter : Duration::zero())) {
+  if (sign_ && sign.observed_at <= sign_->observed_at +
+                                       (ends ? kEndsAfter : Duration::zero())) {
     return false;
   }
   sign_ = std::make_shared<const LimitObservation>(sign);
@@ -36,14 +37,14 @@
     return capacity_;
   }
   const double named = std::max(kLeastPerSecond, sign_->per_second.value_or(0));
-  const Duration overdue = now - sign_->at - kHoldsFor;
+  const Duration overdue = now - sign_->observed_at - kHoldsFor;
   const double doublings =
       std::max(0.0, std::chrono::duration<double>(overdue) / kDoublesEvery);
   return named * std::exp2(doublings);
 }
 
 bool UpstreamLimit::ShouldProbe(Time now) const {
-  return IsInForce(now) && now - sign_->at > kAskedAfter;
+  return IsInForce(now) && now - sign_->observed_at > kAskedAfter;
 }
 
 bool UpstreamLimit::IsInForce(Time now) const {
--- a/src/pathcleat/routing/upstream_limit_test.cpp
+++ b/src/pathcleat/routing/upstream_limit_test.cpp
@@ -20,7 +20,7 @@
 UpstreamLimit Limited(double per_second) {
   UpstreamLimit limit;
   limit.SetCapacity(60);
-  limit.Take(Named(per_second, kStart));
+  limit.Update(Named(per_second, kStart));
   return limit;
 }
 
@@ -28,24 +28,24 @@
   UpstreamLimit limit = Limited(2);
   cr_assert(limit.IsInForce(kStart));
   cr_assert_float_eq(limit.PerSecond(kStart + kSecond), 2, 1e-9);
-  cr_assert(limit.Take(NotNamed(kStart + 2 * kSecond)));
+  cr_assert(limit.Update(NotNamed(kStart + 2 * kSecond)));
   cr_assert_not(limit.IsInForce(kStart + 2 * kSecond));
 }
 
 // Guards against an answer that was under way when the limit was first named.
 Test(upstream_limit, answer_to_an_earlier_request_does_not_end_it) {
   UpstreamLimit limit = Limited(2);
-  cr_assert_not(limit.Take(NotNamed(kStart - kSecond)));
-  cr_assert_not(limit.Take(NotNamed(kStart)));
+  cr_assert_not(limit.Update(NotNamed(kStart - kSecond)));
+  cr_assert_not(limit.Update(NotNamed(kStart)));
   cr_assert(limit.IsInForce(kStart));
 }
 
 // Guards against hosts that undo each other's news: the newest holds.
 Test(upstream_limit, older_signs_from_others_change_nothing) {
   UpstreamLimit limit = Limited(2);
-  cr_assert_not(limit.Take(Named(7, kStart - kSecond)));
-  limit.Take(NotNamed(kStart + 2 * kSecond));
-  cr_assert_not(limit.Take(Named(2, kStart + kSecond)));
+  cr_assert_not(limit.Update(Named(7, kStart - kSecond)));
+  limit.Update(NotNamed(kStart + 2 * kSecond));
+  cr_assert_not(limit.Update(Named(2, kStart + kSecond)));
   cr_assert_not(limit.IsInForce(kStart + 2 * kSecond));
 }
 
@@ -77,7 +77,7 @@
   UpstreamLimit limit = Limited(2);
   cr_assert_not(limit.ShouldProbe(kStart + kSecond));
   cr_assert(limit.ShouldProbe(kStart + 4 * kSecond));
-  limit.Take(Named(2, kStart + 4 * kSecond));
+  limit.Update(Named(2, kStart + 4 * kSecond));
   cr_assert_not(limit.ShouldProbe(kStart + 5 * kSecond));
 }
 
@@ -87,9 +87,9 @@
   UpstreamLimit limit = Limited(2);
   for (int i = 1; i <= 10; ++i) {
     const Time at = kStart + i * kSecond;
-    limit.Take(NotNamed(at - kSecond / 2));
+    limit.Update(NotNamed(at - kSecond / 2));
     cr_assert(limit.IsInForce(at));
-    limit.Take(Named(2, at));
+    limit.Update(Named(2, at));
   }
 }
 
--- a/src/pathcleat/routing/upstream_load.cpp
+++ b/src/pathcleat/routing/upstream_load.cpp
@@ -25,7 +25,7 @@
   // The answered request itself has ended at the upstream already.
   const int here = std::max(0, own_ - 1);
   const double others = std::max(0, report.running + report.waiting - here);
-  const double before = Expected(now) - own_;
+  const double before = ExpectedRequests(now) - own_;
   const double age = AgeMicros(now);
   usual_ = UsualAt(now);
   const double told = std::min(age, kLongestReportMicros);
@@ -39,11 +39,11 @@
   }
 }
 
-double UpstreamLoad::Expected(Time now) const {
+double UpstreamLoad::ExpectedRequests(Time now) const {
   return With(UsualAt(now), now);
 }
 
-double UpstreamLoad::Told(Time now) const {
+double UpstreamLoad::ExpectedFromReports(Time now) const {
   return With(OwnUsualAt(now), now);
 }
 
--- a/src/pathcleat/routing/upstream_load_test.cpp
+++ b/src/pathcleat/routing/upstream_load_test.cpp
@@ -24,20 +24,20 @@
     load.OnReport(kFull, now);
     now += kSecond;
   }
-  cr_assert_gt(load.Expected(now), 8.0);
+  cr_assert_gt(load.ExpectedRequests(now), 8.0);
 }
 
 Test(upstream_load, burst_by_others_is_forgotten_soon_and_quiet_ones_wholly) {
   UpstreamLoad load;
   load.OnReport({3, 9, 3}, kStart);
-  cr_assert_gt(load.Expected(kStart), 5.0);
-  cr_assert_lt(load.Expected(kStart + 3 * kSecond), 4.0);
+  cr_assert_gt(load.ExpectedRequests(kStart), 5.0);
+  cr_assert_lt(load.ExpectedRequests(kStart + 3 * kSecond), 4.0);
   Time now = kStart;
   for (int i = 0; i < 8; ++i) {
     load.OnReport({3, 9, 3}, now);
     now += kSecond;
   }
-  cr_assert_lt(load.Expected(now + 40 * kSecond), 0.1);
+  cr_assert_lt(load.ExpectedRequests(now + 40 * kSecond), 0.1);
 }
 
 // A fleet of hundreds: this host hears of each upstream once in a minute, and
@@ -54,13 +54,13 @@
   }
   UpstreamLoad unheard;
   unheard.SetSharedAverage(average);
-  cr_assert_gt(unheard.Expected(now), 20.0);
+  cr_assert_gt(unheard.ExpectedRequests(now), 20.0);
   // The load has gone: it is not believed for long.
-  cr_assert_lt(unheard.Expected(now + 20 * kSecond), 1.0);
+  cr_assert_lt(unheard.ExpectedRequests(now + 20 * kSecond), 1.0);
   // An upstream's own report counts for more while it is new.
   unheard.OnReport({1, 0, 9}, now);
   unheard.OnReport({1, 0, 9}, now);
-  cr_assert_lt(unheard.Expected(now), 8.0);
+  cr_assert_lt(unheard.ExpectedRequests(now), 8.0);
 }
 
 Test(upstream_load, single_report_says_little_of_other_upstreams) {
@@ -70,7 +70,7 @@
   UpstreamLoad unheard;
   unheard.SetSharedAverage(average);
   heard.OnReport({9, 9, 9}, kStart);
-  cr_assert_lt(unheard.Expected(kStart), 9.001);
+  cr_assert_lt(unheard.ExpectedRequests(kStart), 9.001);
 }
 
 Test(upstream_load, estimate_stays_between_none_and_the_most_reported) {
@@ -86,8 +86,8 @@
       most = std::max(most, running + waiting);
       load.OnReport({running, waiting, 9}, now);
       const Time later = now + Duration(*rc::gen::inRange(0, 5'000'000));
-      RC_ASSERT(load.Expected(later) >= -0.001);
-      RC_ASSERT(load.Expected(later) <= most + 0.001);
+      RC_ASSERT(load.ExpectedRequests(later) >= -0.001);
+      RC_ASSERT(load.ExpectedRequests(later) <= most + 0.001);
     }
   }));
 }
--- a/src/pathcleat/routing/upstream_picker.cpp
+++ b/src/pathcleat/routing/upstream_picker.cpp
@@ -53,7 +53,7 @@
       candidates.begin(), candidates.end(), [now](const Candidate& candidate) {
         const UpstreamState& upstream = *candidate.upstream;
         return upstream.limit.ShouldProbe(now) &&
-               upstream.load.Expected(now) + 1 <= upstream.info.slots;
+               upstream.load.ExpectedRequests(now) + 1 <= upstream.info.slots;
       });
   if (asked != candidates.end() && request.route->repeatable &&
       request.excluded.empty()) {
@@ -99,7 +99,7 @@
     std::vector<UpstreamPtr>& passed_over,
     Time now) const {
   std::vector<Candidate> candidates;
-  for (const UpstreamPtr& upstream : table_.Of(request.service)) {
+  for (const UpstreamPtr& upstream : table_.ForService(request.service)) {
     const bool reachable = upstream->region == settings_.region ||
                            links_.HasCapacity(upstream->region);
     if (now < upstream->open_from || !request.MayRunIn(upstream->region) ||
@@ -108,7 +108,7 @@
         request.excluded.contains(upstream->info.id)) {
       continue;
     }
-    if (upstream->IsRateBounded(now) && !upstream->share.CanAcquire(now)) {
+    if (upstream->IsRateBounded(now) && !upstream->rate_share.CanAcquire(now)) {
       passed_over.push_back(upstream);
       continue;
     }
@@ -146,7 +146,7 @@
 // gate alone: those that it moves, and what the region cannot serve at all.
 PickFailure UpstreamPicker::PassShift(std::vector<Candidate>& candidates,
                                       const PickRequest& request) {
-  ShiftGate* gate = shifts_.Find(request.service);
+  ShiftControl* gate = shifts_.Find(request.service);
   if (gate == nullptr) {
     return PickFailure::kNone;
   }
@@ -159,7 +159,7 @@
                          return candidate.upstream->region == region;
                        });
   };
-  const std::string& target = gate->plan().to;
+  const std::string& target = gate->plan().to_region;
   const bool moves = gate->ShouldMove(request.shift_position) &&
                      has_region(target) && gate->TryMove();
   if (moves) {
@@ -174,14 +174,14 @@
 
 void UpstreamPicker::EstimateWarmth(std::vector<Candidate>& candidates,
                                     const PickRequest& request) {
-  const Warmth& warmth = ProfileOf(*request.route).warmth;
+  const WarmthModel& warmth = ProfileOf(*request.route).warmth;
   for (std::size_t rank = 0; rank < candidates.size(); ++rank) {
     Candidate& candidate = candidates[rank];
     // Work without a key takes as long wherever it runs.
     const bool sent =
         !request.sticky || candidate.upstream->keys.Contains(request.key);
-    candidate.sign = {sent, request.sticky ? rank : 0};
-    candidate.warmth = warmth.Probability(candidate.sign);
+    candidate.warmth_evidence = {sent, request.sticky ? rank : 0};
+    candidate.warm_probability = warmth.Probability(candidate.warmth_evidence);
   }
 }
 
@@ -192,7 +192,8 @@
   const RequestProfile& profile = ProfileOf(*request.route);
   const double warm = Seconds(profile.warmth.RunTime(true));
   const double cold = Seconds(profile.warmth.RunTime(false));
-  const double run = (warm * candidate.warmth + cold * (1 - candidate.warmth)) *
+  const double run = (warm * candidate.warm_probability +
+                      cold * (1 - candidate.warm_probability)) *
                      upstream.slowness.Value(now);
   const double slots = std::max(1, upstream.info.slots);
   const auto wait_behind = [slots, run](double requests) {
@@ -200,23 +201,23 @@
   };
   // The choice goes by what each upstream told; whether the chosen one is
   // worth waiting for, by what is usual at others as well.
-  const double told = wait_behind(upstream.load.Told(now));
-  const double wait = wait_behind(upstream.load.Expected(now));
+  const double told = wait_behind(upstream.load.ExpectedFromReports(now));
+  const double wait = wait_behind(upstream.load.ExpectedRequests(now));
   const double round_trip = Seconds(RoundTrip(upstream));
   Scored scored;
   scored.pick.upstream = candidate.upstream;
-  scored.pick.expected = FromSeconds(round_trip + wait + run);
-  scored.pick.wait = FromSeconds(wait);
+  scored.pick.expected_latency = FromSeconds(round_trip + wait + run);
+  scored.pick.expected_wait = FromSeconds(wait);
   scored.pick.expected_latency_if_cold = FromSeconds(round_trip + wait + cold);
-  scored.pick.warm = candidate.warmth >= kWarmEnough;
-  scored.pick.sign = candidate.sign;
+  scored.pick.warm = candidate.warm_probability >= kWarmEnough;
+  scored.pick.warmth_evidence = candidate.warmth_evidence;
   scored.pick.leaves_region = upstream.region != settings_.region;
   scored.worth =
       WorthAt(round_trip + told + run, Seconds(request.route->target_latency)) -
       CarryingCost(upstream, profile.answer_bytes) -
       (run + told) * kSlotSecondCost -
-      kRankCost *
-          static_cast<double>(std::min(candidate.sign.rank, kRanksPriced));
+      kRankCost * static_cast<double>(
+                      std::min(candidate.warmth_evidence.rank, kRanksPriced));
   return scored;
 }
 
@@ -225,19 +226,19 @@
                              Time now) {
   Pick none;
   none.failure = failure;
-  none.retry_after = ReturnAfter(request, none, now);
+  none.retry_after = RetryDelay(request, none, now);
   return none;
 }
 
-Duration UpstreamPicker::ReturnAfter(const PickRequest& request,
-                                     const Pick& next,
-                                     Time now) {
+Duration UpstreamPicker::RetryDelay(const PickRequest& request,
+                                    const Pick& next,
+                                    Time now) {
   const RequestProfile& profile = ProfileOf(*request.route);
   if (next.upstream) {
     return admission_.RetryDelayForQueue(next, request, profile, now);
   }
   std::vector<UpstreamPtr> open;
-  for (const UpstreamPtr& upstream : table_.Of(request.service)) {
+  for (const UpstreamPtr& upstream : table_.ForService(request.service)) {
     if (request.MayRunIn(upstream->region) && table_.IsOpen(*upstream)) {
       open.push_back(upstream);
     }
@@ -279,11 +280,13 @@
   best.pick.candidates = static_cast<int>(candidates.size());
   best.pick.passed_over = static_cast<int>(passed_over.size());
   if (request.excluded.empty()) {
-    bound_.OnPlaced(request.service, best.pick.expected - best.pick.wait);
+    bound_.OnPlaced(request.service,
+                    best.pick.expected_latency - best.pick.expected_wait);
   }
   RequestProfile& profile = ProfileOf(*request.route);
   // What a queue alone makes hopeless; a run time is only guessed.
-  if (RoundTrip(*best.pick.upstream) + best.pick.wait > request.time_left) {
+  if (RoundTrip(*best.pick.upstream) + best.pick.expected_wait >
+      request.time_left) {
     best.pick.failure = PickFailure::kTooLate;
   } else if (!admission_.TryAdmit(best.pick, request, profile, now)) {
     best.pick.failure = PickFailure::kOverloaded;
@@ -296,17 +299,17 @@
   return best.pick;
 }
 
-ShiftTargetState UpstreamPicker::StateOf(const std::string& service,
-                                         const std::string& region,
-                                         Time now) const {
+ShiftTargetState UpstreamPicker::TargetStateOf(const std::string& service,
+                                               const std::string& region,
+                                               Time now) const {
   double slots = 0;
   double used = 0;
   Duration round_trip{0};
-  for (const UpstreamPtr& upstream : table_.Of(service)) {
+  for (const UpstreamPtr& upstream : table_.ForService(service)) {
     if (upstream->region == region && table_.IsOpen(*upstream) &&
         !upstream->health.IsSuspect()) {
       slots += upstream->UsableSlots(bound_.RunSecondsOf(service), now);
-      used += upstream->load.Expected(now);
+      used += upstream->load.ExpectedRequests(now);
       round_trip = std::max(round_trip, RoundTrip(*upstream));
     }
   }
@@ -328,7 +331,8 @@
                                 Duration waited,
                                 Time now) {
   if (settings_.policy.IsEnabled(Mechanism::kSlowness)) {
-    const double usual = Seconds(pick.expected) / upstream.slowness.Value(now);
+    const double usual =
+        Seconds(pick.expected_latency) / upstream.slowness.Value(now);
     upstream.slowness.OnNoAnswer(Seconds(waited) / usual, now);
   }
 }
@@ -344,17 +348,17 @@
   upstream.keys.Touch(request.key);
   // A run time is learnt where nothing waited: what a queue adds is not the
   // run's, and would make overload look like slow work.
-  if (facts.queued || pick.wait > Duration::zero()) {
+  if (facts.queued || pick.expected_wait > Duration::zero()) {
     return;
   }
   const Duration run =
       std::max(Duration(1'000), facts.took - RoundTrip(upstream));
   const Duration usual =
       FromSeconds(Seconds(run) / upstream.slowness.Value(now));
-  Warmth& warmth = profile.warmth;
+  WarmthModel& warmth = profile.warmth;
   const bool quick = upstream.IsRateBounded(now)
                          ? warmth.IsWarmRun(usual)
-                         : warmth.OnRun(pick.sign, usual);
+                         : warmth.OnRun(pick.warmth_evidence, usual);
   if (!settings_.policy.IsEnabled(Mechanism::kSlowness)) {
     return;
   }
--- a/src/pathcleat/routing/upstream_picker_limits_test.cpp
+++ b/src/pathcleat/routing/upstream_picker_limits_test.cpp
@@ -15,7 +15,7 @@
                const UpstreamPtr& upstream,
                double limit) {
   world.table().UpdateLimit(upstream, {limit, kStart, "host", "n"}, kStart);
-  upstream->share.SetRate(limit, kStart);
+  upstream->rate_share.SetRate(limit, kStart);
 }
 
 // Guards against a limited upstream that gets what its queue has room for.
@@ -29,7 +29,7 @@
     const Time now = kStart + Duration(ms * 1'000);
     const Pick pick = world.Choose(7, now);
     if (pick.upstream) {
-      pick.upstream->share.TryAcquire(now);
+      pick.upstream->rate_share.TryAcquire(now);
       ++sent;
     } else {
       cr_assert_gt(pick.passed_over, 0);
@@ -46,7 +46,7 @@
   PickerFixture world(1);
   for (const UpstreamPtr& upstream : world.table().All()) {
     NameLimit(world, upstream, 2);
-    upstream->share.TryAcquire(kStart);
+    upstream->rate_share.TryAcquire(kStart);
   }
   const Pick first = world.Choose(7);
   const Pick second = world.Choose(8);
@@ -70,7 +70,7 @@
     return near / static_cast<double>(kKeys);
   };
   PickerFixture world;
-  world.picker().SetHosts({{"north", 1}, {"south", 1}});
+  world.picker().SetHostCounts({{"north", 1}, {"south", 1}});
   const double before = kept_near(world, kStart);
   for (const UpstreamPtr& upstream : world.table().All()) {
     if (upstream->region == "north") {
@@ -79,7 +79,7 @@
   }
   // The shares, not the buckets, are asked here.
   for (const UpstreamPtr& upstream : world.table().All()) {
-    upstream->share = TokenBucket(1'000, 1'000);
+    upstream->rate_share = TokenBucket(1'000, 1'000);
   }
   const double after = kept_near(world, kStart + Duration(500'000));
   cr_assert_gt(before, 0.7);
@@ -93,10 +93,10 @@
   const UpstreamPtr upstream = world.table().Find("s0");
   upstream->load.OnSent();
   const double before =
-      world.picker().StateOf("service", "south", kStart).headroom;
+      world.picker().TargetStateOf("service", "south", kStart).headroom;
   NameLimit(world, upstream, 1);
   const double after =
-      world.picker().StateOf("service", "south", kStart).headroom;
+      world.picker().TargetStateOf("service", "south", kStart).headroom;
   cr_assert_gt(before, 0.6);
   cr_assert_lt(after, 0.1);
 }
--- a/src/pathcleat/routing/upstream_picker_shares.cpp
+++ b/src/pathcleat/routing/upstream_picker_shares.cpp
@@ -34,7 +34,7 @@
   entry.slots.clear();
   entry.unusable.clear();
   const double run = bound_.RunSecondsOf(service);
-  for (const UpstreamPtr& upstream : table_.Of(service)) {
+  for (const UpstreamPtr& upstream : table_.ForService(service)) {
     if (table_.IsOpen(*upstream)) {
       const int slots = std::max(1, upstream->info.slots);
       entry.slots[upstream->region] += slots;
@@ -66,7 +66,8 @@
   }
   for (auto& [region, room] : regions) {
     const double usable = 1 - RoundedPart(entry.unusable[region] / room.slots);
-    room.bound = 1 - (1 - bound_.ShareOf(service, region, room.slots)) * usable;
+    room.pinned_share =
+        1 - (1 - bound_.ShareOf(service, region, room.slots)) * usable;
   }
   for (const auto& [region, hosts] : hosts_) {
     regions[region].hosts = hosts;
--- a/src/pathcleat/routing/upstream_picker_test.cpp
+++ b/src/pathcleat/routing/upstream_picker_test.cpp
@@ -48,7 +48,7 @@
                             {Duration(5'000'000), 100, true}, kStart);
   }
   const Pick after = world.Choose(7);
-  cr_assert_lt(after.expected.count(), 1'000'000);
+  cr_assert_lt(after.expected_latency.count(), 1'000'000);
   cr_assert(after.upstream == first.upstream);
   for (int i = 0; i < 100; ++i) {
     world.picker().OnAnswer(*first.upstream, request, first,
@@ -56,7 +56,7 @@
   }
   const Pick learnt = world.Choose(7);
   cr_assert(learnt.warm);
-  cr_assert_lt(learnt.expected.count(), 250'000);
+  cr_assert_lt(learnt.expected_latency.count(), 250'000);
 }
 
 // Checked to fail with RefuseIfLate taken out of Choose.
@@ -81,7 +81,7 @@
   }
   const Pick again = world.Choose(7);
   cr_assert(again.upstream != nullptr);
-  cr_assert_gt(again.wait.count(), 0);
+  cr_assert_gt(again.expected_wait.count(), 0);
 }
 
 // Checked to fail with the longest deadline seen in place of the usual one:
@@ -136,13 +136,13 @@
 
 Test(upstream_picker, homes_drains_and_leaving_bind) {
   PickerFixture world;
-  world.route().home_regions = {"south"};
+  world.route().allowed_regions = {"south"};
   for (std::uint64_t key = 0; key < 50; ++key) {
     cr_assert_str_eq(world.Choose(key).upstream->region.c_str(), "south");
   }
   world.table().SetDomainDrained("s", true);
   cr_assert(world.Choose(1).failure == PickFailure::kNoUpstream);
-  world.route().home_regions.clear();
+  world.route().allowed_regions.clear();
   for (std::uint64_t key = 0; key < 50; ++key) {
     cr_assert_str_eq(world.Choose(key).upstream->region.c_str(), "north");
   }
@@ -206,16 +206,16 @@
   PickerFixture world(1);
   for (const UpstreamPtr& upstream : world.table().All()) {
     UpstreamInfo info = upstream->info;
-    info.cold_for = Duration(10'000'000);
+    info.cold_remaining = Duration(10'000'000);
     world.table().Put(info, kStart);
-    upstream->share.SetRate(2, kStart);
+    upstream->rate_share.SetRate(2, kStart);
   }
   int sent = 0;
   for (int ms = 0; ms < 5'000; ms += 10) {
     const Time now = kStart + Duration(ms * 1'000);
     const Pick pick = world.Choose(7, now);
     if (pick.upstream) {
-      pick.upstream->share.TryAcquire(now);
+      pick.upstream->rate_share.TryAcquire(now);
       ++sent;
     }
   }
@@ -246,7 +246,7 @@
   const Time later = kStart + Duration(2'000'000);
   const double before = leaving(kStart);
   for (int i = 0; i < kReporting; ++i) {
-    const UpstreamPtr& upstream = world.table().Of("service")[i];
+    const UpstreamPtr& upstream = world.table().ForService("service")[i];
     for (int n = 0; n < 3; ++n) {
       upstream->load.OnReport({3, 6, 3}, later);
     }
--- a/src/pathcleat/routing/upstream_table.cpp
+++ b/src/pathcleat/routing/upstream_table.cpp
@@ -27,7 +27,7 @@
     : info(entry),
       hash(StableHash(entry.id)),
       keys(kKeysRemembered),
-      share(0, kShareBurst) {}
+      rate_share(0, kShareBurst) {}
 
 double UpstreamState::UsableSlots(double run_seconds, Time now) const {
   const double slots = std::max(1, info.slots);
@@ -78,17 +78,18 @@
   if (policy_.IsEnabled(Mechanism::kAverageLoad)) {
     upstream->load.SetSharedAverage(AverageLoadOf(*upstream));
   }
-  if (entry.cold_for > Duration::zero()) {
+  if (entry.cold_remaining > Duration::zero()) {
     Watch(upstream);
-    upstream->cold_until = std::max(upstream->cold_until, now + entry.cold_for);
+    upstream->cold_until =
+        std::max(upstream->cold_until, now + entry.cold_remaining);
     upstream->keys.Clear();
   }
   return again;
 }
 
 void UpstreamTable::Watch(const UpstreamPtr& upstream) {
-  if (!upstream->watched) {
-    upstream->watched = true;
+  if (!upstream->may_be_rate_bounded) {
+    upstream->may_be_rate_bounded = true;
     maybe_bounded_.push_back(upstream);
   }
 }
@@ -99,7 +100,7 @@
   UpstreamLimit& limit = upstream->limit;
   const bool bound = limit.IsInForce(now);
   const double before = bound ? limit.PerSecond(now) : 0;
-  if (!limit.Take(sign)) {
+  if (!limit.Update(sign)) {
     return LimitChange::kNone;
   }
   const bool binds = limit.IsInForce(now);
@@ -159,8 +160,9 @@
 const std::vector<UpstreamPtr>& UpstreamTable::MaybeRateBounded(Time now) {
   const std::size_t watched = maybe_bounded_.size();
   std::erase_if(maybe_bounded_, [now](const UpstreamPtr& upstream) {
-    upstream->watched = !upstream->removed && upstream->IsRateBounded(now);
-    return !upstream->watched;
+    upstream->may_be_rate_bounded =
+        !upstream->removed && upstream->IsRateBounded(now);
+    return !upstream->may_be_rate_bounded;
   });
   // A limit may have lapsed.
   revision_ += maybe_bounded_.size() < watched ? 1 : 0;
@@ -191,7 +193,7 @@
   drained_regions_ = std::move(regions);
 }
 
-const std::vector<UpstreamPtr>& UpstreamTable::Of(
+const std::vector<UpstreamPtr>& UpstreamTable::ForService(
     std::string_view service) const {
   static const std::vector<UpstreamPtr> none;
   const auto found = by_service_.find(service);
@@ -201,7 +203,7 @@
 std::set<std::string> UpstreamTable::VersionsOf(
     std::string_view service) const {
   std::set<std::string> versions;
-  for (const UpstreamPtr& upstream : Of(service)) {
+  for (const UpstreamPtr& upstream : ForService(service)) {
     if (IsOpen(*upstream)) {
       versions.insert(upstream->info.version);
     }
--- a/src/pathcleat/routing/upstream_table_test.cpp
+++ b/src/pathcleat/routing/upstream_table_test.cpp
@@ -32,7 +32,7 @@
     UpstreamTable table = TableOf(upstreams);
     cr_assert(table.MaybeRateBounded(kStart).empty());
     UpstreamInfo cold = Named(3);
-    cold.cold_for = kSecond;
+    cold.cold_remaining = kSecond;
     table.Put(cold, kStart);
     table.Put(cold, kStart);
     cr_assert_eq(table.MaybeRateBounded(kStart).size(), 1U);
@@ -48,7 +48,7 @@
 Test(upstream_table, what_is_removed_is_looked_after_no_more) {
   UpstreamTable table = TableOf(2);
   UpstreamInfo cold = Named(0);
-  cold.cold_for = kSecond;
+  cold.cold_remaining = kSecond;
   table.Put(cold, kStart);
   table.Remove("i-0");
   cr_assert(table.MaybeRateBounded(kStart).empty());
@@ -64,9 +64,9 @@
   UpstreamInfo fresh = Named(1);
   fresh.version = "v2";
   table.Put(fresh, kStart);
-  cr_assert(table.Of("s").front()->open_from <= kStart);
-  cr_assert(table.Of("s").back()->open_from > kStart);
-  cr_assert(table.Of("s").back()->open_from <= kStart + kSecond);
+  cr_assert(table.ForService("s").front()->open_from <= kStart);
+  cr_assert(table.ForService("s").back()->open_from > kStart);
+  cr_assert(table.ForService("s").back()->open_from <= kStart + kSecond);
 }
 
 }  // namespace
--- a/src/pathcleat/routing/urgency_ledger.cpp
+++ b/src/pathcleat/routing/urgency_ledger.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-void UrgencyLedger::Counts::FadeTo(Time now) {
+void UrgencyTracker::Counts::FadeTo(Time now) {
   const double age = std::chrono::duration<double>(now - counted).count();
   const double kept = std::exp(-std::max(0.0, age) / kFadeSeconds);
   offered *= kept;
@@ -28,9 +28,9 @@
   counted = std::max(counted, now);
 }
 
-void UrgencyLedger::OnOffered(const std::string& kind,
-                              const Urgency& urgency,
-                              Time now) {
+void UrgencyTracker::OnFirstAttempt(const std::string& kind,
+                                    const Urgency& urgency,
+                                    Time now) {
   if (!kinds_.contains(kind)) {
     Forget(now);
   }
@@ -42,7 +42,7 @@
 
 // Routes are many, those in use few: what has faded is dropped when a new kind
 // comes.
-void UrgencyLedger::Forget(Time now) {
+void UrgencyTracker::Forget(Time now) {
   std::erase_if(kinds_, [now](const auto& kind) {
     Counts faded = kind.second;
     faded.FadeTo(now);
@@ -50,7 +50,7 @@
   });
 }
 
-void UrgencyLedger::OnSent(const std::string& kind, Time now) {
+void UrgencyTracker::OnSent(const std::string& kind, Time now) {
   const auto found = kinds_.find(kind);
   if (found == kinds_.end()) {
     return;
@@ -59,7 +59,7 @@
   found->second.sent += 1;
 }
 
-double UrgencyLedger::Share(const Counts& counts, Time now) {
+double UrgencyTracker::Share(const Counts& counts, Time now) {
   Counts at_now = counts;
   at_now.FadeTo(now);
   return at_now.offered < kLeastOffered
@@ -67,7 +67,7 @@
              : std::min(1.0, at_now.sent / at_now.offered);
 }
 
-bool UrgencyLedger::IsOverServed(const std::string& kind, Time now) const {
+bool UrgencyTracker::IsOverServed(const std::string& kind, Time now) const {
   const auto own = kinds_.find(kind);
   if (own == kinds_.end()) {
     return false;
--- a/src/pathcleat/routing/urgency_ledger_test.cpp
+++ b/src/pathcleat/routing/urgency_ledger_test.cpp
@@ -11,13 +11,13 @@
 constexpr int kLessUrgent = 2;
 
 // Offers of a kind, of which the first so many are sent on.
-void Offer(UrgencyLedger& ledger,
+void Offer(UrgencyTracker& ledger,
            const std::string& kind,
            int priority,
            int offered,
            int sent) {
   for (int i = 0; i < offered; ++i) {
-    ledger.OnOffered(kind, {priority, priority}, kStart);
+    ledger.OnFirstAttempt(kind, {priority, priority}, kStart);
     if (i < sent) {
       ledger.OnSent(kind, kStart);
     }
@@ -25,7 +25,7 @@
 }
 
 Test(urgency_ledger, less_urgent_kind_that_is_sent_more_often_is_ahead) {
-  UrgencyLedger ledger;
+  UrgencyTracker ledger;
   Offer(ledger, "urgent", kUrgent, 100, 60);
   Offer(ledger, "short", kLessUrgent, 100, 70);
   cr_assert(ledger.IsOverServed("short", kStart));
@@ -33,7 +33,7 @@
 }
 
 Test(urgency_ledger, urgent_kind_may_be_sent_more_often) {
-  UrgencyLedger ledger;
+  UrgencyTracker ledger;
   Offer(ledger, "urgent", kUrgent, 100, 90);
   Offer(ledger, "short", kLessUrgent, 100, 10);
   cr_assert_not(ledger.IsOverServed("urgent", kStart));
@@ -41,7 +41,7 @@
 }
 
 Test(urgency_ledger, kinds_of_one_urgency_and_few_requests_bind_nobody) {
-  UrgencyLedger ledger;
+  UrgencyTracker ledger;
   Offer(ledger, "one", kLessUrgent, 100, 10);
   Offer(ledger, "other", kLessUrgent, 100, 90);
   cr_assert_not(ledger.IsOverServed("other", kStart));
@@ -52,7 +52,7 @@
 
 // Checked to fail with FadeTo doing nothing.
 Test(urgency_ledger, what_was_long_ago_is_forgotten) {
-  UrgencyLedger ledger;
+  UrgencyTracker ledger;
   Offer(ledger, "urgent", kUrgent, 100, 0);
   Offer(ledger, "short", kLessUrgent, 100, 100);
   cr_assert(ledger.IsOverServed("short", kStart));
@@ -61,7 +61,7 @@
 
 Test(urgency_ledger, most_urgent_kind_is_never_ahead) {
   cr_assert(Holds("the most urgent kind is held back for nobody", [] {
-    UrgencyLedger ledger;
+    UrgencyTracker ledger;
     for (int priority = 0; priority < 4; ++priority) {
       const int offered = *rc::gen::inRange(0, 50);
       Offer(ledger, std::to_string(priority), priority, offered,
--- a/src/pathcleat/routing/version_filter.cpp
+++ b/src/pathcleat/routing/version_filter.cpp
@@ -39,8 +39,8 @@
   std::erase_if(candidates, [&rule](const Candidate& candidate) {
     return !rule.Allows(candidate.upstream->info.version);
   });
-  if (!rule.only.empty()) {
-    KeepFirstOfRegions(candidates, rule.part);
+  if (!rule.required_version.empty()) {
+    KeepFirstOfRegions(candidates, rule.upstream_share);
   }
 }
 
--- a/src/pathcleat/routing/version_filter_test.cpp
+++ b/src/pathcleat/routing/version_filter_test.cpp
@@ -23,7 +23,7 @@
 
 VersionRule NoneOf(const std::string& version) {
   VersionRule rule;
-  rule.avoided = {version};
+  rule.excluded_versions = {version};
   return rule;
 }
 
@@ -46,8 +46,8 @@
   std::vector<Candidate> candidates =
       CandidatesOf({"v1", "v2", "v2", "v2", "v2"});
   VersionRule trial;
-  trial.only = "v2";
-  trial.part = 0.5;
+  trial.required_version = "v2";
+  trial.upstream_share = 0.5;
   FilterByVersion(candidates, trial);
   cr_assert_eq(candidates.size(), 2U);
   for (const Candidate& candidate : candidates) {
--- a/src/pathcleat/routing/warmth.cpp
+++ b/src/pathcleat/routing/warmth.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-Warmth::Warmth(Duration target_latency, bool learns)
+WarmthModel::WarmthModel(Duration target_latency, bool learns)
     : learns_(learns),
       quick_(target_latency * 2 / 5),
       slow_(target_latency * 6 / 5),
@@ -29,22 +29,23 @@
   }
 }
 
-Warmth::Chance& Warmth::ChanceOf(const WarmthEvidence& sign) {
-  return sign.sent ? sent_ : by_rank_.at(std::min(sign.rank, kRanks - 1));
+WarmthModel::Chance& WarmthModel::ChanceOf(const WarmthEvidence& sign) {
+  return sign.sent_recently ? sent_
+                            : by_rank_.at(std::min(sign.rank, kRanks - 1));
 }
 
-double Warmth::Probability(const WarmthEvidence& sign) const {
+double WarmthModel::Probability(const WarmthEvidence& sign) const {
   const Chance& chance =
-      sign.sent ? sent_ : by_rank_.at(std::min(sign.rank, kRanks - 1));
+      sign.sent_recently ? sent_ : by_rank_.at(std::min(sign.rank, kRanks - 1));
   return chance.quick / chance.all;
 }
 
-bool Warmth::IsWarmRun(Duration run) const {
+bool WarmthModel::IsWarmRun(Duration run) const {
   const auto quick = static_cast<double>(quick_.value().count());
   return static_cast<double>(run.count()) < quick * kSlowMultiple;
 }
 
-void Warmth::Count(Chance& chance, bool quick) {
+void WarmthModel::Count(Chance& chance, bool quick) {
   if (chance.all >= kMostRuns) {
     chance.quick *= kMostRuns / (kMostRuns + 1);
     chance.all *= kMostRuns / (kMostRuns + 1);
@@ -56,12 +57,12 @@
 // Runs of keys that this host has sent before set the quick run time, however
 // long they take, if not all at once: a first guess that is too short would
 // else take every run for a slow one.
-bool Warmth::OnRun(const WarmthEvidence& sign, Duration run) {
+bool WarmthModel::OnRun(const WarmthEvidence& sign, Duration run) {
   const bool quick = IsWarmRun(run);
   if (learns_) {
     Count(ChanceOf(sign), quick);
   }
-  if (quick || sign.sent) {
+  if (quick || sign.sent_recently) {
     const auto longest = static_cast<Duration::rep>(
         static_cast<double>(quick_.value().count()) * kSlowMultiple);
     quick_.Add(std::min(run, Duration(longest)));
--- a/src/pathcleat/routing/warmth_test.cpp
+++ b/src/pathcleat/routing/warmth_test.cpp
@@ -13,7 +13,7 @@
 
 // Checked to fail with Count taken out of OnRun.
 Test(warmth, chances_are_learned_by_rank) {
-  Warmth warmth(kTarget);
+  WarmthModel warmth(kTarget);
   for (int i = 0; i < 100; ++i) {
     warmth.OnRun(kFirst, Duration(150'000));
     warmth.OnRun(kThird, Duration(480'000));
@@ -30,7 +30,7 @@
 // Others' sends make an upstream quick at keys that this host never sent
 // there: such runs must not pass for slow ones.
 Test(warmth, quick_runs_of_others_keys_leave_the_slow_run_time) {
-  Warmth warmth(kTarget);
+  WarmthModel warmth(kTarget);
   for (int i = 0; i < 50; ++i) {
     warmth.OnRun(kSent, Duration(150'000));
     warmth.OnRun(kThird, Duration(500'000));
@@ -44,7 +44,7 @@
 Test(warmth, run_times_are_found_from_any_first_guess) {
   cr_assert(Holds("the quick run time is found", [] {
     const auto run = Duration(*rc::gen::inRange(5'000, 3'000'000));
-    Warmth warmth(kTarget);
+    WarmthModel warmth(kTarget);
     for (int i = 0; i < 400; ++i) {
       warmth.OnRun(kSent, run);
     }
@@ -55,7 +55,7 @@
 }
 
 Test(warmth, switched_off_the_first_guesses_stay) {
-  Warmth warmth(kTarget, false);
+  WarmthModel warmth(kTarget, false);
   const double before = warmth.Probability(kFirst);
   for (int i = 0; i < 100; ++i) {
     warmth.OnRun(kFirst, Duration(480'000));
--- a/src/pathcleat/settings/entry_settings.cpp
+++ b/src/pathcleat/settings/entry_settings.cpp
@@ -147,8 +147,9 @@
   out.link_mbps = LinkOr(reader, out.link_mbps);
   reader.ReadNested("bounds",
                     [&out](JsonReader& r) { out.bounds = ReadBounds(r); });
-  reader.ReadNested("gigabyte_costs",
-                    [&out](JsonReader& r) { out.costs = ReadCosts(r); });
+  reader.ReadNested("gigabyte_costs", [&out](JsonReader& r) {
+    out.transfer_costs = ReadCosts(r);
+  });
   reader.ReadNested(
       "log", [&out](JsonReader& r) { out.request_log = ReadRequestLog(r); });
   reader.ReadNested("policy",
@@ -177,7 +178,7 @@
   }
   JsonReader reader(file, file.root, "", loaded.faults);
   ReadEntry(reader, loaded.settings);
-  reader.Finish();
+  reader.CheckUnknownKeys();
   return loaded;
 }
 
--- a/src/pathcleat/settings/json_reader.cpp
+++ b/src/pathcleat/settings/json_reader.cpp
@@ -137,7 +137,7 @@
     }
     JsonReader reader(file_, item, pointer_ + "/" + name, faults_);
     visit(reader);
-    reader.Finish();
+    reader.CheckUnknownKeys();
   }
 }
 
@@ -153,7 +153,7 @@
   }
   JsonReader reader(file_, *value, pointer_ + "/" + key, faults_);
   visit(reader);
-  reader.Finish();
+  reader.CheckUnknownKeys();
 }
 
 void JsonReader::AddFault(const std::string& key, const std::string& text) {
@@ -165,7 +165,7 @@
   faults_.push_back({file_.path, line, pointer, text});
 }
 
-void JsonReader::Finish() {
+void JsonReader::CheckUnknownKeys() {
   for (const auto& [key, value] : object_.items()) {
     if (!asked_.contains(key)) {
       AddFault(key, "unknown key");
--- a/src/pathcleat/settings/json_reader.hpp
+++ b/src/pathcleat/settings/json_reader.hpp
@@ -65,7 +65,7 @@
   }
 
   void AddFault(const std::string& key, const std::string& text);
-  void Finish();
+  void CheckUnknownKeys();
 
  private:
   const nlohmann::json* Find(const std::string& key, bool required);
--- a/src/pathcleat/settings/load_deployment.cpp
+++ b/src/pathcleat/settings/load_deployment.cpp
@@ -12,7 +12,7 @@
   if (file.root.is_object()) {
     JsonReader root(file, file.root, "", loaded.faults);
     loaded.deployment = ReadDeployment(root);
-    root.Finish();
+    root.CheckUnknownKeys();
   }
   return loaded;
 }
--- a/src/pathcleat/settings/read_deployment.cpp
+++ b/src/pathcleat/settings/read_deployment.cpp
@@ -177,7 +177,7 @@
   }
 
   void ReadLink(JsonReader& reader) {
-    Link link;
+    RegionLink link;
     link.from = Reference(reader, "from", FindRegion());
     link.to = Reference(reader, "to", FindRegion());
     link.max_in_flight = reader.IntegerOr("max_in_flight", kInFlight, 1);
--- a/src/pathcleat/steer/block_table.cpp
+++ b/src/pathcleat/steer/block_table.cpp
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-BlockTable::BlockTable(const std::vector<ClientBlockRow>& rows)
+ClientBlockTable::ClientBlockTable(const std::vector<ClientBlockRow>& rows)
     : chunks_(kChunks) {
   auto row = rows.begin();
   std::uint16_t site = 0;
@@ -44,7 +44,7 @@
       chunk.sites.push_back(site);
     }
     for (; row != end; ++row) {
-      site = row->site;
+      site = row->region_number;
       chunk.starts.push_back(row->first_address);
       chunk.sites.push_back(site);
     }
@@ -52,7 +52,7 @@
   }
 }
 
-std::size_t BlockTable::rows() const {
+std::size_t ClientBlockTable::rows() const {
   std::size_t sum = 0;
   for (const Chunk& chunk : chunks_) {
     sum += chunk.starts.size();
@@ -60,7 +60,7 @@
   return sum;
 }
 
-void BlockTable::BuildIndex(Chunk& chunk) {
+void ClientBlockTable::BuildIndex(Chunk& chunk) {
   const std::uint32_t first = chunk.starts.front();
   chunk.index.resize(kIndexSize + 1);
   std::size_t row = 0;
@@ -75,7 +75,8 @@
   chunk.index[kIndexSize] = static_cast<std::uint32_t>(chunk.starts.size() - 1);
 }
 
-std::uint16_t BlockTable::SiteIn(const Chunk& chunk, std::uint32_t address) {
+std::uint16_t ClientBlockTable::SiteIn(const Chunk& chunk,
+                                       std::uint32_t address) {
   const std::size_t second = (address & kChunkMask) >> kIndexShift;
   const auto begin = chunk.starts.begin();
   const auto after =
@@ -84,7 +85,7 @@
   return chunk.sites[static_cast<std::size_t>(after - begin) - 1];
 }
 
-std::uint16_t BlockTable::Find(std::uint32_t address) const {
+std::uint16_t ClientBlockTable::Find(std::uint32_t address) const {
   if (!overlay_.empty()) {
     const auto after = overlay_.upper_bound(address);
     if (after != overlay_.begin()) {
@@ -97,9 +98,9 @@
   return SiteIn(chunks_[ChunkOf(address)], address);
 }
 
-void BlockTable::Assign(std::uint32_t first,
-                        std::uint32_t last,
-                        std::uint16_t site) {
+void ClientBlockTable::Assign(std::uint32_t first,
+                              std::uint32_t last,
+                              std::uint16_t site) {
   // Cut or drop the ranges that the new one overlaps.
   auto it = overlay_.lower_bound(first);
   if (it != overlay_.begin()) {
@@ -126,7 +127,7 @@
   }
 }
 
-void BlockTable::Compact() {
+void ClientBlockTable::Compact() {
   std::vector<std::vector<Change>> changes(kChunks);
   for (const auto& [first, range] : overlay_) {
     for (std::size_t c = ChunkOf(first); c <= ChunkOf(range.last); ++c) {
@@ -144,7 +145,7 @@
 }
 
 // Changes are in order and apart from each other, all within the chunk.
-void BlockTable::Merge(Chunk& chunk, const std::vector<Change>& changes) {
+void ClientBlockTable::Merge(Chunk& chunk, const std::vector<Change>& changes) {
   const std::uint32_t chunk_last = chunk.starts.front() | kChunkMask;
   Chunk merged;
   merged.starts.reserve(chunk.starts.size() + 2 * changes.size());
@@ -180,7 +181,7 @@
   chunk = std::move(merged);
 }
 
-std::size_t BlockTable::MemoryBytes() const {
+std::size_t ClientBlockTable::MemoryBytes() const {
   // A red-black tree node: three pointers, a colour, and the entry.
   constexpr std::size_t kNodeBytes = 4 * sizeof(void*) + 16;
   std::size_t bytes = overlay_.size() * kNodeBytes;
--- a/src/pathcleat/steer/block_table_test.cpp
+++ b/src/pathcleat/steer/block_table_test.cpp
@@ -15,7 +15,7 @@
 Test(block_table, finds_what_a_plain_array_finds) {
   cr_assert(Holds("any assignments, compacted at any time", [] {
     std::vector<std::uint16_t> plain(kAddresses, 0);
-    BlockTable table({});
+    ClientBlockTable table({});
     const auto steps =
         *rc::gen::container<std::vector<std::tuple<int, int, int>>>(
             rc::gen::tuple(rc::gen::inRange<int>(0, kAddresses),
@@ -43,7 +43,8 @@
 }
 
 Test(block_table, rows_given_at_the_start_are_found) {
-  const BlockTable table({{0x0A000000, 1}, {0x0B000000, 2}, {0xFFFFFFFF, 3}});
+  const ClientBlockTable table(
+      {{0x0A000000, 1}, {0x0B000000, 2}, {0xFFFFFFFF, 3}});
   cr_assert_eq(table.Find(0x09FFFFFF), 0);
   cr_assert_eq(table.Find(0x0A000000), 1);
   cr_assert_eq(table.Find(0x0AFFFFFF), 1);
--- a/src/pathcleat/steer/config_log.cpp
+++ b/src/pathcleat/steer/config_log.cpp
@@ -21,7 +21,7 @@
   return applied;
 }
 
-bool ConfigLog::Adopt(const ConfigState& state) {
+bool ConfigLog::ReplaceIfNewer(const ConfigState& state) {
   if (state.version <= state_.version) {
     return false;
   }
--- a/src/pathcleat/steer/config_log_test.cpp
+++ b/src/pathcleat/steer/config_log_test.cpp
@@ -50,7 +50,7 @@
       const auto version = static_cast<std::uint64_t>(first);
       const std::uint64_t before = log.version();
       if (length == 0) {
-        log.Adopt(StateAt(version));
+        log.ReplaceIfNewer(StateAt(version));
       } else {
         log.Apply(Changes(version, std::min(kNewest, version + length)));
       }
@@ -82,7 +82,7 @@
   cr_assert_eq(state.shifts.size(), 1U);
   cr_assert_eq(state.shifts.begin()->second.cap, 0.6);
   cr_assert_eq(state.shifts.begin()->second.id, 2U);
-  Apply(state, {3, "c", {}, StopShift{plan.service, plan.from}});
+  Apply(state, {3, "c", {}, StopShift{plan.service, plan.from_region}});
   cr_assert(state.shifts.empty());
 }
 
--- a/src/pathcleat/steer/config_state.cpp
+++ b/src/pathcleat/steer/config_state.cpp
@@ -26,12 +26,12 @@
   }
   void operator()(const StartShift& operation) const {
     const ShiftPlan& plan = operation.plan;
-    ShiftPlan& kept = state_.shifts[{plan.service, plan.from}];
+    ShiftPlan& kept = state_.shifts[{plan.service, plan.from_region}];
     kept = plan;
     kept.id = state_.version;
   }
   void operator()(const StopShift& operation) const {
-    state_.shifts.erase({operation.service, operation.from});
+    state_.shifts.erase({operation.service, operation.from_region});
   }
   void operator()(const AssignClientBlock& operation) const {
     std::erase_if(state_.blocks, [&operation](const AssignClientBlock& block) {
--- a/src/pathcleat/steer/rollout_step.cpp
+++ b/src/pathcleat/steer/rollout_step.cpp
@@ -38,24 +38,24 @@
 bool Apply(RolloutStates& states, const RolloutStep& step, HybridTime time) {
   const auto known = states.find(step.service);
   if (step.phase == RolloutPhase::kRunning) {
-    if (known != states.end() && known->second.order >= step.order) {
+    if (known != states.end() && known->second.order_id >= step.order_id) {
       return false;
     }
-    states[step.service] = {step.order, step.version, step.phase, time,
-                            step.replaced};
+    states[step.service] = {step.order_id, step.version, step.phase, time,
+                            step.replaced_versions};
     return true;
   }
   if (known == states.end()) {
     return false;
   }
   RolloutState& state = known->second;
-  const bool meant = step.order == 0 || step.order == state.order;
+  const bool meant = step.order_id == 0 || step.order_id == state.order_id;
   if (!meant || !MayFollow(state.phase, step.phase)) {
     return false;
   }
   state.phase = step.phase;
   if (step.phase == RolloutPhase::kPromoted) {
-    state.replaced = step.replaced;
+    state.replaced_versions = step.replaced_versions;
   }
   return true;
 }
--- a/src/pathcleat/steer/shift.cpp
+++ b/src/pathcleat/steer/shift.cpp
@@ -33,10 +33,10 @@
   return "held";
 }
 
-ShiftGate::ShiftGate(const ShiftPlan& plan, Time now)
+ShiftControl::ShiftControl(const ShiftPlan& plan, Time now)
     : plan_(plan), last_advance_(now) {}
 
-bool ShiftGate::TryMove() {
+bool ShiftControl::TryMove() {
   const auto allowed = plan_.cap * static_cast<double>(offered_);
   if (static_cast<double>(moved_ + 1) > allowed) {
     return false;
@@ -45,10 +45,10 @@
   return true;
 }
 
-RampDecision ShiftGate::Advance(const ShiftTargetState& target, Time now) {
+RampDecision ShiftControl::Advance(const ShiftTargetState& target, Time now) {
   last_step_ = Decide(target, now);
   if (last_step_ == RampDecision::kAdvanced) {
-    const Duration over = std::max(plan_.over, kShortestShift);
+    const Duration over = std::max(plan_.ramp_time, kShortestShift);
     const auto elapsed = static_cast<double>((now - last_advance_).count());
     const double step = plan_.cap * elapsed / static_cast<double>(over.count());
     fraction_ = std::min(plan_.cap, fraction_ + step);
@@ -58,7 +58,7 @@
   return last_step_;
 }
 
-RampDecision ShiftGate::Decide(const ShiftTargetState& target, Time now) {
+RampDecision ShiftControl::Decide(const ShiftTargetState& target, Time now) {
   if (fraction_ >= plan_.cap) {
     return RampDecision::kAtCap;
   }
--- a/src/pathcleat/steer/shift_test.cpp
+++ b/src/pathcleat/steer/shift_test.cpp
@@ -16,7 +16,7 @@
 ShiftPlan PlanWithCap(double cap, Duration over) {
   ShiftPlan plan;
   plan.cap = cap;
-  plan.over = over;
+  plan.ramp_time = over;
   return plan;
 }
 
@@ -25,7 +25,7 @@
 Test(promise, shift_never_passes_its_cap) {
   cr_assert(Holds("moved <= cap * offered at every prefix", [] {
     const double cap = *rc::gen::inRange(1, 101) / 100.0;
-    ShiftGate gate(PlanWithCap(cap, kSecond), kStart);
+    ShiftControl gate(PlanWithCap(cap, kSecond), kStart);
     const auto steps =
         *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 4));
     Time now = kStart;
@@ -53,7 +53,7 @@
 
 Test(shift, those_moved_first_stay_moved) {
   cr_assert(Holds("the set of moved callers only grows", [] {
-    ShiftGate gate(PlanWithCap(0.5, kSecond * 10), kStart);
+    ShiftControl gate(PlanWithCap(0.5, kSecond * 10), kStart);
     const double caller = *rc::gen::inRange(0, 1000) / 1000.0;
     bool moved = false;
     for (int i = 1; i <= 20; ++i) {
@@ -66,10 +66,10 @@
 }
 
 Test(shift, holds_on_old_data_small_headroom_and_grown_latency) {
-  ShiftGate gate(PlanWithCap(0.5, kSecond * 10), kStart);
+  ShiftControl gate(PlanWithCap(0.5, kSecond * 10), kStart);
   cr_assert_eq(gate.Advance(kGoodTarget, kStart + kSecond),
                RampDecision::kAdvanced);
-  const double reached = gate.fraction();
+  const double reached = gate.current_share();
   ShiftTargetState old = kGoodTarget;
   old.age = kSecond * 60;
   cr_assert_eq(gate.Advance(old, kStart + kSecond * 2),
@@ -82,16 +82,16 @@
   slow.latency = kGoodTarget.latency * 3;
   cr_assert_eq(gate.Advance(slow, kStart + kSecond * 4),
                RampDecision::kHeldHighLatency);
-  cr_assert_eq(gate.fraction(), reached);
+  cr_assert_eq(gate.current_share(), reached);
 }
 
 Test(shift, time_held_is_not_made_up_for) {
-  ShiftGate gate(PlanWithCap(1.0, kSecond * 100), kStart);
+  ShiftControl gate(PlanWithCap(1.0, kSecond * 100), kStart);
   ShiftTargetState old = kGoodTarget;
   old.age = kSecond * 60;
   gate.Advance(old, kStart + kSecond * 50);
   gate.Advance(kGoodTarget, kStart + kSecond * 51);
-  cr_assert_float_eq(gate.fraction(), 0.01, 0.001);
+  cr_assert_float_eq(gate.current_share(), 0.01, 0.001);
 }
 
 }  // namespace
--- a/src/pathcleat/telemetry/account_stats.cpp
+++ b/src/pathcleat/telemetry/account_stats.cpp
@@ -36,7 +36,7 @@
 
 void AccountStats::OnAccepted(const std::string& account) {
   if (AccountCounts* counts = Find(account)) {
-    ++counts->taken;
+    ++counts->accepted;
   }
 }
 
@@ -46,14 +46,14 @@
   }
 }
 
-AccountCounts AccountStats::Of(const std::string& account) const {
+AccountCounts AccountStats::CountsOf(const std::string& account) const {
   const auto found = counts_.find(account);
   return found == counts_.end() ? AccountCounts() : found->second;
 }
 
 std::vector<AccountStats::Row> AccountStats::TopAccounts() const {
   std::vector<Row> rows(counts_.begin(), counts_.end());
-  LeadBy(rows, [](const AccountCounts& c) { return c.taken; });
+  LeadBy(rows, [](const AccountCounts& c) { return c.accepted; });
   const std::size_t busiest = std::min(rows.size(), kForemost);
   std::vector<Row> refused(rows.begin() + static_cast<std::ptrdiff_t>(busiest),
                            rows.end());
--- a/src/pathcleat/telemetry/account_stats_test.cpp
+++ b/src/pathcleat/telemetry/account_stats_test.cpp
@@ -25,8 +25,8 @@
   cr_assert_leq(rows.size(), kMostNamed);
   cr_assert_eq(rows.front().first, "busy");
   cr_assert_eq(rows.back().first, "refused");
-  cr_assert_eq(few.Of("busy").taken, 2U);
-  cr_assert_eq(few.Of("unknown").taken, 0U);
+  cr_assert_eq(few.CountsOf("busy").accepted, 2U);
+  cr_assert_eq(few.CountsOf("unknown").accepted, 0U);
 }
 
 }  // namespace
--- a/src/pathcleat/telemetry/request_log.cpp
+++ b/src/pathcleat/telemetry/request_log.cpp
@@ -23,10 +23,10 @@
   return StableHash(request_id) % one_of == 0;
 }
 
-void RequestLog::Finish(const std::string& request_id,
-                        bool failed,
-                        const std::vector<Event>& events,
-                        Time now) {
+void RequestLog::LogRequest(const std::string& request_id,
+                            bool failed,
+                            const std::vector<Event>& events,
+                            Time now) {
   if (!settings_.enabled) {
     return;
   }
--- a/src/pathcleat/telemetry/request_log_test.cpp
+++ b/src/pathcleat/telemetry/request_log_test.cpp
@@ -24,8 +24,8 @@
   constexpr int kRequests = 5'000;
   for (int i = 0; i < kRequests; ++i) {
     const std::string id = "request-" + std::to_string(i);
-    here.log.Finish(id, false, here.EventsOf(id), kStart);
-    there.log.Finish(id, false, there.EventsOf(id), kStart);
+    here.log.LogRequest(id, false, here.EventsOf(id), kStart);
+    there.log.LogRequest(id, false, there.EventsOf(id), kStart);
   }
   const auto kept = here.events.Snapshot();
   const auto kept_there = there.events.Snapshot();
@@ -45,7 +45,7 @@
   constexpr std::size_t kRequests = 500;
   for (std::size_t i = 0; i < kRequests; ++i) {
     const std::string id = "request-" + std::to_string(i);
-    log.Finish(id, false, world.EventsOf(id), kStart);
+    log.LogRequest(id, false, world.EventsOf(id), kStart);
   }
   cr_assert_eq(world.events.Snapshot().size(), kRequests);
 }
@@ -55,7 +55,7 @@
   constexpr std::uint64_t kFailures = 10'000;
   for (std::uint64_t i = 0; i < kFailures; ++i) {
     const std::string id = "request-" + std::to_string(i);
-    world.log.Finish(id, true, world.EventsOf(id), kStart);
+    world.log.LogRequest(id, true, world.EventsOf(id), kStart);
   }
   const std::size_t kept = world.events.Snapshot().size();
   cr_assert_gt(kept, 100U);
--- a/src/pathcleat/testing/heartbeat_fleet.hpp
+++ b/src/pathcleat/testing/heartbeat_fleet.hpp
@@ -14,13 +14,16 @@
 namespace pathcleat {
 
 inline const Time kStart{Duration(60'000'000)};
-inline constexpr Duration kSilence{2'500'000};
+inline constexpr Duration kHeartbeatTimeout{2'500'000};
 inline constexpr Duration kHeartbeatInterval{500'000};
 // Hosts' rounds do not begin at one moment.
 inline constexpr int kPhasesPerInterval = 5;
-inline constexpr Duration kPhase = kHeartbeatInterval / kPhasesPerInterval;
+inline constexpr Duration kPhaseLength =
+    kHeartbeatInterval / kPhasesPerInterval;
 
-inline HostInfo HostAt(int domain, int index, std::uint64_t incarnation = 1) {
+inline HostInfo MakeHostInfo(int domain,
+                             int index,
+                             std::uint64_t incarnation = 1) {
   HostInfo host;
   host.name = "host-" + std::to_string(domain) + "-" + std::to_string(index);
   host.incarnation = incarnation;
@@ -37,17 +40,17 @@
   std::unique_ptr<DomainReporter> reporter;
   std::unique_ptr<HeartbeatPlan> plan;
   int received = 0;  ///< datagrams
-  bool runs = true;
+  bool is_running = true;
   int phase = 0;
 };
 
 // Hosts that exchange heartbeats and reports as PeerLink does, with time and
 // losses in the test's hands.
-struct Fleet {
-  Fleet(int domains, int per_domain) {
+struct HeartbeatFleet {
+  HeartbeatFleet(int domains, int per_domain) {
     for (int d = 0; d < domains; ++d) {
       for (int i = 0; i < per_domain; ++i) {
-        Start(HostAt(d, i));
+        Start(MakeHostInfo(d, i));
       }
     }
     for (HeartbeatNode& node : nodes) {
@@ -58,11 +61,11 @@
   HeartbeatNode& Start(const HostInfo& info) {
     HeartbeatNode node;
     node.info = info;
-    node.table = std::make_unique<HostTable>(info, kSilence);
+    node.table = std::make_unique<HostTable>(info, kHeartbeatTimeout);
     node.reporter = std::make_unique<DomainReporter>(*node.table, now);
     node.plan = std::make_unique<HeartbeatPlan>(*node.table);
     node.phase = static_cast<int>(nodes.size()) % kPhasesPerInterval;
-    places.emplace(info.peer_address, nodes.size());
+    node_index_by_address.emplace(info.peer_address, nodes.size());
     nodes.push_back(std::move(node));
     return nodes.back();
   }
@@ -75,18 +78,18 @@
   }
 
   HeartbeatNode* Find(const std::string& address) {
-    const auto [first, last] = places.equal_range(address);
+    const auto [first, last] = node_index_by_address.equal_range(address);
     for (auto place = first; place != last; ++place) {
-      if (nodes[place->second].runs) {
+      if (nodes[place->second].is_running) {
         return &nodes[place->second];
       }
     }
     return nullptr;
   }
 
-  void Take(HeartbeatNode& node, const DomainReport& report) {
+  void Receive(HeartbeatNode& node, const DomainReport& report) {
     ++node.received;
-    for (const HostInfo& host : report.introduced) {
+    for (const HostInfo& host : report.host_infos) {
       node.table->OnInfoReported(host, now);
     }
     for (const MemberGroup& group : report.groups) {
@@ -97,20 +100,21 @@
   }
 
   // To all, as after a start.
-  void Greet(const HeartbeatNode& from) {
+  void AnnounceStart(const HeartbeatNode& from) {
     for (HeartbeatNode& node : nodes) {
-      if (node.runs && node.info.domain == from.info.domain && !lost()) {
-        node.table->OnHeard(from.info, {}, now);
+      if (node.is_running && node.info.domain == from.info.domain &&
+          !is_lost()) {
+        node.table->OnHeartbeat(from.info, {}, now);
         ++node.received;
       }
     }
   }
 
-  void Beat(const HeartbeatNode& from) {
+  void SendHeartbeats(const HeartbeatNode& from) {
     for (const std::string& address : from.plan->Receivers(now)) {
       HeartbeatNode* node = Find(address);
-      if (node != nullptr && !lost()) {
-        node->table->OnHeard(from.info, {}, now);
+      if (node != nullptr && !is_lost()) {
+        node->table->OnHeartbeat(from.info, {}, now);
         ++node->received;
       }
     }
@@ -119,33 +123,33 @@
   void ReportToOwnDomain(HeartbeatNode& from,
                          const std::vector<DomainReport>& reports) {
     from.plan->OnOwnDomainReport(now);
-    for (const std::string& address : from.plan->Told(now)) {
+    for (const std::string& address : from.plan->OwnReportReceivers(now)) {
       HeartbeatNode* node = Find(address);
-      if (node == nullptr || lost()) {
+      if (node == nullptr || is_lost()) {
         continue;
       }
       node->plan->OnOwnDomainReport(now);
       for (const DomainReport& report : reports) {
-        Take(*node, report);
+        Receive(*node, report);
       }
     }
   }
 
-  void Report(HeartbeatNode& from) {
+  void SendReports(HeartbeatNode& from) {
     const auto reports = from.reporter->MakeReports({}, now);
     ReportToOwnDomain(from, reports);
     for (const std::string& address : from.reporter->Receivers(now)) {
-      between_domains += reports.size();
+      reports_between_domains += reports.size();
       HeartbeatNode* receiver = Find(address);
-      if (receiver == nullptr || lost()) {
+      if (receiver == nullptr || is_lost()) {
         continue;
       }
       for (HeartbeatNode& node : nodes) {
         const bool near = node.info.domain == receiver->info.domain;
         const bool itself = &node == receiver;
-        if (node.runs && near && (itself || !lost())) {
+        if (node.is_running && near && (itself || !is_lost())) {
           for (const DomainReport& report : reports) {
-            Take(node, report);
+            Receive(node, report);
           }
         }
       }
@@ -153,13 +157,13 @@
   }
 
   void Step() {
-    now += kPhase;
+    now += kPhaseLength;
     ++steps;
     for (HeartbeatNode& node : nodes) {
-      if (node.runs && node.phase == steps % kPhasesPerInterval) {
-        Beat(node);
+      if (node.is_running && node.phase == steps % kPhasesPerInterval) {
+        SendHeartbeats(node);
         if (node.reporter->IsReporter(now)) {
-          Report(node);
+          SendReports(node);
         }
       }
     }
@@ -181,7 +185,7 @@
   int RunningCount() const {
     int count = 0;
     for (const HeartbeatNode& node : nodes) {
-      count += node.runs ? 1 : 0;
+      count += node.is_running ? 1 : 0;
     }
     return count;
   }
@@ -190,17 +194,18 @@
   double TotalShare() const {
     double sum = 0;
     for (const HeartbeatNode& node : nodes) {
-      sum += node.runs ? 1.0 / node.table->LimitSharerCount(now) : 0;
+      sum += node.is_running ? 1.0 / node.table->LimitSharerCount(now) : 0;
     }
     return sum;
   }
 
   std::vector<HeartbeatNode> nodes;
-  std::multimap<std::string, std::size_t> places;  ///< by address
+  std::multimap<std::string, std::size_t>
+      node_index_by_address;  ///< by address
   Time now = kStart;
   int steps = 0;
-  std::size_t between_domains = 0;  ///< datagrams
-  std::function<bool()> lost = [] { return false; };
+  std::size_t reports_between_domains = 0;  ///< datagrams
+  std::function<bool()> is_lost = [] { return false; };
 };
 
 }  // namespace pathcleat
--- a/src/pathcleat/testing/no_descriptors.hpp
+++ b/src/pathcleat/testing/no_descriptors.hpp
@@ -12,9 +12,9 @@
 
 /// @brief Takes all descriptors that this process may have, until it is gone or
 /// gives some back. The limit stays low.
-class NoDescriptors {
+class DescriptorExhaustion {
  public:
-  NoDescriptors() {
+  DescriptorExhaustion() {
     rlimit limit{};
     getrlimit(RLIMIT_NOFILE, &limit);
     constexpr rlim_t kLow = 256;
@@ -24,9 +24,9 @@
       taken_.push_back(fd);
     }
   }
-  ~NoDescriptors() { Release(taken_.size()); }
-  NoDescriptors(const NoDescriptors&) = delete;
-  NoDescriptors& operator=(const NoDescriptors&) = delete;
+  ~DescriptorExhaustion() { Release(taken_.size()); }
+  DescriptorExhaustion(const DescriptorExhaustion&) = delete;
+  DescriptorExhaustion& operator=(const DescriptorExhaustion&) = delete;
 
   void Release(std::size_t count) {
     for (; count > 0; --count) {
--- a/src/pathcleat/testing/pass_through.hpp
+++ b/src/pathcleat/testing/pass_through.hpp
@@ -19,29 +19,29 @@
 
 /// @brief How connections fall silent.
 enum class SilenceMode {
-  kDropPackets,  ///< nothing gets through, not even acknowledgements
-  kPeer,         ///< acknowledged, but nothing is passed on any more
+  kDropPackets,     ///< nothing gets through, not even acknowledgements
+  kStopForwarding,  ///< acknowledged, but nothing is passed on any more
 };
 
 /// @brief Passes TCP connections on to another address. Those that are open
 /// can be made silent for good, without a close or a reset; new ones work.
-class PassThrough {
+class TcpProxy {
  public:
-  PassThrough(boost::asio::io_context& loop,
-              const std::string& address,
-              boost::asio::ip::tcp::endpoint target)
+  TcpProxy(boost::asio::io_context& loop,
+           const std::string& address,
+           boost::asio::ip::tcp::endpoint target)
       : loop_(loop),
         target_(std::move(target)),
         acceptor_(loop, {boost::asio::ip::make_address(address), 0}) {
     Accept();
   }
-  ~PassThrough() {
+  ~TcpProxy() {
     for (const auto& link : links_) {
       link->Close();
     }
   }
-  PassThrough(const PassThrough&) = delete;
-  PassThrough& operator=(const PassThrough&) = delete;
+  TcpProxy(const TcpProxy&) = delete;
+  TcpProxy& operator=(const TcpProxy&) = delete;
 
   boost::asio::ip::tcp::endpoint endpoint() const {
     return acceptor_.local_endpoint();
@@ -52,7 +52,7 @@
   }
 
   /// @brief Connections taken so far.
-  int accepted() const { return accepted_; }
+  int accepted_count() const { return accepted_; }
 
   /// @brief Those of them that still pass bytes on.
   int forwarding_count() const {
--- a/src/pathcleat/testing/raw_client.hpp
+++ b/src/pathcleat/testing/raw_client.hpp
@@ -47,7 +47,7 @@
   }
   bool IsClosed() const { return shared_->closed; }
   const std::string& received() const { return shared_->received; }
-  bool Has(const std::string& text) const {
+  bool HasReceived(const std::string& text) const {
     return shared_->received.find(text) != std::string::npos;
   }
 
--- a/src/pathcleat/testing/scripted_server.hpp
+++ b/src/pathcleat/testing/scripted_server.hpp
@@ -27,8 +27,8 @@
   boost::asio::ip::tcp::endpoint endpoint() const {
     return acceptor_.local_endpoint();
   }
-  int accepted() const { return accepted_; }
-  bool Has(const std::string& text) const {
+  int accepted_count() const { return accepted_; }
+  bool HasReceived(const std::string& text) const {
     return received_.find(text) != std::string::npos;
   }
 
--- a/src/pathcleat/testing/test_world.hpp
+++ b/src/pathcleat/testing/test_world.hpp
@@ -63,11 +63,11 @@
     }
     host.table =
         std::make_unique<platform::PlatformTable>(loop_, table_options);
-    host.digester = std::make_unique<KeyDigester>();
+    host.digester = std::make_unique<KeyedHasher>();
     host.feed =
         std::make_unique<platform::FleetFeed>(loop_, options, *host.digester);
     host.rollouts =
-        std::make_unique<platform::RolloutRows>(loop_, table_options);
+        std::make_unique<platform::RolloutStatusTable>(loop_, table_options);
     host.gateway = std::make_unique<Gateway>(
         loop_, host.settings, platform::PlatformHeaderNames(), *host.table,
         *host.feed, *host.rollouts, *host.digester);
@@ -106,7 +106,7 @@
   }
 
   /// @brief Gives the loop turns enough for what is under way to arrive.
-  void Settle() {
+  void PollEventLoop() {
     constexpr int kTurns = 200;
     for (int i = 0; i < kTurns; ++i) {
       loop_.restart();
@@ -122,7 +122,7 @@
   Gateway& host(std::size_t index) { return *hosts_[index]->gateway; }
   UpstreamStandIn& upstream(std::size_t i) { return *upstreams_[i]; }
   const UpstreamInfo& upstream_info(std::size_t i) const { return infos_[i]; }
-  std::size_t upstreams() const { return upstreams_.size(); }
+  std::size_t upstream_count() const { return upstreams_.size(); }
   platform::PlatformStandIn& platform() { return platform_; }
   RoutingConfig& config() { return config_; }
   boost::asio::io_context& loop() { return loop_; }
@@ -134,9 +134,9 @@
 
   /// @brief Sends one request and waits for how it ended.
   /// @param from local IP number; empty: any.
-  CallResult Ask(const std::string& endpoint,
-                 const HttpRequest& request,
-                 const std::string& from = "") {
+  CallResult SendAndWait(const std::string& endpoint,
+                         const HttpRequest& request,
+                         const std::string& from = "") {
     HttpLimits limits;
     limits.max_body_bytes = 64ULL * 1024 * 1024;
     const auto client = std::make_shared<HttpClient>(
@@ -179,7 +179,7 @@
   }
 
   CallResult SendToHost(std::size_t host, const HttpRequest& request) {
-    return Ask(hosts_[host]->settings.listen.callers, request);
+    return SendAndWait(hosts_[host]->settings.listen.callers, request);
   }
 
   CallResult Get(std::size_t host, const std::string& run_id) {
@@ -190,23 +190,23 @@
                   const std::string& run_id,
                   const std::string& key = "",
                   const std::string& body = "b") {
-    return Ask(hosts_[host]->settings.listen.callers,
-               PostRequest(run_id, key, body));
+    return SendAndWait(hosts_[host]->settings.listen.callers,
+                       PostRequest(run_id, key, body));
   }
 
   CallResult QueryReadiness(std::size_t host) {
-    return Ask(hosts_[host]->settings.listen.readiness,
-               {"GET", "/v1/ready", {{"Host", "t"}}, ""});
+    return SendAndWait(hosts_[host]->settings.listen.readiness,
+                       {"GET", "/v1/ready", {{"Host", "t"}}, ""});
   }
 
   CallResult Locate(std::size_t host, const std::string& query) {
-    return Ask(hosts_[host]->settings.listen.locate,
-               {"GET", "/v1/locate" + query, {{"Host", "t"}}, ""});
+    return SendAndWait(hosts_[host]->settings.listen.locate,
+                       {"GET", "/v1/locate" + query, {{"Host", "t"}}, ""});
   }
 
-  CallResult Metrics(std::size_t host) {
-    return Ask(hosts_[host]->settings.listen.metrics,
-               {"GET", "/metrics", {{"Host", "t"}}, ""});
+  CallResult FetchMetrics(std::size_t host) {
+    return SendAndWait(hosts_[host]->settings.listen.metrics,
+                       {"GET", "/metrics", {{"Host", "t"}}, ""});
   }
 
   CallResult RunCommand(std::size_t index, const std::string& text) {
@@ -217,11 +217,12 @@
   CallResult RunCommandWithToken(std::size_t index,
                                  const std::string& text,
                                  const std::string& token) {
-    return Ask(hosts_[index]->settings.listen.operators,
-               {"POST",
-                "/v1/query",
-                {{"Host", "test"}, {"Authorization", "Bearer " + token}},
-                text});
+    return SendAndWait(
+        hosts_[index]->settings.listen.operators,
+        {"POST",
+         "/v1/query",
+         {{"Host", "test"}, {"Authorization", "Bearer " + token}},
+         text});
   }
 
   static std::string OutcomeHeader(const CallResult& result) {
@@ -285,9 +286,9 @@
     EntrySettings settings;
     StoreCallStats store_calls;
     std::unique_ptr<platform::PlatformTable> table;
-    std::unique_ptr<KeyDigester> digester;
+    std::unique_ptr<KeyedHasher> digester;
     std::unique_ptr<platform::FleetFeed> feed;
-    std::unique_ptr<platform::RolloutRows> rollouts;
+    std::unique_ptr<platform::RolloutStatusTable> rollouts;
     std::unique_ptr<Gateway> gateway;
   };
 
