--- a/include/pathcleat/accounts/account.hpp
+++ b/include/pathcleat/accounts/account.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "pathcleat/accounts/key_digest.hpp"
+#include "pathcleat/accounts/keyed_hasher.hpp"
 
 namespace pathcleat {
 
--- a/include/pathcleat/accounts/quota_control.hpp
+++ b/include/pathcleat/accounts/quota_control.hpp
@@ -7,8 +7,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "pathcleat/accounts/account_meter.hpp"
-#include "pathcleat/accounts/fleet_usage.hpp"
+#include "pathcleat/accounts/account_limiter.hpp"
+#include "pathcleat/accounts/peer_usage.hpp"
 
 namespace pathcleat {
 
--- a/include/pathcleat/calls/upstream_pool.hpp
+++ b/include/pathcleat/calls/connection_pool.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "pathcleat/calls/rest_limit.hpp"
+#include "pathcleat/calls/idle_reuse_limit.hpp"
 #include "pathcleat/http/http_client.hpp"
 #include "pathcleat/routing/upstream_info.hpp"
 
--- a/include/pathcleat/calls/key_ledger.hpp
+++ b/include/pathcleat/calls/idempotency_key_store.hpp
@@ -6,7 +6,7 @@
 #include <memory>
 #include <string>
 
-#include "pathcleat/calls/key_row.hpp"
+#include "pathcleat/calls/idempotency_key_row.hpp"
 #include "pathcleat/core/event_log.hpp"
 #include "pathcleat/steer/key_claim.hpp"
 #include "pathcleat/store/table_store.hpp"
--- a/include/pathcleat/crashes/crash_ledger.hpp
+++ b/include/pathcleat/crashes/crash_tracker.hpp
@@ -12,7 +12,7 @@
 #include "pathcleat/core/event_field.hpp"
 #include "pathcleat/core/time.hpp"
 #include "pathcleat/crashes/crash_report.hpp"
-#include "pathcleat/crashes/crash_suspect.hpp"
+#include "pathcleat/crashes/suspect_request.hpp"
 
 namespace pathcleat {
 
--- a/include/pathcleat/crashes/request_digest.hpp
+++ b/include/pathcleat/crashes/request_digest.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-#include "pathcleat/accounts/key_digest.hpp"
+#include "pathcleat/accounts/keyed_hasher.hpp"
 #include "pathcleat/http/http_message.hpp"
 
 namespace pathcleat {
--- a/include/pathcleat/feeds/config_history.hpp
+++ b/include/pathcleat/feeds/config_history.hpp
@@ -6,7 +6,7 @@
 #include <map>
 #include <string>
 
-#include "pathcleat/feeds/config_part.hpp"
+#include "pathcleat/feeds/config_update.hpp"
 
 namespace pathcleat {
 
--- a/include/pathcleat/feeds/peer_feed.hpp
+++ b/include/pathcleat/feeds/peer_feed.hpp
@@ -10,9 +10,9 @@
 #include <vector>
 
 #include "pathcleat/core/event_log.hpp"
-#include "pathcleat/feeds/config_part.hpp"
-#include "pathcleat/feeds/feed_tables.hpp"
+#include "pathcleat/feeds/config_update.hpp"
 #include "pathcleat/feeds/fleet_snapshot.hpp"
+#include "pathcleat/feeds/snapshot_provider.hpp"
 #include "pathcleat/fleet/peer_traffic.hpp"
 #include "pathcleat/http/http_client.hpp"
 #include "pathcleat/http/http_server.hpp"
--- a/include/pathcleat/gateway/client_regions.hpp
+++ b/include/pathcleat/gateway/client_regions.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "pathcleat/steer/block_table.hpp"
+#include "pathcleat/steer/client_block_table.hpp"
 #include "pathcleat/steer/config_change.hpp"
 
 namespace pathcleat {
--- a/include/pathcleat/gateway/gateway.hpp
+++ b/include/pathcleat/gateway/gateway.hpp
@@ -10,14 +10,14 @@
 #include "pathcleat/accounts/caller_identity.hpp"
 #include "pathcleat/core/error.hpp"
 #include "pathcleat/fleet/peer_link.hpp"
-#include "pathcleat/gateway/fleet_view.hpp"
+#include "pathcleat/gateway/fleet_sync.hpp"
 #include "pathcleat/gateway/gateway_state.hpp"
 #include "pathcleat/gateway/operator_service.hpp"
 #include "pathcleat/http/http_server.hpp"
 #include "pathcleat/records/command_log.hpp"
-#include "pathcleat/records/fleet_rows.hpp"
 #include "pathcleat/records/fleet_secrets.hpp"
 #include "pathcleat/records/rollout_writer.hpp"
+#include "pathcleat/records/startup_loader.hpp"
 #include "pathcleat/store/store_call_stats.hpp"
 
 namespace pathcleat {
--- a/include/pathcleat/gateway/quota_gate.hpp
+++ b/include/pathcleat/gateway/quota_enforcer.hpp
@@ -6,7 +6,7 @@
 #include <unordered_map>
 
 #include "pathcleat/accounts/quota_control.hpp"
-#include "pathcleat/routing/comeback.hpp"
+#include "pathcleat/routing/retry_scheduler.hpp"
 
 namespace pathcleat {
 
--- a/include/pathcleat/gateway/call.hpp
+++ b/include/pathcleat/gateway/request_handler.hpp
@@ -7,10 +7,10 @@
 #include <string>
 #include <vector>
 
-#include "pathcleat/calls/open_requests.hpp"
-#include "pathcleat/calls/run_record.hpp"
+#include "pathcleat/calls/in_flight_requests.hpp"
+#include "pathcleat/calls/run_tracker.hpp"
 #include "pathcleat/gateway/gateway_state.hpp"
-#include "pathcleat/gateway/key_guard.hpp"
+#include "pathcleat/gateway/idempotency_guard.hpp"
 #include "pathcleat/gateway/request_trace.hpp"
 #include "pathcleat/gateway/upstream_attempt.hpp"
 #include "pathcleat/http/http_exchange.hpp"
--- a/include/pathcleat/lab/quota_model.hpp
+++ b/include/pathcleat/lab/quota_model.hpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "pathcleat/accounts/account.hpp"
-#include "pathcleat/accounts/account_meter.hpp"
+#include "pathcleat/accounts/account_limiter.hpp"
 
 namespace pathcleat {
 
--- a/include/pathcleat/rollouts/rollout.hpp
+++ b/include/pathcleat/rollouts/rollout.hpp
@@ -8,10 +8,10 @@
 #include <string>
 
 #include "pathcleat/core/time.hpp"
-#include "pathcleat/rollouts/answer_judge.hpp"
-#include "pathcleat/rollouts/canary_gate.hpp"
+#include "pathcleat/rollouts/canary_limiter.hpp"
 #include "pathcleat/rollouts/rollout_order.hpp"
-#include "pathcleat/rollouts/tally_board.hpp"
+#include "pathcleat/rollouts/tally_table.hpp"
+#include "pathcleat/rollouts/version_evaluator.hpp"
 #include "pathcleat/rollouts/version_rule.hpp"
 #include "pathcleat/steer/rollout_step.hpp"
 
--- a/include/pathcleat/routing/admission_control.hpp
+++ b/include/pathcleat/routing/admission_control.hpp
@@ -6,10 +6,10 @@
 #include <vector>
 
 #include "pathcleat/core/mechanism.hpp"
-#include "pathcleat/routing/comeback.hpp"
 #include "pathcleat/routing/pick.hpp"
 #include "pathcleat/routing/request_profile.hpp"
-#include "pathcleat/routing/urgency_ledger.hpp"
+#include "pathcleat/routing/retry_scheduler.hpp"
+#include "pathcleat/routing/urgency_tracker.hpp"
 
 namespace pathcleat {
 
--- a/include/pathcleat/routing/pick.hpp
+++ b/include/pathcleat/routing/pick.hpp
@@ -11,7 +11,7 @@
 #include "pathcleat/rollouts/version_rule.hpp"
 #include "pathcleat/routing/route.hpp"
 #include "pathcleat/routing/upstream_table.hpp"
-#include "pathcleat/routing/urgency_ledger.hpp"
+#include "pathcleat/routing/urgency_tracker.hpp"
 #include "pathcleat/routing/warmth.hpp"
 
 namespace pathcleat {
--- a/include/pathcleat/routing/upstream.hpp
+++ b/include/pathcleat/routing/upstream.hpp
@@ -5,8 +5,8 @@
 #include <optional>
 #include <string>
 
-#include "pathcleat/routing/comeback.hpp"
 #include "pathcleat/routing/recent_keys.hpp"
+#include "pathcleat/routing/retry_scheduler.hpp"
 #include "pathcleat/routing/slowness.hpp"
 #include "pathcleat/routing/upstream_health.hpp"
 #include "pathcleat/routing/upstream_info.hpp"
--- a/include/pathcleat/routing/upstream_picker.hpp
+++ b/include/pathcleat/routing/upstream_picker.hpp
@@ -9,10 +9,10 @@
 #include <vector>
 
 #include "pathcleat/routing/admission_control.hpp"
-#include "pathcleat/routing/bound_room.hpp"
 #include "pathcleat/routing/key_placement.hpp"
 #include "pathcleat/routing/link_limits.hpp"
 #include "pathcleat/routing/pick.hpp"
+#include "pathcleat/routing/pinned_capacity.hpp"
 #include "pathcleat/routing/region_shares.hpp"
 #include "pathcleat/routing/request_profile.hpp"
 #include "pathcleat/routing/route.hpp"
--- a/include/pathcleat/telemetry/metrics.hpp
+++ b/include/pathcleat/telemetry/metrics.hpp
@@ -17,7 +17,7 @@
 #include <string>
 #include <utility>
 
-#include "pathcleat/calls/break_cause.hpp"
+#include "pathcleat/calls/abort_cause.hpp"
 #include "pathcleat/core/histogram.hpp"
 #include "pathcleat/core/run_outcome.hpp"
 #include "pathcleat/core/time.hpp"
--- a/src/pathcleat/accounts/account_meter.cpp
+++ b/src/pathcleat/accounts/account_limiter.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-#include "pathcleat/accounts/account_meter.hpp"
+#include "pathcleat/accounts/account_limiter.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/pathcleat/accounts/key_digest.cpp
+++ b/src/pathcleat/accounts/keyed_hasher.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-#include "pathcleat/accounts/key_digest.hpp"
+#include "pathcleat/accounts/keyed_hasher.hpp"
 
 #include <sodium/crypto_generichash.h>
 #include <sodium/crypto_shorthash_siphash24.h>
--- a/src/pathcleat/accounts/fleet_usage.cpp
+++ b/src/pathcleat/accounts/peer_usage.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-#include "pathcleat/accounts/fleet_usage.hpp"
+#include "pathcleat/accounts/peer_usage.hpp"
 
 #include <algorithm>
 
--- a/src/pathcleat/app/pathcleat.cpp
+++ b/src/pathcleat/app/pathcleat.cpp
@@ -25,9 +25,9 @@
 #include "operator_client.hpp"
 #include "pathcleat/core/log_writer.hpp"
 #include "pathcleat/gateway/gateway.hpp"
-#include "pathcleat/query/request_story.hpp"
+#include "pathcleat/query/request_diagnosis.hpp"
 #include "platform_table.hpp"
-#include "rollout_rows.hpp"
+#include "rollout_status_table.hpp"
 
 namespace pathcleat {
 namespace {
--- a/src/pathcleat/calls/break_cause.cpp
+++ b/src/pathcleat/calls/abort_cause.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-#include "pathcleat/calls/break_cause.hpp"
+#include "pathcleat/calls/abort_cause.hpp"
 
 namespace pathcleat {
 
--- a/src/pathcleat/calls/upstream_pool.cpp
+++ b/src/pathcleat/calls/connection_pool.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-#include "pathcleat/calls/upstream_pool.hpp"
+#include "pathcleat/calls/connection_pool.hpp"
 
 #include <algorithm>
 
--- a/src/pathcleat/calls/key_row.cpp
+++ b/src/pathcleat/calls/idempotency_key_row.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-#include "pathcleat/calls/key_row.hpp"
+#include "pathcleat/calls/idempotency_key_row.hpp"
 
 #include <nlohmann/json.hpp>
 
--- a/src/pathcleat/calls/key_ledger.cpp
+++ b/src/pathcleat/calls/idempotency_key_store.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-#include "pathcleat/calls/key_ledger.hpp"
+#include "pathcleat/calls/idempotency_key_store.hpp"
 
 #include <boost/asio/steady_timer.hpp>
 #include <memory>
--- a/src/pathcleat/calls/rest_limit.cpp
+++ b/src/pathcleat/calls/idle_reuse_limit.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-#include "pathcleat/calls/rest_limit.hpp"
+#include "pathcleat/calls/idle_reuse_limit.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/pathcleat/calls/stop_plan.cpp
+++ b/src/pathcleat/calls/shutdown_schedule.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-#include "pathcleat/calls/stop_plan.hpp"
+#include "pathcleat/calls/shutdown_schedule.hpp"
 
 #include <algorithm>
 
--- a/src/pathcleat/calls/unknown_fields_test.cpp
+++ b/src/pathcleat/calls/unknown_headers_test.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-#include "pathcleat/calls/unknown_fields.hpp"
+#include "pathcleat/calls/unknown_headers.hpp"
 
 #include "property.hpp"
 
--- a/src/pathcleat/core/seal.cpp
+++ b/src/pathcleat/core/mac.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-#include "pathcleat/core/seal.hpp"
+#include "pathcleat/core/mac.hpp"
 
 #include <sodium/crypto_auth.h>
 #include <sodium/crypto_generichash.h>
--- a/src/pathcleat/crashes/crash_ledger.cpp
+++ b/src/pathcleat/crashes/crash_tracker.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-#include "pathcleat/crashes/crash_ledger.hpp"
+#include "pathcleat/crashes/crash_tracker.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/pathcleat/crashes/crash_suspect.cpp
+++ b/src/pathcleat/crashes/suspect_request.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-#include "pathcleat/crashes/crash_suspect.hpp"
+#include "pathcleat/crashes/suspect_request.hpp"
 
 #include <algorithm>
 #include <limits>
--- a/src/pathcleat/feeds/config_part.cpp
+++ b/src/pathcleat/feeds/config_update.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-#include "pathcleat/feeds/config_part.hpp"
+#include "pathcleat/feeds/config_update.hpp"
 
 #include <cereal/types/array.hpp>
 #include <cereal/types/optional.hpp>
--- a/src/pathcleat/feeds/fleet_snapshot.cpp
+++ b/src/pathcleat/feeds/fleet_snapshot.cpp
@@ -8,7 +8,7 @@
 #include <utility>
 
 #include "pathcleat/core/binary_codec.hpp"
-#include "pathcleat/feeds/upstream_rows.hpp"
+#include "pathcleat/feeds/upstream_codec.hpp"
 
 namespace pathcleat {
 
--- a/src/pathcleat/feeds/peer_feed.cpp
+++ b/src/pathcleat/feeds/peer_feed.cpp
@@ -6,7 +6,7 @@
 #include <memory>
 #include <utility>
 
-#include "pathcleat/core/seal.hpp"
+#include "pathcleat/core/mac.hpp"
 #include "pathcleat/http/endpoint.hpp"
 #include "pathcleat/http/http_client.hpp"
 #include "pathcleat/http/http_status.hpp"
--- a/src/pathcleat/feeds/peer_feed_test.cpp
+++ b/src/pathcleat/feeds/peer_feed_test.cpp
@@ -3,7 +3,7 @@
 
 #include "event_loop.hpp"
 #include "pass_through.hpp"
-#include "pathcleat/core/seal.hpp"
+#include "pathcleat/core/mac.hpp"
 #include "pathcleat/feeds/config_history.hpp"
 #include "pathcleat/http/endpoint.hpp"
 #include "property.hpp"
--- a/src/pathcleat/feeds/upstream_rows_test.cpp
+++ b/src/pathcleat/feeds/upstream_codec_test.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-#include "pathcleat/feeds/upstream_rows.hpp"
+#include "pathcleat/feeds/upstream_codec.hpp"
 
 #include "property.hpp"
 
--- a/src/pathcleat/fleet/host_table_test.cpp
+++ b/src/pathcleat/fleet/host_table_test.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "pathcleat/core/seal.hpp"
+#include "pathcleat/core/mac.hpp"
 #include "pathcleat/fleet/heartbeat.hpp"
 #include "property.hpp"
 
--- a/src/pathcleat/fleet/peer_datagram_test.cpp
+++ b/src/pathcleat/fleet/peer_datagram_test.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
 #include "pathcleat/fleet/peer_datagram.hpp"
 
-#include "pathcleat/core/seal.hpp"
+#include "pathcleat/core/mac.hpp"
 #include "pathcleat/fleet/heartbeat.hpp"
 #include "property.hpp"
 
--- a/src/pathcleat/fleet/informed_choice.cpp
+++ b/src/pathcleat/fleet/up_to_date_host.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-#include "pathcleat/fleet/informed_choice.hpp"
+#include "pathcleat/fleet/up_to_date_host.hpp"
 
 #include <tuple>
 
--- a/src/pathcleat/gateway/fleet_view.cpp
+++ b/src/pathcleat/gateway/fleet_sync.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-#include "pathcleat/gateway/fleet_view.hpp"
+#include "pathcleat/gateway/fleet_sync.hpp"
 
 #include <algorithm>
 #include <limits>
@@ -7,7 +7,7 @@
 #include <utility>
 
 #include "pathcleat/core/hash.hpp"
-#include "pathcleat/fleet/informed_choice.hpp"
+#include "pathcleat/fleet/up_to_date_host.hpp"
 
 namespace pathcleat {
 namespace {
--- a/src/pathcleat/gateway/fleet_view_orders.cpp
+++ b/src/pathcleat/gateway/fleet_sync_orders.cpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "pathcleat/gateway/fleet_view.hpp"
+#include "pathcleat/gateway/fleet_sync.hpp"
 
 namespace pathcleat {
 
--- a/src/pathcleat/gateway/gateway.cpp
+++ b/src/pathcleat/gateway/gateway.cpp
@@ -10,13 +10,13 @@
 #include "pathcleat/accounts/caller_identity.hpp"
 #include "pathcleat/calls/upstream_protocol.hpp"
 #include "pathcleat/core/hash.hpp"
-#include "pathcleat/gateway/call.hpp"
 #include "pathcleat/gateway/metrics_page.hpp"
+#include "pathcleat/gateway/request_handler.hpp"
 #include "pathcleat/gateway/request_trace.hpp"
 #include "pathcleat/http/endpoint.hpp"
 #include "pathcleat/http/http_status.hpp"
 #include "pathcleat/http/query_text.hpp"
-#include "pathcleat/routing/comeback.hpp"
+#include "pathcleat/routing/retry_scheduler.hpp"
 
 namespace pathcleat {
 namespace {
--- a/src/pathcleat/gateway/key_guard.cpp
+++ b/src/pathcleat/gateway/idempotency_guard.cpp
@@ -1,12 +1,12 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-#include "pathcleat/gateway/key_guard.hpp"
+#include "pathcleat/gateway/idempotency_guard.hpp"
 
 #include <utility>
 
 #include "pathcleat/calls/upstream_protocol.hpp"
 #include "pathcleat/core/hash.hpp"
 #include "pathcleat/http/http_status.hpp"
-#include "pathcleat/routing/comeback.hpp"
+#include "pathcleat/routing/retry_scheduler.hpp"
 
 namespace pathcleat {
 namespace {
--- a/src/pathcleat/gateway/operator_service.cpp
+++ b/src/pathcleat/gateway/operator_service.cpp
@@ -7,7 +7,7 @@
 #include <utility>
 
 #include "pathcleat/core/hash.hpp"
-#include "pathcleat/core/seal.hpp"
+#include "pathcleat/core/mac.hpp"
 #include "pathcleat/http/http_status.hpp"
 
 namespace pathcleat {
--- a/src/pathcleat/gateway/quota_gate.cpp
+++ b/src/pathcleat/gateway/quota_enforcer.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-#include "pathcleat/gateway/quota_gate.hpp"
+#include "pathcleat/gateway/quota_enforcer.hpp"
 
 namespace pathcleat {
 
--- a/src/pathcleat/gateway/call.cpp
+++ b/src/pathcleat/gateway/request_handler.cpp
@@ -1,10 +1,10 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-#include "pathcleat/gateway/call.hpp"
+#include "pathcleat/gateway/request_handler.hpp"
 
 #include <algorithm>
 #include <utility>
 
-#include "pathcleat/calls/patience.hpp"
+#include "pathcleat/calls/failover_timeout.hpp"
 #include "pathcleat/calls/pick_request.hpp"
 #include "pathcleat/calls/upstream_protocol.hpp"
 #include "pathcleat/core/hash.hpp"
--- a/src/pathcleat/gateway/call_account.cpp
+++ b/src/pathcleat/gateway/request_handler_account.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "pathcleat/calls/upstream_protocol.hpp"
-#include "pathcleat/gateway/call.hpp"
+#include "pathcleat/gateway/request_handler.hpp"
 
 namespace pathcleat {
 
--- a/src/pathcleat/gateway/call_crash.cpp
+++ b/src/pathcleat/gateway/request_handler_crash.cpp
@@ -2,7 +2,7 @@
 // How a call is kept from bringing further upstreams down.
 
 #include "pathcleat/core/hash.hpp"
-#include "pathcleat/gateway/call.hpp"
+#include "pathcleat/gateway/request_handler.hpp"
 #include "pathcleat/http/endpoint.hpp"
 
 namespace pathcleat {
--- a/src/pathcleat/gateway/call_opened.cpp
+++ b/src/pathcleat/gateway/request_handler_opened.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
 // What a call does once the connection to its upstream has opened.
 
-#include "pathcleat/gateway/call.hpp"
+#include "pathcleat/gateway/request_handler.hpp"
 
 namespace pathcleat {
 
--- a/src/pathcleat/gateway/call_stop.cpp
+++ b/src/pathcleat/gateway/request_handler_stop.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
 // What a call does otherwise while its host is being stopped.
 
-#include "pathcleat/gateway/call.hpp"
+#include "pathcleat/gateway/request_handler.hpp"
 #include "pathcleat/http/http_status.hpp"
 
 namespace pathcleat {
--- a/src/pathcleat/lab/account_slopes.cpp
+++ b/src/pathcleat/lab/account_costs.cpp
@@ -4,7 +4,7 @@
 #include "pathcleat/accounts/caller_identity.hpp"
 #include "pathcleat/accounts/quota_control.hpp"
 #include "pathcleat/feeds/config_history.hpp"
-#include "pathcleat/lab/slope.hpp"
+#include "pathcleat/lab/cost_curve.hpp"
 #include "stopwatch.hpp"
 
 namespace pathcleat {
--- a/src/pathcleat/lab/return_cases.cpp
+++ b/src/pathcleat/lab/caller_retry_cases.cpp
@@ -2,8 +2,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "pathcleat/lab/caller_retry_model.hpp"
 #include "pathcleat/lab/load_generator.hpp"
-#include "pathcleat/lab/return_model.hpp"
 
 namespace pathcleat {
 namespace {
--- a/src/pathcleat/lab/return_model.cpp
+++ b/src/pathcleat/lab/caller_retry_model.cpp
@@ -1,13 +1,13 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-#include "pathcleat/lab/return_model.hpp"
+#include "pathcleat/lab/caller_retry_model.hpp"
 
 #include <algorithm>
 #include <memory>
 #include <random>
 
-#include "model_queue.hpp"
 #include "pathcleat/core/hash.hpp"
 #include "pathcleat/routing/upstream_picker.hpp"
+#include "simulated_upstream.hpp"
 
 namespace pathcleat {
 namespace {
--- a/src/pathcleat/lab/return_model_test.cpp
+++ b/src/pathcleat/lab/caller_retry_model_test.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
 // What becomes of requests that are told to come back, in virtual time.
 
-#include "pathcleat/lab/return_model.hpp"
+#include "pathcleat/lab/caller_retry_model.hpp"
 
 #include "property.hpp"
 
--- a/src/pathcleat/lab/block_table_slopes.cpp
+++ b/src/pathcleat/lab/client_block_table_costs.cpp
@@ -1,8 +1,8 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
 #include <random>
 
-#include "pathcleat/lab/slope.hpp"
-#include "pathcleat/steer/block_table.hpp"
+#include "pathcleat/lab/cost_curve.hpp"
+#include "pathcleat/steer/client_block_table.hpp"
 #include "stopwatch.hpp"
 
 namespace pathcleat {
--- a/src/pathcleat/lab/slope.cpp
+++ b/src/pathcleat/lab/cost_curve.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-#include "pathcleat/lab/slope.hpp"
+#include "pathcleat/lab/cost_curve.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/pathcleat/lab/crash_model.cpp
+++ b/src/pathcleat/lab/crash_model.cpp
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "pathcleat/crashes/crash_ledger.hpp"
+#include "pathcleat/crashes/crash_tracker.hpp"
 
 namespace pathcleat {
 namespace {
--- a/src/pathcleat/lab/heartbeat_slopes.cpp
+++ b/src/pathcleat/lab/heartbeat_costs.cpp
@@ -1,10 +1,10 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
 #include <string>
 
-#include "pathcleat/core/seal.hpp"
+#include "pathcleat/core/mac.hpp"
 #include "pathcleat/fleet/heartbeat.hpp"
 #include "pathcleat/fleet/host_table.hpp"
-#include "pathcleat/lab/slope.hpp"
+#include "pathcleat/lab/cost_curve.hpp"
 #include "stopwatch.hpp"
 
 namespace pathcleat {
--- a/src/pathcleat/lab/routing_slopes.cpp
+++ b/src/pathcleat/lab/routing_costs.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
 #include <string>
 
-#include "pathcleat/lab/slope.hpp"
+#include "pathcleat/lab/cost_curve.hpp"
 #include "pathcleat/routing/upstream_picker.hpp"
 #include "stopwatch.hpp"
 
--- a/src/pathcleat/lab/routing_model.cpp
+++ b/src/pathcleat/lab/routing_model.cpp
@@ -8,10 +8,10 @@
 #include <memory>
 #include <random>
 
-#include "agenda.hpp"
 #include "pathcleat/core/hash.hpp"
 #include "pathcleat/lab/load_generator.hpp"
 #include "pathcleat/routing/upstream_picker.hpp"
+#include "virtual_scheduler.hpp"
 
 namespace pathcleat {
 namespace {
--- a/src/pathcleat/lab/model_queue.hpp
+++ b/src/pathcleat/lab/simulated_upstream.hpp
@@ -10,9 +10,9 @@
 #include <utility>
 #include <vector>
 
-#include "agenda.hpp"
 #include "pathcleat/routing/recent_keys.hpp"
 #include "pathcleat/routing/upstream_load.hpp"
+#include "virtual_scheduler.hpp"
 
 namespace pathcleat {
 
--- a/src/pathcleat/lab/why_test.cpp
+++ b/src/pathcleat/lab/why_test.cpp
@@ -8,7 +8,7 @@
 #include <algorithm>
 #include <sstream>
 
-#include "pathcleat/query/request_story.hpp"
+#include "pathcleat/query/request_diagnosis.hpp"
 
 namespace pathcleat {
 namespace {
--- a/src/pathcleat/query/request_story_test.cpp
+++ b/src/pathcleat/query/request_diagnosis_test.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-#include "pathcleat/query/request_story.hpp"
+#include "pathcleat/query/request_diagnosis.hpp"
 
 #include <algorithm>
 #include <sstream>
--- a/src/pathcleat/records/fleet_rows_test.cpp
+++ b/src/pathcleat/records/startup_loader_test.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-#include "pathcleat/records/fleet_rows.hpp"
+#include "pathcleat/records/startup_loader.hpp"
 
 #include <cereal/types/string.hpp>
 #include <vector>
--- a/src/pathcleat/rollouts/tally_board.cpp
+++ b/src/pathcleat/rollouts/tally_table.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-#include "pathcleat/rollouts/tally_board.hpp"
+#include "pathcleat/rollouts/tally_table.hpp"
 
 #include <algorithm>
 
--- a/src/pathcleat/rollouts/answer_judge.cpp
+++ b/src/pathcleat/rollouts/version_evaluator.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-#include "pathcleat/rollouts/answer_judge.hpp"
+#include "pathcleat/rollouts/version_evaluator.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/pathcleat/routing/bound_room_test.cpp
+++ b/src/pathcleat/routing/pinned_capacity_test.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-#include "pathcleat/routing/bound_room.hpp"
+#include "pathcleat/routing/pinned_capacity.hpp"
 
 #include <criterion/criterion.h>
 
--- a/src/pathcleat/routing/comeback_test.cpp
+++ b/src/pathcleat/routing/retry_scheduler_test.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-#include "pathcleat/routing/comeback.hpp"
+#include "pathcleat/routing/retry_scheduler.hpp"
 
 #include <algorithm>
 #include <set>
--- a/src/pathcleat/routing/urgency_ledger_test.cpp
+++ b/src/pathcleat/routing/urgency_tracker_test.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-#include "pathcleat/routing/urgency_ledger.hpp"
+#include "pathcleat/routing/urgency_tracker.hpp"
 
 #include "property.hpp"
 
--- a/src/pathcleat/steer/block_table.cpp
+++ b/src/pathcleat/steer/client_block_table.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-#include "pathcleat/steer/block_table.hpp"
+#include "pathcleat/steer/client_block_table.hpp"
 
 #include <algorithm>
 #include <iterator>
--- a/src/pathcleat/testing/test_world.hpp
+++ b/src/pathcleat/testing/test_cluster.hpp
@@ -16,8 +16,8 @@
 #include "platform_stand_in.hpp"
 #include "platform_table.hpp"
 #include "property.hpp"
-#include "rollout_rows.hpp"
-#include "test_world_plan.hpp"
+#include "rollout_status_table.hpp"
+#include "test_cluster_plan.hpp"
 
 namespace pathcleat {
 
