--- a/src/pathcleat/feeds/peer_feed_test.cpp
+++ b/src/pathcleat/feeds/peer_feed_test.cpp
@@ -2,12 +2,12 @@
 #include "pathcleat/feeds/peer_feed.hpp"
 
 #include "event_loop.hpp"
-#include "pass_through.hpp"
 #include "pathcleat/core/mac.hpp"
 #include "pathcleat/feeds/config_history.hpp"
 #include "pathcleat/http/endpoint.hpp"
 #include "property.hpp"
 #include "scripted_server.hpp"
+#include "tcp_proxy.hpp"
 
 namespace pathcleat {
 namespace {
--- a/src/pathcleat/http/http_client_test.cpp
+++ b/src/pathcleat/http/http_client_test.cpp
@@ -8,8 +8,8 @@
 #include <string>
 
 #include "event_loop.hpp"
-#include "pass_through.hpp"
 #include "scripted_server.hpp"
+#include "tcp_proxy.hpp"
 
 namespace pathcleat {
 namespace {
--- a/src/pathcleat/http/http_server_test.cpp
+++ b/src/pathcleat/http/http_server_test.cpp
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
+#include "descriptor_exhaustion.hpp"
 #include "event_loop.hpp"
-#include "no_descriptors.hpp"
 #include "pathcleat/http/http_message.hpp"
 #include "raw_client.hpp"
 
--- a/src/pathcleat/lab/accounts_test.cpp
+++ b/src/pathcleat/lab/accounts_test.cpp
@@ -2,7 +2,7 @@
 // Client accounts on the whole path: keys, names told to upstreams, limits over
 // several hosts, homes.
 
-#include "test_world.hpp"
+#include "test_cluster.hpp"
 
 #include <boost/asio/ip/udp.hpp>
 
--- a/src/pathcleat/lab/broken_off_test.cpp
+++ b/src/pathcleat/lab/broken_off_test.cpp
@@ -2,7 +2,7 @@
 // Work that upstreams are at is left to them, and counted where it is not.
 
 #include "raw_client.hpp"
-#include "test_world.hpp"
+#include "test_cluster.hpp"
 
 #include <vector>
 
--- a/src/pathcleat/lab/caller_leaves_test.cpp
+++ b/src/pathcleat/lab/caller_leaves_test.cpp
@@ -3,7 +3,7 @@
 // started, and what may be repeated ends at its upstream.
 
 #include "raw_client.hpp"
-#include "test_world.hpp"
+#include "test_cluster.hpp"
 
 #include <numeric>
 #include <vector>
--- a/src/pathcleat/lab/config_behind_test.cpp
+++ b/src/pathcleat/lab/config_behind_test.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
 // A host that hears of a newer configuration and cannot get it.
 
-#include "test_world.hpp"
+#include "test_cluster.hpp"
 
 #include <boost/asio/ip/udp.hpp>
 
--- a/src/pathcleat/lab/config_transfer_test.cpp
+++ b/src/pathcleat/lab/config_transfer_test.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
 // How a large configuration reaches all hosts, and what it costs their links.
 
-#include "test_world.hpp"
+#include "test_cluster.hpp"
 
 #include <algorithm>
 
--- a/src/pathcleat/lab/crashing_request_test.cpp
+++ b/src/pathcleat/lab/crashing_request_test.cpp
@@ -2,7 +2,7 @@
 // A request that crashes each upstream that begins to run it, asked again and
 // again at any host.
 
-#include "test_world.hpp"
+#include "test_cluster.hpp"
 
 namespace pathcleat {
 namespace {
--- a/src/pathcleat/lab/deadline_test.cpp
+++ b/src/pathcleat/lab/deadline_test.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
 // Deadlines that callers send by mistake.
 
-#include "test_world.hpp"
+#include "test_cluster.hpp"
 
 namespace pathcleat {
 namespace {
--- a/src/pathcleat/lab/faults_test.cpp
+++ b/src/pathcleat/lab/faults_test.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
 // What must hold when upstreams, hosts and the platform fail.
 
-#include "test_world.hpp"
+#include "test_cluster.hpp"
 
 #include <algorithm>
 
--- a/src/pathcleat/lab/foreign_entries_test.cpp
+++ b/src/pathcleat/lab/foreign_entries_test.cpp
@@ -3,7 +3,7 @@
 // under their id.
 
 #include "decode.hpp"
-#include "test_world.hpp"
+#include "test_cluster.hpp"
 
 namespace pathcleat {
 namespace {
--- a/src/pathcleat/lab/leaving_upstream_test.cpp
+++ b/src/pathcleat/lab/leaving_upstream_test.cpp
@@ -9,7 +9,7 @@
 #include <functional>
 
 #include "raw_client.hpp"
-#include "test_world.hpp"
+#include "test_cluster.hpp"
 
 namespace pathcleat {
 namespace {
--- a/src/pathcleat/lab/limited_upstream_test.cpp
+++ b/src/pathcleat/lab/limited_upstream_test.cpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-#include "test_world.hpp"
+#include "test_cluster.hpp"
 
 namespace pathcleat {
 namespace {
--- a/src/pathcleat/lab/metrics_test.cpp
+++ b/src/pathcleat/lab/metrics_test.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
 // What monitoring systems read of a host.
 
-#include "test_world.hpp"
+#include "test_cluster.hpp"
 
 #include <set>
 #include <sstream>
--- a/src/pathcleat/lab/patience_test.cpp
+++ b/src/pathcleat/lab/patience_test.cpp
@@ -2,7 +2,7 @@
 // How long an upstream that does not answer is waited for.
 
 #include "raw_client.hpp"
-#include "test_world.hpp"
+#include "test_cluster.hpp"
 
 namespace pathcleat {
 namespace {
--- a/src/pathcleat/lab/planned_stop_test.cpp
+++ b/src/pathcleat/lab/planned_stop_test.cpp
@@ -2,7 +2,7 @@
 // What callers see of a host that is being stopped.
 
 #include "raw_client.hpp"
-#include "test_world.hpp"
+#include "test_cluster.hpp"
 
 namespace pathcleat {
 namespace {
--- a/src/pathcleat/lab/ready_test.cpp
+++ b/src/pathcleat/lab/ready_test.cpp
@@ -1,12 +1,12 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
 // A host that says that it is ready takes connections.
 
-#include "test_world.hpp"
+#include "test_cluster.hpp"
 
 #include <memory>
 #include <vector>
 
-#include "no_descriptors.hpp"
+#include "descriptor_exhaustion.hpp"
 #include "raw_client.hpp"
 
 namespace pathcleat {
--- a/src/pathcleat/lab/refusal_test.cpp
+++ b/src/pathcleat/lab/refusal_test.cpp
@@ -3,7 +3,7 @@
 
 #include <cstdlib>
 
-#include "test_world.hpp"
+#include "test_cluster.hpp"
 
 namespace pathcleat {
 namespace {
--- a/src/pathcleat/lab/relay_test.cpp
+++ b/src/pathcleat/lab/relay_test.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
 // How hosts learn changes of the store from each other.
 
-#include "test_world.hpp"
+#include "test_cluster.hpp"
 
 #include <algorithm>
 #include <map>
--- a/src/pathcleat/lab/rollout_path_test.cpp
+++ b/src/pathcleat/lab/rollout_path_test.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
 // Version rollouts on the whole path: hosts, the store's rows and upstreams.
 
-#include "test_world.hpp"
+#include "test_cluster.hpp"
 
 #include <nlohmann/json.hpp>
 
--- a/src/pathcleat/lab/silence_test.cpp
+++ b/src/pathcleat/lab/silence_test.cpp
@@ -2,9 +2,9 @@
 // What must hold when open connections fall silent for good while new ones
 // work.
 
-#include "pass_through.hpp"
 #include "raw_client.hpp"
-#include "test_world.hpp"
+#include "tcp_proxy.hpp"
+#include "test_cluster.hpp"
 
 namespace pathcleat {
 namespace {
--- a/src/pathcleat/lab/silent_outage_test.cpp
+++ b/src/pathcleat/lab/silent_outage_test.cpp
@@ -2,7 +2,7 @@
 // The store takes calls in silence for a while and never answers those; later
 // calls are answered.
 
-#include "test_world.hpp"
+#include "test_cluster.hpp"
 
 namespace pathcleat {
 namespace {
--- a/src/pathcleat/lab/start_calls_test.cpp
+++ b/src/pathcleat/lab/start_calls_test.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
 // What a host's start costs at the store.
 
-#include "test_world.hpp"
+#include "test_cluster.hpp"
 
 namespace pathcleat {
 namespace {
--- a/src/pathcleat/lab/store_faults_test.cpp
+++ b/src/pathcleat/lab/store_faults_test.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
 // What must hold when the platform's store is away, wrong or forgetful.
 
-#include "test_world.hpp"
+#include "test_cluster.hpp"
 
 #include <algorithm>
 
--- a/src/pathcleat/lab/suspended_machine_test.cpp
+++ b/src/pathcleat/lab/suspended_machine_test.cpp
@@ -2,7 +2,7 @@
 // The clock leaps while timers stand still, as on a machine that was suspended.
 
 #include "raw_client.hpp"
-#include "test_world.hpp"
+#include "test_cluster.hpp"
 
 namespace pathcleat {
 namespace {
--- a/src/pathcleat/lab/truthful_test.cpp
+++ b/src/pathcleat/lab/truthful_test.cpp
@@ -2,7 +2,7 @@
 // What a refusal says is true, in whatever order things happen.
 
 #include "raw_client.hpp"
-#include "test_world.hpp"
+#include "test_cluster.hpp"
 
 #include <array>
 #include <map>
--- a/src/pathcleat/lab/whole_path_test.cpp
+++ b/src/pathcleat/lab/whole_path_test.cpp
@@ -2,7 +2,7 @@
 // One request's way through entry hosts, with real sockets.
 
 #include "raw_client.hpp"
-#include "test_world.hpp"
+#include "test_cluster.hpp"
 
 #include <algorithm>
 #include <set>
--- a/src/pathcleat/lab/why_test.cpp
+++ b/src/pathcleat/lab/why_test.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
 // A failed request's cause from the hosts' logs alone.
 
-#include "test_world.hpp"
+#include "test_cluster.hpp"
 
 #include <log4cplus/appender.h>
 #include <log4cplus/spi/loggingevent.h>
--- a/src/pathcleat/routing/kind_regions_test.cpp
+++ b/src/pathcleat/routing/kind_regions_test.cpp
@@ -9,7 +9,7 @@
 
 #include "pathcleat/core/hash.hpp"
 #include "pathcleat/routing/upstream_picker.hpp"
-#include "picker_world.hpp"
+#include "picker_fixture.hpp"
 #include "property.hpp"
 
 namespace pathcleat {
--- a/src/pathcleat/routing/upstream_picker_limits_test.cpp
+++ b/src/pathcleat/routing/upstream_picker_limits_test.cpp
@@ -5,7 +5,7 @@
 #include <chrono>
 
 #include "pathcleat/core/hash.hpp"
-#include "picker_world.hpp"
+#include "picker_fixture.hpp"
 #include "property.hpp"
 
 namespace pathcleat {
--- a/src/pathcleat/routing/upstream_picker_test.cpp
+++ b/src/pathcleat/routing/upstream_picker_test.cpp
@@ -6,7 +6,7 @@
 
 #include "pathcleat/core/hash.hpp"
 #include "pathcleat/steer/retry_budget.hpp"
-#include "picker_world.hpp"
+#include "picker_fixture.hpp"
 #include "property.hpp"
 
 namespace pathcleat {
