--- a/include/pathcleat/accounts/account_limiter.hpp
+++ b/include/pathcleat/accounts/account_limiter.hpp
@@ -13,92 +13,100 @@
 
 namespace pathcleat {
 
-/// @brief What one host knows of the fleet when it decides.
+/// @brief What a host has learnt about the rest of the fleet when it decides on
+/// a request of an account.
 /// @ingroup accounts
 struct QuotaInput {
-  AccountUsage other_usage;      ///< what the other hosts take of the account
-  int host_count = 1;            ///< that share its limit, this one included
-  int never_seen_count = 0;      ///< of them, that this host has never heard
-  bool has_silent_host = false;  ///< some that took a share are not heard now
+  AccountUsage other_usage;  ///< sum over all other hosts
+  int host_count = 1;        ///< hosts that share the limit, this one included
+  int never_seen_count = 0;  ///< of them, never heard from by this host
+  bool has_silent_host =
+      false;  ///< a host that used a share does not report now
 };
 
-/// @brief One host's part of one account's limit, with which all hosts together
-/// keep it without asking each other.
+/// @brief One host's part in the enforcement of one account's limit. All hosts
+/// together keep the limit without a request to each other.
 ///
-/// Far below the limit nobody needs a share: each host lets all pass that looks
-/// like the usual. Near it, by what all hosts told, or where much more comes
-/// here than was told, each host takes its share: in proportion to the demand
-/// that it told last, with a small even part for hosts where the account is
-/// new. The shares of all hosts are one whole, as each reckons with what it
-/// told itself and the others heard. While a host is silent, no share grows.
-/// Not thread-safe.
+/// Far below the limit no shares are enforced: each host admits all requests as
+/// long as its own demand is near what it reported. Shares are enforced when
+/// the demand that all hosts reported is near the limit, or when much more
+/// arrives at this host than it reported. A host's share is proportional to the
+/// demand that it reported last, plus a small equal part for hosts where the
+/// account is new. The shares of all hosts sum to 1, as each host computes with
+/// its own last report and with the reports received from the others. While a
+/// host is silent, no share grows. Not thread-safe.
 /// @ingroup accounts
 class AccountLimiter {
  public:
-  /// @param seed differs from host to host: who of many hosts, each with a
-  /// small part of one request, lets one pass.
+  /// @param seed differs from host to host. It spreads the initial token
+  /// fractions, so that when each of many hosts has a small part of one
+  /// request, they don't all admit one at the same time.
   AccountLimiter(const AccountLimit& limit,
                  const QuotaBounds& bounds,
                  std::uint64_t seed);
 
-  /// @brief Changes the limit; a lower one binds at once.
+  /// @brief Changes the limit. A lower limit applies at once.
   void SetLimit(const AccountLimit& limit);
   const AccountLimit& limit() const { return limit_; }
 
-  /// @brief Takes one request, if the limit allows it.
+  /// @brief Admits one request, if the limit allows it.
   bool TryAcquire(const QuotaInput& fleet, Time now);
 
-  /// @brief A request that was taken has not run: it does not count.
+  /// @brief Withdraws an admitted request that has not run: it does not count.
   void Release(Time now);
 
-  /// @brief How long until one more would be taken; zero: now.
+  /// @brief How long until one more request would be admitted; zero: now.
   Duration TimeUntilAvailable(const QuotaInput& fleet, Time now) const;
 
-  /// @brief Between two that are taken, in the long run.
+  /// @brief Mean time between two admitted requests in the long run.
   Duration MeanInterval(const QuotaInput& fleet) const;
 
-  /// @brief What is told to the others; from now on shares go by it.
-  AccountUsage ReportUsage(bool has_silent, Time now);
+  /// @brief The usage to report to the other hosts. From now on this host's
+  /// share is computed from it.
+  /// @param has_silent_host whether some host does not report now.
+  AccountUsage ReportUsage(bool has_silent_host, Time now);
 
-  /// @brief Whether shares bind now.
-  bool IsShareEnforced() const { return shared_; }
+  /// @brief Whether shares are enforced now.
+  bool IsShareEnforced() const { return share_enforced_; }
 
   /// @brief This host's part of the limit, 0 to 1.
   double HostShare(const QuotaInput& fleet) const;
 
-  /// @brief Requests a second that come to this host.
+  /// @brief Requests a second that arrive at this host.
   double Demand(Time now) const { return demand_.PerSecond(now); }
 
-  /// @brief Whether nothing of it matters any more.
+  /// @brief Whether the state can be discarded: no shares are enforced and next
+  /// to no requests arrive.
   bool IsIdle(Time now) const;
 
  private:
   void Advance(const QuotaInput& fleet, Time now);
-  void Share(const QuotaInput& fleet, Time now);
-  double Depth() const;
-  double Capacity(double share) const;
-  double RateOfAll(const QuotaInput& fleet) const;
-  double BeyondLimit(const QuotaInput& fleet, Time now) const;
-  double DemandOfAll(const QuotaInput& fleet, Time now) const;
-  bool IsRush(const QuotaInput& fleet, Time now) const;
-  bool IsLocalRush(Time now) const;
-  double NextFraction();
+  void EnforceShare(const QuotaInput& fleet, Time now);
+  double FleetCapacity() const;
+  double HostCapacity(double share) const;
+  double FleetRate(const QuotaInput& fleet) const;
+  double ExcessDemand(const QuotaInput& fleet, Time now) const;
+  double FleetDemand(const QuotaInput& fleet, Time now) const;
+  bool IsFleetSurge(const QuotaInput& fleet, Time now) const;
+  bool IsLocalSurge(Time now) const;
+  double NextRandomFraction();
 
   AccountLimit limit_;
   QuotaBounds bounds_;
   RateAverage demand_;
   RateAverage admitted_;
-  double told_ = 0;                 ///< demand that the others know of
-  std::array<double, 6> recent_{};  ///< what was told in the last three seconds
-  std::size_t next_recent_ = 0;
-  double level_ = 0;   ///< what all hosts may still take, as far as known
-  double unseen_ = 0;  ///< of it, taken before anybody told of it
-  double tokens_ = 0;  ///< of it, what this host may take
-  bool shared_ = false;
+  double reported_demand_ = 0;  ///< requests a second in the last report
+  std::array<double, 6>
+      recent_demand_{};  ///< demand in the reports of the last 3 s
+  std::size_t next_recent_demand_ = 0;
+  double fleet_tokens_ = 0;    ///< tokens left for all hosts, as far as known
+  double unreported_use_ = 0;  ///< of them, estimated use not reported yet
+  double tokens_ = 0;          ///< of them, what this host may use
+  bool share_enforced_ = false;
   bool started_ = false;
-  Time last_;         ///< up to when level_ and tokens_ are reckoned
-  Time quiet_since_;  ///< demand is below the limit since then
-  std::uint64_t random_;
+  Time updated_at_;     ///< time of fleet_tokens_ and tokens_
+  Time near_limit_at_;  ///< last time demand was near the limit
+  std::uint64_t random_state_;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/accounts/account_table.hpp
+++ b/include/pathcleat/accounts/account_table.hpp
@@ -11,24 +11,23 @@
 
 namespace pathcleat {
 
-/// @brief The client accounts in force, ready for look-ups by key. Not
-/// thread-safe.
+/// @brief The configured client accounts, indexed by key. Not thread-safe.
 /// @ingroup accounts
 class AccountTable {
  public:
   using Accounts = std::shared_ptr<const std::vector<Account>>;
 
-  /// @brief Takes the accounts of a newer configuration over.
+  /// @brief Replaces the accounts by those of a newer configuration.
   void SetAccounts(Accounts accounts);
 
-  /// @brief Whether callers need keys at all.
+  /// @brief Whether callers must authenticate: true if there are accounts.
   bool RequiresKeys() const { return accounts_ && !accounts_->empty(); }
 
-  /// @brief The account that holds a key; null if none does. The pointer keeps
-  /// its version alive.
+  /// @brief The account that a key belongs to; null if there is none. The
+  /// pointer keeps the list it was found in alive.
   std::shared_ptr<const Account> FindByKey(const KeyedDigest& key) const;
 
-  /// @brief The account of a name; null if there is none.
+  /// @brief The account with this name; null if there is none.
   const Account* FindByName(std::string_view name) const;
 
   /// @brief All accounts, in the order of the configuration.
--- a/include/pathcleat/accounts/caller_identity.hpp
+++ b/include/pathcleat/accounts/caller_identity.hpp
@@ -8,32 +8,32 @@
 
 namespace pathcleat {
 
-/// @brief What is wrong with the key that a request carries.
+/// @brief What is wrong with the key of a request.
 /// @ingroup accounts
 enum class ApiKeyFault {
   kNone,
   kMissing,
-  kRepeated,   ///< more than one Authorization field
-  kMalformed,  ///< of another scheme, empty, too long, or not plain ASCII
-  kUnknown,    ///< no account in force holds it
+  kRepeated,   ///< more than one Authorization header
+  kMalformed,  ///< not a bearer key, empty, too long, or not printable ASCII
+  kUnknown,    ///< no configured account has this key
 };
 
-/// @brief Stable lower-case name of a fault, as logs and metrics tell it.
+/// @brief Stable lower-case name of a fault, as used in logs and metrics.
 /// @ingroup accounts
 const char* ReasonOf(ApiKeyFault fault);
 
-/// @brief Who calls.
+/// @brief The account that a request belongs to.
 /// @ingroup accounts
 struct CallerIdentity {
   std::shared_ptr<const Account> account;  ///< null unless fault is kNone
   ApiKeyFault fault = ApiKeyFault::kMissing;
 };
 
-/// @brief Finds the account of a request by the bearer key in its
-/// Authorization field.
+/// @brief Finds the account of a request by the bearer key in its Authorization
+/// header.
 /// @ingroup accounts
 CallerIdentity IdentifyCaller(const HttpHeaders& headers,
                               const AccountTable& accounts,
-                              const KeyedHasher& digester);
+                              const KeyedHasher& hasher);
 
 }  // namespace pathcleat
--- a/include/pathcleat/accounts/keyed_hasher.hpp
+++ b/include/pathcleat/accounts/keyed_hasher.hpp
@@ -11,37 +11,40 @@
 
 namespace pathcleat {
 
-/// @brief What stands for a client account's key everywhere but in the store:
-/// a keyed hash, equal on all hosts of a fleet. The key cannot be told from it.
+/// @brief Keyed hash that replaces a client account's key everywhere but in the
+/// store. It is equal on all hosts of a fleet, and the key cannot be derived
+/// from it.
 /// @ingroup accounts
 using KeyedDigest = std::array<std::uint8_t, 16>;
 
-/// @brief The first few hexadecimal digits of a digest, for operators to tell
-/// keys apart.
+/// @brief The first 8 hexadecimal digits of a digest, by which operators can
+/// distinguish keys.
 /// @ingroup accounts
 std::string ShortHex(const KeyedDigest& digest);
 
-/// @brief Turns keys into digests by a secret of the fleet. Looking digests up
-/// tells by its time nothing of use: who does not know the secret cannot choose
-/// a key whose digest begins like another's. Not thread-safe.
+/// @brief Computes digests of keys with a secret of the fleet. The time that a
+/// look-up of a digest takes reveals nothing useful: without the secret nobody
+/// can choose a key whose digest begins like another key's digest. Not
+/// thread-safe.
 /// @ingroup accounts
 class KeyedHasher {
  public:
-  /// @param purpose keeps this use of the fleet's secret apart from others.
+  /// @param purpose separates this use of the fleet's secret from other uses:
+  /// the same text has another digest for each purpose.
   explicit KeyedHasher(std::string_view purpose = "client account keys")
       : purpose_(purpose) {}
 
-  /// @brief Whether the secret is known.
+  /// @brief Whether the secret has been set.
   bool IsReady() const { return secret_.has_value(); }
 
-  /// @brief The secret is known now; later calls change nothing, as digests
-  /// that are already in use must keep their meaning.
+  /// @brief Sets the secret. Later calls change nothing, as digests that are
+  /// already in use must stay valid.
   void SetSecret(std::string_view secret);
 
-  /// @brief Calls back at once if the secret is known, else when it is.
+  /// @brief Calls back at once if the secret is set, otherwise when it is set.
   void WhenReady(std::function<void()> callback);
 
-  /// @brief The digest of a key. The secret must be known.
+  /// @brief The digest of a key. The secret must have been set.
   KeyedDigest Digest(std::string_view key) const;
 
  private:
@@ -49,7 +52,7 @@
 
   std::string purpose_;
   std::optional<Secret> secret_;
-  std::vector<std::function<void()>> waiting_;
+  std::vector<std::function<void()>> ready_callbacks_;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/accounts/peer_usage.hpp
+++ b/include/pathcleat/accounts/peer_usage.hpp
@@ -11,37 +11,38 @@
 
 namespace pathcleat {
 
-/// @brief What the other hosts take of the accounts' limits, as they last told:
-/// host by host in the own failure domain, domain by domain beyond. A source
-/// that has fallen silent may be dead or cut off, and nobody here can tell
-/// which: it counts with what it told last. Not thread-safe.
+/// @brief Usage of the accounts' limits by the other hosts, by their last
+/// reports: one report for each host of the own failure domain and one for each
+/// other domain. A source that has become silent may be dead or cut off, and
+/// this host cannot find out which: its last report continues to count. Not
+/// thread-safe.
 /// @ingroup accounts
 class PeerUsage {
  public:
   PeerUsage(std::string own_domain, std::string own_host)
       : own_domain_(std::move(own_domain)), own_host_(std::move(own_host)) {}
 
-  /// @brief Takes a report. One that is older than the last of its source is
-  /// passed over, and so is one of this host.
+  /// @brief Stores a report. Reports that are older than the last one of their
+  /// source and reports of this host are ignored.
   void OnReport(const UsageReport& report, Time now);
 
-  /// @brief What all others together take of an account.
+  /// @brief Sum over all other hosts for an account.
   AccountUsage UsageOf(std::uint64_t account) const;
 
-  /// @brief Whether a source is silent that has told something before.
+  /// @brief Whether a source is silent whose last report had entries.
   bool HasSilentSource(Time now) const;
 
-  /// @brief Sources that have been silent for long are forgotten, if most of
-  /// the fleet is heard here: then those are dead, or the smaller part of a
-  /// fleet that was cut apart. The smaller part itself keeps to the share that
-  /// it had.
-  /// @param hears_most whether most of the known hosts are heard.
-  void ExpireSilentSources(bool hears_most, Time now);
+  /// @brief Drops sources that have been silent for 10 s, if this host sees
+  /// most of the fleet: then the silent sources are dead or in the smaller part
+  /// of a network partition. In the smaller part nothing is dropped, so its
+  /// hosts keep the share that they had.
+  /// @param sees_majority whether most of the listed hosts are alive here.
+  void ExpireSilentSources(bool sees_majority, Time now);
 
-  /// @brief A host has ended by a planned stop: what it took is free.
+  /// @brief Drops the usage of a host that ended by a planned stop.
   void RemoveHost(const std::string& host);
 
-  /// @brief Sums of the hosts of the own domain, this one left out.
+  /// @brief Sums over the hosts of the own domain, without this host.
   std::unordered_map<std::uint64_t, AccountUsage> OwnDomainUsage() const;
 
   /// @brief The last reports of the other failure domains.
@@ -50,11 +51,11 @@
  private:
   struct Source {
     UsageReport report;
-    Time heard;
+    Time received_at;
   };
   using SourceName = std::pair<std::string, std::string>;  ///< domain, host
 
-  void Count(const UsageReport& report, double sign);
+  void AddToSums(const UsageReport& report, double sign);
 
   std::string own_domain_;
   std::string own_host_;
--- a/include/pathcleat/accounts/quota_bounds.hpp
+++ b/include/pathcleat/accounts/quota_bounds.hpp
@@ -5,13 +5,13 @@
 
 namespace pathcleat {
 
-/// @brief How far all hosts together may pass an account's limit, as none of
-/// them knows at once what the others take.
+/// @brief How far all hosts together may exceed an account's limit. They can
+/// exceed it because reports of usage reach the other hosts with a delay.
 /// @ingroup accounts
 struct QuotaBounds {
-  Duration window{5'000'000};  ///< any span of that length is counted
-  double overage = 0.1;        ///< share of what a window allows
-  double slack = 20;           ///< requests beyond that
+  Duration window{5'000'000};  ///< any time span of this length is checked
+  double overage = 0.1;  ///< allowed excess, as a share of a window's limit
+  double slack = 20;     ///< requests allowed beyond that
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/accounts/quota_control.hpp
+++ b/include/pathcleat/accounts/quota_control.hpp
@@ -12,64 +12,71 @@
 
 namespace pathcleat {
 
-/// @brief Whether a request is within its account's limit, with what decided.
+/// @brief Whether a request is within its account's limit, and the figures that
+/// the decision is based on.
 /// @ingroup accounts
 struct QuotaDecision {
   bool allowed = true;
   double limit_per_second = 0;
-  double fleet_demand = 0;           ///< requests a second, as known here
-  double share = 1;                  ///< this host's part of the limit
-  Duration time_until_available{0};  ///< until this host may take one more
-  Duration mean_interval{0};  ///< between two that it takes, in the long run
+  double fleet_demand = 0;  ///< requests a second, as far as known to this host
+  double share = 1;         ///< this host's part of the limit
+  Duration time_until_available{0};  ///< until this host may admit another
+  Duration mean_interval{0};         ///< between admitted requests, on average
 };
 
-/// @brief The hosts of the fleet, as they matter to limits.
+/// @brief The hosts that share the limits.
 /// @ingroup accounts
 struct QuotaHosts {
-  int host_count = 1;          ///< this one included
-  int never_seen_count = 0;    ///< of them, not heard since this host started
-  bool sees_majority = false;  ///< most of those that are known
+  int host_count = 1;  ///< this one included
+  int never_seen_count =
+      0;  ///< of them, not heard from since this host started
+  bool sees_majority = false;  ///< most of the listed hosts are alive here
 };
 
-/// @brief Keeps the limits of all accounts at this host, and tells the others
-/// what it takes of them. Not thread-safe.
+/// @brief Enforces the limits of all accounts at this host and reports the
+/// host's usage to the others. Not thread-safe.
 /// @ingroup accounts
 class QuotaControl final : public UsagePublisher {
  public:
-  /// @param seed another one at each host and start.
+  /// @param seed differs at each host and start.
   QuotaControl(const std::string& domain,
                const std::string& host,
                std::uint64_t seed);
 
   void SetBounds(const QuotaBounds& bounds) { bounds_ = bounds; }
 
-  /// @brief Takes the limits of a newer configuration over.
+  /// @brief Replaces the limits by those of a newer configuration.
   void SetAccounts(const std::vector<Account>& accounts);
 
-  /// @brief Who shares the limits. Call a few times a second.
-  void SetHosts(const QuotaHosts& sharers, Time now);
+  /// @brief Sets the hosts that share the limits and drops idle state. Call a
+  /// few times a second.
+  void SetHosts(const QuotaHosts& hosts, Time now);
 
-  /// @brief A host has ended by a planned stop.
-  void OnHostStopped(const std::string& host) { fleet_.RemoveHost(host); }
+  /// @brief A host has ended by a planned stop: its usage is dropped.
+  void OnHostStopped(const std::string& host) { peer_usage_.RemoveHost(host); }
 
-  /// @brief Takes a request of an account.
+  /// @brief Admits or refuses a request of an account.
   QuotaDecision Admit(const Account& account, Time now);
 
-  /// @brief A request that was taken was refused later, and has not run.
+  /// @brief Withdraws an admitted request that was refused later and has not
+  /// run.
   void Release(const Account& account, Time now);
 
   /// @brief Requests a second that come to the fleet from accounts that have
-  /// homes and a limit, by region; those of several homes are shared evenly.
+  /// allowed regions and a limit, by region. The demand of an account with
+  /// several regions is divided evenly among them.
   std::map<std::string, double> DemandByHomeRegion(
       const std::vector<Account>& accounts,
       Time now) const;
 
-  /// @brief What decides on an account now; takes nothing.
+  /// @brief The figures that a decision on the account would be based on now;
+  /// admits nothing.
   QuotaDecision Explain(const Account& account, Time now) const;
 
-  /// @brief Whether a limit came to be shared here since this host last told
-  /// the others: they should know before the next round.
-  bool HasUpdates() const { return has_news_; }
+  /// @brief Whether this host began to enforce shares of a limit since its last
+  /// report. The other hosts should receive a report before the next regular
+  /// one.
+  bool HasUpdates() const { return has_updates_; }
 
   UsageReport OwnUsage(Time now) override;
   UsageReport DomainUsage(Time now) override;
@@ -77,9 +84,9 @@
   void OnUsageReport(const UsageReport& report, Time now) override;
 
  private:
-  bool HasSilent(Time now) const;
+  bool HasSilentHost(Time now) const;
   QuotaInput StateOf(std::uint64_t account, Time now) const;
-  QuotaDecision DecisionOf(const AccountLimiter& meter,
+  QuotaDecision DecisionOf(const AccountLimiter& limiter,
                            const QuotaInput& state,
                            Time now) const;
 
@@ -87,12 +94,13 @@
   std::string host_;
   std::uint64_t seed_;
   QuotaBounds bounds_;
-  PeerUsage fleet_;
-  QuotaHosts sharers_;
-  bool has_news_ = false;
-  std::unordered_map<std::uint64_t, AccountLimiter> meters_;  ///< by AccountId
+  PeerUsage peer_usage_;
+  QuotaHosts hosts_;
+  bool has_updates_ = false;
+  std::unordered_map<std::uint64_t, AccountLimiter>
+      limiters_;  ///< by AccountId
   std::unordered_map<std::uint64_t, AccountUsage>
-      told_;  ///< by this host, last
+      reported_;  ///< last report of this host
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/accounts/rate_average.hpp
+++ b/include/pathcleat/accounts/rate_average.hpp
@@ -8,31 +8,31 @@
 
 namespace pathcleat {
 
-/// @brief How many events a second there are now: each counts less the older
-/// it is. Not thread-safe.
+/// @brief Exponentially weighted average of events a second. Not thread-safe.
 /// @ingroup accounts
 class RateAverage {
  public:
-  /// @brief An event, or the withdrawal of one.
-  /// @param count 1, or -1.
+  /// @brief Adds an event, or withdraws one.
+  /// @param count 1 to add, -1 to withdraw.
   void Add(double count, Time now) {
-    value_ = std::max(0.0, PerSecond(now) + count / kFadeSeconds);
-    last_ = now;
+    value_ = std::max(0.0, PerSecond(now) + count / kDecaySeconds);
+    updated_at_ = now;
   }
 
   double PerSecond(Time now) const {
-    const double age = std::chrono::duration<double>(now - last_).count();
-    return value_ * std::exp(-std::max(0.0, age) / kFadeSeconds);
+    const double age = std::chrono::duration<double>(now - updated_at_).count();
+    return value_ * std::exp(-std::max(0.0, age) / kDecaySeconds);
   }
 
  private:
-  // Two rounds of reports. Shorter, and a few requests a second look like a
-  // rush each time one comes; longer, and a rush is seen late: at 2 s a window
-  // held 1.11 of what it may in the model's "60% killed in a rush", for 0.97.
-  static constexpr double kFadeSeconds = 1;
+  // Two report intervals. With a shorter time single events at a few requests a
+  // second look like a surge; with a longer time a surge is detected late: at 2
+  // s the fullest window of the model's scenario "60% killed in a rush" holds
+  // 1.11 of its limit instead of 0.97.
+  static constexpr double kDecaySeconds = 1;
 
   double value_ = 0;
-  Time last_;
+  Time updated_at_;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/accounts/usage_report.hpp
+++ b/include/pathcleat/accounts/usage_report.hpp
@@ -16,16 +16,16 @@
 /// @brief Requests a second of one account, averaged over about a second.
 /// @ingroup accounts
 struct AccountUsage {
-  double demand = 0;        ///< that come
-  double share_weight = 0;  ///< by which shares go: the demand, or less of it
-  double admitted = 0;      ///< of the demand, within the account's limit
+  double demand = 0;        ///< requests that arrive
+  double share_weight = 0;  ///< weight of the host's share: the demand, or less
+  double admitted = 0;      ///< of the demand, admitted within the limit
 };
 
-/// @brief What one source tells of one account.
+/// @brief Usage of one account as reported by one source.
 /// @ingroup accounts
 struct UsageEntry {
-  std::uint64_t account_id = 0;  ///< AccountId
-  float demand = 0;              ///< as in AccountUsage
+  std::uint64_t account_id = 0;  ///< see AccountId
+  float demand = 0;              ///< this and the next two: as in AccountUsage
   float share_weight = 0;
   float admitted = 0;
 
@@ -35,18 +35,20 @@
   }
 };
 
-/// @brief So many entries fit a datagram of 1,472 bytes, at 20 bytes each.
+/// @brief Maximum number of entries in a report: at 20 bytes each they fit a
+/// datagram of 1,472 bytes.
 /// @ingroup accounts
 inline constexpr std::size_t kMaxUsageEntries = 66;
 
-/// @brief What a host, or all hosts of a failure domain together, take of the
-/// accounts' limits now. An account that is not named takes next to nothing.
+/// @brief Current usage of the accounts' limits by a host, or by all hosts of a
+/// failure domain together. Accounts without an entry have negligible usage.
 /// @ingroup accounts
 struct UsageReport {
   std::string domain;
-  std::string host;  ///< empty: of the whole domain
+  std::string host;  ///< empty: sum over the whole domain
   HybridTime time;
-  bool forward_to_domain = false;  ///< the receiver is to tell its own domain
+  bool forward_to_domain =
+      false;  ///< the receiver sends it on to its own domain
   std::vector<UsageEntry> entries;
 
   template <class Archive>
@@ -55,28 +57,28 @@
   }
 };
 
-/// @brief A report's bytes (cereal, portable binary).
+/// @brief Encodes a report (cereal, portable binary).
 /// @ingroup accounts
 std::string EncodeUsage(const UsageReport& report);
 
-/// @brief Reads a report; nothing if the bytes are none.
+/// @brief Decodes a report; nothing if the bytes are not a report.
 /// @ingroup accounts
 std::optional<UsageReport> DecodeUsage(std::string_view bytes);
 
-/// @brief Who takes part in what hosts tell each other of their usage.
+/// @brief Source and receiver of the usage reports that hosts exchange.
 /// @ingroup accounts
 class UsagePublisher {
  public:
   virtual ~UsagePublisher() = default;
 
-  /// @brief What this host tells the others of its failure domain.
+  /// @brief The report to the other hosts of the own failure domain.
   virtual UsageReport OwnUsage(Time now) = 0;
 
-  /// @brief What it tells other failure domains of its own one.
+  /// @brief The report on the own failure domain to other domains.
   virtual UsageReport DomainUsage(Time now) = 0;
 
-  /// @brief What it knows of other failure domains, for a host that has just
-  /// started beside it.
+  /// @brief The last reports of other failure domains, for a host of the own
+  /// domain that has just started.
   virtual std::vector<UsageReport> UsageSnapshot() const = 0;
 
   virtual void OnUsageReport(const UsageReport& report, Time now) = 0;
--- a/src/pathcleat/accounts/account.cpp
+++ b/src/pathcleat/accounts/account.cpp
@@ -10,14 +10,14 @@
 namespace pathcleat {
 namespace {
 
-// No fleet takes more; beyond it a number is a mistake.
-constexpr double kMostPerSecond = 1e9;
+// No fleet admits more requests a second; a larger number is a mistake.
+constexpr double kMaxPerSecond = 1e9;
 
-bool IsSensible(double number) {
-  return number >= 0 && number <= kMostPerSecond;
+bool IsInRange(double number) {
+  return number >= 0 && number <= kMaxPerSecond;
 }
 
-std::string_view TextOf(const KeyedDigest& digest) {
+std::string_view BytesOf(const KeyedDigest& digest) {
   return {reinterpret_cast<const char*>(digest.data()), digest.size()};
 }
 
@@ -28,21 +28,21 @@
 }
 
 std::uint64_t ContentHash(const Account& account) {
-  FieldHash mark;
-  mark.Add(account.name);
-  mark.Add(account.key_digests.size());
+  FieldHash hash;
+  hash.Add(account.name);
+  hash.Add(account.key_digests.size());
   for (const KeyedDigest& key : account.key_digests) {
-    mark.Add(TextOf(key));
+    hash.Add(BytesOf(key));
   }
-  mark.Add(account.priority.has_value());
-  mark.Add(account.priority.value_or(0));
-  mark.Add(account.limit.per_second);
-  mark.Add(account.limit.burst);
-  mark.Add(account.allowed_regions.size());
+  hash.Add(account.priority.has_value());
+  hash.Add(account.priority.value_or(0));
+  hash.Add(account.limit.per_second);
+  hash.Add(account.limit.burst);
+  hash.Add(account.allowed_regions.size());
   for (const std::string& region : account.allowed_regions) {
-    mark.Add(region);
+    hash.Add(region);
   }
-  return mark.hash();
+  return hash.hash();
 }
 
 std::optional<std::string> ValidateAccounts(
@@ -54,16 +54,16 @@
       return "an account has no name";
     }
     if (!names.insert(account.name).second) {
-      return "two accounts are called '" + account.name + "'";
+      return "account name '" + account.name + "' is used twice";
     }
-    if (!IsSensible(account.limit.per_second) ||
-        !IsSensible(account.limit.burst)) {
-      return "the limit of account '" + account.name +
-             "' is below zero or beyond any sense";
+    if (!IsInRange(account.limit.per_second) ||
+        !IsInRange(account.limit.burst)) {
+      return "rate or burst of account '" + account.name +
+             "' is not between 0 and 1e9";
     }
     for (const KeyedDigest& key : account.key_digests) {
       if (!keys.insert(key).second) {
-        return "a key of account '" + account.name + "' stands twice";
+        return "a key of account '" + account.name + "' is used twice";
       }
     }
   }
--- a/src/pathcleat/accounts/account_test.cpp
+++ b/src/pathcleat/accounts/account_test.cpp
@@ -10,22 +10,25 @@
 namespace pathcleat {
 namespace {
 
-Account Named(const std::string& name, std::uint8_t key) {
+Account MakeAccount(const std::string& name, std::uint8_t key) {
   Account account;
   account.name = name;
   account.key_digests = {KeyedDigest{key}};
   return account;
 }
 
-Test(account, what_is_ambiguous_is_refused) {
-  cr_assert_not(ValidateAccounts({Named("a", 1), Named("b", 2)}).has_value());
-  cr_assert(ValidateAccounts({Named("", 1)}).has_value(), "no name");
-  cr_assert(ValidateAccounts({Named("a", 1), Named("a", 2)}).has_value(),
-            "one name");
-  cr_assert(ValidateAccounts({Named("a", 1), Named("b", 1)}).has_value(),
-            "one key");
+Test(account, ambiguous_accounts_are_refused) {
+  cr_assert_not(
+      ValidateAccounts({MakeAccount("a", 1), MakeAccount("b", 2)}).has_value());
+  cr_assert(ValidateAccounts({MakeAccount("", 1)}).has_value(), "no name");
+  cr_assert(
+      ValidateAccounts({MakeAccount("a", 1), MakeAccount("a", 2)}).has_value(),
+      "one name");
+  cr_assert(
+      ValidateAccounts({MakeAccount("a", 1), MakeAccount("b", 1)}).has_value(),
+      "one key");
   for (const double number : {-1.0, 1e12, std::nan("")}) {
-    Account account = Named("a", 1);
+    Account account = MakeAccount("a", 1);
     account.limit.per_second = number;
     cr_assert(ValidateAccounts({account}).has_value(), "a rate of %f", number);
     account.limit = {1, number};
@@ -33,7 +36,7 @@
   }
 }
 
-Test(account, burst_without_rate_and_account_without_keys_are_no_fault) {
+Test(account, burst_without_rate_and_account_without_keys_are_valid) {
   Account account;
   account.name = "a";
   account.limit.burst = 5;
@@ -41,9 +44,10 @@
   cr_assert_not(account.limit.IsSet());
 }
 
-// A host that took an account for unchanged would go on by the old one.
-Test(account, accounts_that_differ_in_any_field_have_other_marks) {
-  const Account plain = Named("a", 1);
+// Guards against a host that takes a changed account for unchanged and keeps
+// the old version.
+Test(account, accounts_that_differ_in_any_field_have_different_hashes) {
+  const Account plain = MakeAccount("a", 1);
   std::vector<Account> accounts(8, plain);
   accounts[1].name = "b";
   accounts[2].key_digests = {KeyedDigest{2}};
@@ -52,20 +56,21 @@
   accounts[5].limit.per_second = 1;
   accounts[6].limit.burst = 1;
   accounts[7].allowed_regions = {"north"};
-  std::vector<std::uint64_t> marks;
+  std::vector<std::uint64_t> hashes;
   for (const Account& account : accounts) {
-    marks.push_back(ContentHash(account));
+    hashes.push_back(ContentHash(account));
   }
-  std::sort(marks.begin(), marks.end());
-  cr_assert(std::adjacent_find(marks.begin(), marks.end()) == marks.end());
+  std::sort(hashes.begin(), hashes.end());
+  cr_assert(std::adjacent_find(hashes.begin(), hashes.end()) == hashes.end());
 }
 
-// A request under way keeps the account that it came with.
-Test(account_table, accounts_found_outlive_their_version) {
+// Guards against a dangling account: a request in flight keeps its account
+// after the configuration was replaced.
+Test(account_table, found_account_outlives_its_configuration) {
   AccountTable table;
   cr_assert_not(table.RequiresKeys());
   table.SetAccounts(std::make_shared<std::vector<Account>>(
-      std::vector<Account>{Named("a", 1)}));
+      std::vector<Account>{MakeAccount("a", 1)}));
   const auto found = table.FindByKey(KeyedDigest{1});
   table.SetAccounts(std::make_shared<std::vector<Account>>());
   cr_assert_eq(found->name, "a");
--- a/src/pathcleat/accounts/caller_identity.cpp
+++ b/src/pathcleat/accounts/caller_identity.cpp
@@ -9,22 +9,23 @@
 namespace pathcleat {
 namespace {
 
-constexpr std::string_view kField = "Authorization";
+constexpr std::string_view kHeaderName = "Authorization";
 constexpr std::string_view kScheme = "Bearer ";
-// Keys of today have 20 characters; a token of another kind may have hundreds.
-constexpr std::size_t kLongestKey = 1'024;
+// Keys issued today have 20 characters; tokens of other kinds may have
+// hundreds.
+constexpr std::size_t kMaxKeyLength = 1'024;
 
-bool IsPlain(char character) {
+bool IsPrintable(char character) {
   return character > ' ' && character <= '~';
 }
 
-std::optional<std::string_view> KeyIn(std::string_view value) {
+std::optional<std::string_view> ParseBearerKey(std::string_view value) {
   if (!boost::beast::iequals(value.substr(0, kScheme.size()), kScheme)) {
     return std::nullopt;
   }
   const std::string_view key = value.substr(kScheme.size());
-  const bool plain = std::all_of(key.begin(), key.end(), IsPlain);
-  if (key.empty() || key.size() > kLongestKey || !plain) {
+  const bool printable = std::all_of(key.begin(), key.end(), IsPrintable);
+  if (key.empty() || key.size() > kMaxKeyLength || !printable) {
     return std::nullopt;
   }
   return key;
@@ -50,10 +51,10 @@
 
 CallerIdentity IdentifyCaller(const HttpHeaders& headers,
                               const AccountTable& accounts,
-                              const KeyedHasher& digester) {
+                              const KeyedHasher& hasher) {
   const HttpHeader* field = nullptr;
   for (const HttpHeader& header : headers) {
-    if (!boost::beast::iequals(header.name, kField)) {
+    if (!boost::beast::iequals(header.name, kHeaderName)) {
       continue;
     }
     if (field != nullptr) {
@@ -64,11 +65,11 @@
   if (field == nullptr) {
     return {nullptr, ApiKeyFault::kMissing};
   }
-  const auto key = KeyIn(field->value);
+  const auto key = ParseBearerKey(field->value);
   if (!key) {
     return {nullptr, ApiKeyFault::kMalformed};
   }
-  auto account = accounts.FindByKey(digester.Digest(*key));
+  auto account = accounts.FindByKey(hasher.Digest(*key));
   if (!account) {
     return {nullptr, ApiKeyFault::kUnknown};
   }
--- a/src/pathcleat/accounts/keyed_hasher.cpp
+++ b/src/pathcleat/accounts/keyed_hasher.cpp
@@ -11,7 +11,7 @@
 namespace pathcleat {
 namespace {
 
-constexpr std::size_t kBytesShown = 4;
+constexpr std::size_t kShortHexBytes = 4;
 
 const unsigned char* Bytes(std::string_view text) {
   return reinterpret_cast<const unsigned char*>(text.data());
@@ -24,7 +24,7 @@
   constexpr unsigned kHalfByte = 4;
   constexpr unsigned kLowHalf = 0xF;
   std::string text;
-  for (std::size_t i = 0; i < kBytesShown; ++i) {
+  for (std::size_t i = 0; i < kShortHexBytes; ++i) {
     text += kDigits[digest.at(i) >> kHalfByte];
     text += kDigits[digest.at(i) & kLowHalf];
   }
@@ -42,7 +42,7 @@
       Bytes(secret),
       std::min<std::size_t>(secret.size(), crypto_generichash_KEYBYTES_MAX));
   secret_ = derived;
-  for (const auto& callback : std::exchange(waiting_, {})) {
+  for (const auto& callback : std::exchange(ready_callbacks_, {})) {
     callback();
   }
 }
@@ -51,12 +51,12 @@
   if (secret_) {
     callback();
   } else {
-    waiting_.push_back(std::move(callback));
+    ready_callbacks_.push_back(std::move(callback));
   }
 }
 
-// SipHash is a keyed function whose results cannot be foretold without its
-// secret, and takes a tenth of the time of a general hash on so short a text.
+// SipHash is a keyed function whose results cannot be predicted without the
+// secret, and takes a tenth of the time of a general hash on such a short text.
 KeyedDigest KeyedHasher::Digest(std::string_view key) const {
   static_assert(crypto_shorthash_siphashx24_BYTES == sizeof(KeyedDigest));
   KeyedDigest digest{};
--- a/src/pathcleat/accounts/peer_usage.cpp
+++ b/src/pathcleat/accounts/peer_usage.cpp
@@ -6,13 +6,16 @@
 namespace pathcleat {
 namespace {
 
-// Reports come twice a second; as long as a host counts as alive unheard.
-constexpr Duration kSilence{2'500'000};
-// Longer than cuts of a few seconds, and than a killed process takes to come
-// back: within it a share that may be in use elsewhere is not used here.
-constexpr Duration kForgetAfter{10'000'000};
-// What rounding leaves of a sum whose parts are gone.
-constexpr double kNothing = 1e-3;
+// Reports come twice a second. Equal to the time for which a host counts as
+// alive without a heartbeat.
+constexpr Duration kSilenceTimeout{2'500'000};
+// Longer than network cuts of a few seconds and than the restart of a killed
+// process: until then a share that may still be in use elsewhere is not used
+// here.
+constexpr Duration kSilentSourceTtl{10'000'000};
+// Rounding error that may remain in a sum after its parts were subtracted, in
+// requests a second.
+constexpr double kNegligibleDemand = 1e-3;
 
 }  // namespace
 
@@ -26,18 +29,18 @@
   if (!(source.report.time < report.time)) {
     return;
   }
-  Count(source.report, -1);
+  AddToSums(source.report, -1);
   source = {report, now};
-  Count(report, 1);
+  AddToSums(report, 1);
 }
 
-void PeerUsage::Count(const UsageReport& report, double sign) {
+void PeerUsage::AddToSums(const UsageReport& report, double sign) {
   for (const UsageEntry& entry : report.entries) {
     AccountUsage& sum = sums_[entry.account_id];
     sum.demand += sign * entry.demand;
     sum.share_weight += sign * entry.share_weight;
     sum.admitted += sign * entry.admitted;
-    if (sum.demand < kNothing) {
+    if (sum.demand < kNegligibleDemand) {
       sums_.erase(entry.account_id);
     }
   }
@@ -50,17 +53,18 @@
 
 bool PeerUsage::HasSilentSource(Time now) const {
   return std::any_of(sources_.begin(), sources_.end(), [now](const auto& s) {
-    return now - s.second.heard > kSilence && !s.second.report.entries.empty();
+    return now - s.second.received_at > kSilenceTimeout &&
+           !s.second.report.entries.empty();
   });
 }
 
-void PeerUsage::ExpireSilentSources(bool hears_most, Time now) {
-  if (!hears_most) {
+void PeerUsage::ExpireSilentSources(bool sees_majority, Time now) {
+  if (!sees_majority) {
     return;
   }
   for (auto source = sources_.begin(); source != sources_.end();) {
-    if (now - source->second.heard > kForgetAfter) {
-      Count(source->second.report, -1);
+    if (now - source->second.received_at > kSilentSourceTtl) {
+      AddToSums(source->second.report, -1);
       source = sources_.erase(source);
     } else {
       ++source;
@@ -71,7 +75,7 @@
 void PeerUsage::RemoveHost(const std::string& host) {
   const auto source = sources_.find({own_domain_, host});
   if (source != sources_.end()) {
-    Count(source->second.report, -1);
+    AddToSums(source->second.report, -1);
     sources_.erase(source);
   }
 }
--- a/src/pathcleat/accounts/quota_control.cpp
+++ b/src/pathcleat/accounts/quota_control.cpp
@@ -9,28 +9,29 @@
 namespace pathcleat {
 namespace {
 
-// A host tells of an account only if the fleet would be above this part of its
-// limit were all hosts as busy with it: what hosts leave untold stays below it.
-constexpr double kToldFrom = 0.1;
-
-// The busiest accounts, as many as fit one report.
-std::vector<UsageEntry> Busiest(
-    const std::unordered_map<std::uint64_t, AccountUsage>& uses) {
+// A host reports an account only if the fleet would exceed this part of the
+// account's limit with all hosts as busy as this one: so the unreported demand
+// of all hosts stays below this part.
+constexpr double kMinReportedRatio = 0.1;
+
+// The entries with the highest demand, as many as fit one report.
+std::vector<UsageEntry> TopEntries(
+    const std::unordered_map<std::uint64_t, AccountUsage>& usages) {
   std::vector<UsageEntry> entries;
-  entries.reserve(uses.size());
-  for (const auto& [account, use] : uses) {
-    entries.push_back({account, static_cast<float>(use.demand),
-                       static_cast<float>(use.share_weight),
-                       static_cast<float>(use.admitted)});
+  entries.reserve(usages.size());
+  for (const auto& [account, usage] : usages) {
+    entries.push_back({account, static_cast<float>(usage.demand),
+                       static_cast<float>(usage.share_weight),
+                       static_cast<float>(usage.admitted)});
   }
   if (entries.size() > kMaxUsageEntries) {
-    const auto most =
+    const auto end =
         entries.begin() + static_cast<std::ptrdiff_t>(kMaxUsageEntries);
-    std::nth_element(entries.begin(), most, entries.end(),
+    std::nth_element(entries.begin(), end, entries.end(),
                      [](const UsageEntry& a, const UsageEntry& b) {
                        return a.demand > b.demand;
                      });
-    entries.erase(most, entries.end());
+    entries.erase(end, entries.end());
   }
   return entries;
 }
@@ -40,7 +41,7 @@
 QuotaControl::QuotaControl(const std::string& domain,
                            const std::string& host,
                            std::uint64_t seed)
-    : domain_(domain), host_(host), seed_(seed), fleet_(domain, host) {}
+    : domain_(domain), host_(host), seed_(seed), peer_usage_(domain, host) {}
 
 void QuotaControl::SetAccounts(const std::vector<Account>& accounts) {
   std::unordered_map<std::uint64_t, AccountLimit> limits;
@@ -49,41 +50,42 @@
       limits.emplace(AccountId(account), account.limit);
     }
   }
-  std::erase_if(meters_, [&limits](const auto& meter) {
-    return !limits.contains(meter.first);
+  std::erase_if(limiters_, [&limits](const auto& limiter) {
+    return !limits.contains(limiter.first);
   });
-  for (auto& [account, meter] : meters_) {
-    if (meter.limit() != limits.at(account)) {
-      meter.SetLimit(limits.at(account));
+  for (auto& [account, limiter] : limiters_) {
+    if (limiter.limit() != limits.at(account)) {
+      limiter.SetLimit(limits.at(account));
     }
   }
 }
 
-void QuotaControl::SetHosts(const QuotaHosts& sharers, Time now) {
-  sharers_ = sharers;
-  fleet_.ExpireSilentSources(sharers.sees_majority, now);
-  std::erase_if(meters_,
-                [now](const auto& meter) { return meter.second.IsIdle(now); });
+void QuotaControl::SetHosts(const QuotaHosts& hosts, Time now) {
+  hosts_ = hosts;
+  peer_usage_.ExpireSilentSources(hosts.sees_majority, now);
+  std::erase_if(limiters_, [now](const auto& limiter) {
+    return limiter.second.IsIdle(now);
+  });
 }
 
-bool QuotaControl::HasSilent(Time now) const {
-  return sharers_.never_seen_count > 0 || fleet_.HasSilentSource(now);
+bool QuotaControl::HasSilentHost(Time now) const {
+  return hosts_.never_seen_count > 0 || peer_usage_.HasSilentSource(now);
 }
 
 QuotaInput QuotaControl::StateOf(std::uint64_t account, Time now) const {
-  return {fleet_.UsageOf(account), sharers_.host_count,
-          sharers_.never_seen_count, HasSilent(now)};
+  return {peer_usage_.UsageOf(account), hosts_.host_count,
+          hosts_.never_seen_count, HasSilentHost(now)};
 }
 
-QuotaDecision QuotaControl::DecisionOf(const AccountLimiter& meter,
+QuotaDecision QuotaControl::DecisionOf(const AccountLimiter& limiter,
                                        const QuotaInput& state,
                                        Time now) const {
   QuotaDecision decision;
-  decision.limit_per_second = meter.limit().per_second;
-  decision.fleet_demand = state.other_usage.demand + meter.Demand(now);
-  decision.share = meter.HostShare(state);
-  decision.time_until_available = meter.TimeUntilAvailable(state, now);
-  decision.mean_interval = meter.MeanInterval(state);
+  decision.limit_per_second = limiter.limit().per_second;
+  decision.fleet_demand = state.other_usage.demand + limiter.Demand(now);
+  decision.share = limiter.HostShare(state);
+  decision.time_until_available = limiter.TimeUntilAvailable(state, now);
+  decision.mean_interval = limiter.MeanInterval(state);
   return decision;
 }
 
@@ -92,25 +94,25 @@
     return {};
   }
   const std::uint64_t id = AccountId(account);
-  AccountLimiter& meter =
-      meters_.try_emplace(id, account.limit, bounds_, MixHashes(seed_, id))
+  AccountLimiter& limiter =
+      limiters_.try_emplace(id, account.limit, bounds_, MixHashes(seed_, id))
           .first->second;
   const QuotaInput state = StateOf(id, now);
-  const bool was_shared = meter.IsShareEnforced();
-  const bool allowed = meter.TryAcquire(state, now);
-  has_news_ = has_news_ || (meter.IsShareEnforced() && !was_shared);
+  const bool was_shared = limiter.IsShareEnforced();
+  const bool allowed = limiter.TryAcquire(state, now);
+  has_updates_ = has_updates_ || (limiter.IsShareEnforced() && !was_shared);
   QuotaDecision decision;
   if (!allowed) {
-    decision = DecisionOf(meter, state, now);
+    decision = DecisionOf(limiter, state, now);
   }
   decision.allowed = allowed;
   return decision;
 }
 
 void QuotaControl::Release(const Account& account, Time now) {
-  const auto meter = meters_.find(AccountId(account));
-  if (meter != meters_.end()) {
-    meter->second.Release(now);
+  const auto limiter = limiters_.find(AccountId(account));
+  if (limiter != limiters_.end()) {
+    limiter->second.Release(now);
   }
 }
 
@@ -122,11 +124,12 @@
     if (account.allowed_regions.empty() || !account.limit.IsSet()) {
       continue;
     }
-    const QuotaDecision use = Explain(account, now);
-    const double taken = std::min(use.fleet_demand, use.limit_per_second);
+    const QuotaDecision decision = Explain(account, now);
+    const double admitted =
+        std::min(decision.fleet_demand, decision.limit_per_second);
     for (const std::string& region : account.allowed_regions) {
       demand[region] +=
-          taken / static_cast<double>(account.allowed_regions.size());
+          admitted / static_cast<double>(account.allowed_regions.size());
     }
   }
   return demand;
@@ -138,53 +141,53 @@
   }
   const std::uint64_t id = AccountId(account);
   const QuotaInput state = StateOf(id, now);
-  const auto known = meters_.find(id);
-  return known == meters_.end()
+  const auto found = limiters_.find(id);
+  return found == limiters_.end()
              ? DecisionOf(AccountLimiter(account.limit, bounds_, seed_), state,
                           now)
-             : DecisionOf(known->second, state, now);
+             : DecisionOf(found->second, state, now);
 }
 
 UsageReport QuotaControl::OwnUsage(Time now) {
-  const bool has_silent = HasSilent(now);
-  has_news_ = false;
-  told_.clear();
-  for (auto& [account, meter] : meters_) {
-    const AccountUsage use = meter.ReportUsage(has_silent, now);
-    if (use.demand * sharers_.host_count >
-        kToldFrom * meter.limit().per_second) {
-      told_.emplace(account, use);
+  const bool has_silent_host = HasSilentHost(now);
+  has_updates_ = false;
+  reported_.clear();
+  for (auto& [account, limiter] : limiters_) {
+    const AccountUsage usage = limiter.ReportUsage(has_silent_host, now);
+    if (usage.demand * hosts_.host_count >
+        kMinReportedRatio * limiter.limit().per_second) {
+      reported_.emplace(account, usage);
     }
   }
   UsageReport report;
   report.domain = domain_;
   report.host = host_;
-  report.entries = Busiest(told_);
+  report.entries = TopEntries(reported_);
   return report;
 }
 
 UsageReport QuotaControl::DomainUsage(Time /*now*/) {
   std::unordered_map<std::uint64_t, AccountUsage> sums =
-      fleet_.OwnDomainUsage();
-  for (const auto& [account, use] : told_) {
+      peer_usage_.OwnDomainUsage();
+  for (const auto& [account, usage] : reported_) {
     AccountUsage& sum = sums[account];
-    sum.demand += use.demand;
-    sum.share_weight += use.share_weight;
-    sum.admitted += use.admitted;
+    sum.demand += usage.demand;
+    sum.share_weight += usage.share_weight;
+    sum.admitted += usage.admitted;
   }
   UsageReport report;
   report.domain = domain_;
   report.forward_to_domain = true;
-  report.entries = Busiest(sums);
+  report.entries = TopEntries(sums);
   return report;
 }
 
 std::vector<UsageReport> QuotaControl::UsageSnapshot() const {
-  return fleet_.OtherDomainReports();
+  return peer_usage_.OtherDomainReports();
 }
 
 void QuotaControl::OnUsageReport(const UsageReport& report, Time now) {
-  fleet_.OnReport(report, now);
+  peer_usage_.OnReport(report, now);
 }
 
 }  // namespace pathcleat
