--- a/include/pathcleat/steer/config_change.hpp
+++ b/include/pathcleat/steer/config_change.hpp
@@ -11,7 +11,8 @@
 
 namespace pathcleat {
 
-/// @brief Stops or resumes new work to one upstream.
+/// @brief Drains an upstream or ends its drain. A drained upstream gets no new
+/// work.
 /// @ingroup steer
 struct SetUpstreamDrain {
   std::string upstream;
@@ -23,7 +24,7 @@
   }
 };
 
-/// @brief Stops or resumes new work to all upstreams of a region.
+/// @brief Drains all upstreams of a region or ends their drain.
 /// @ingroup steer
 struct SetRegionDrain {
   std::string region;
@@ -35,7 +36,8 @@
   }
 };
 
-/// @brief Starts a shift; it replaces the service's shift out of that region.
+/// @brief Starts a shift. It replaces the service's shift out of the same
+/// region.
 /// @ingroup steer
 struct StartShift {
   ShiftPlan plan;
--- a/include/pathcleat/steer/config_log.hpp
+++ b/include/pathcleat/steer/config_log.hpp
@@ -10,33 +10,34 @@
 
 namespace pathcleat {
 
-/// @brief The configuration in force at one host and its newest changes, from
-/// which peers that lag are served. The version only ever rises. Not
+/// @brief The configuration of one host and its newest changes, from which
+/// peers with older versions are updated. The version never decreases. Not
 /// thread-safe.
 /// @ingroup steer
 class ConfigLog {
  public:
-  /// @param kept_changes how many changes are kept for peers.
+  /// @param kept_changes maximum number of changes kept for peers.
   explicit ConfigLog(std::size_t kept_changes);
 
   const ConfigState& state() const { return state_; }
   std::uint64_t version() const { return state_.version; }
 
-  /// @brief Applies those of the changes that follow on; the rest is left.
+  /// @brief Applies each change whose version directly follows the current
+  /// version, and skips the other changes.
   /// @return the changes that were applied.
   std::vector<ConfigChange> Apply(const std::vector<ConfigChange>& changes);
 
-  /// @brief Takes over a whole state, if it is newer.
-  /// @return whether it was.
+  /// @brief Replaces the state by another one if that is newer.
+  /// @return whether it was newer.
   bool ReplaceIfNewer(const ConfigState& state);
 
   /// @brief The changes after a version, oldest first.
-  /// @param most largest number to return.
+  /// @param max_changes maximum number to return.
   /// @return empty if there are none, or if they are no longer kept.
   std::vector<ConfigChange> ChangesAfter(std::uint64_t version,
-                                         std::size_t most) const;
+                                         std::size_t max_changes) const;
 
-  /// @brief Whether a peer at this version can be served by changes.
+  /// @brief Whether a peer at this version can be updated by kept changes.
   bool CanReplayFrom(std::uint64_t version) const;
 
  private:
--- a/include/pathcleat/steer/config_state.hpp
+++ b/include/pathcleat/steer/config_state.hpp
@@ -12,15 +12,16 @@
 
 namespace pathcleat {
 
-/// @brief The configuration at one version: all changes up to it, applied.
+/// @brief The configuration at one version: the result of all changes up to it.
 /// @ingroup steer
 struct ConfigState {
-  std::uint64_t version = 0;  ///< 0: what the settings say
+  std::uint64_t version = 0;  ///< 0: the settings, without any change
   std::set<std::string> drained_upstreams;
   std::set<std::string> drained_regions;
   std::map<std::pair<std::string, std::string>, ShiftPlan>
-      shifts;                             ///< by service and region left
-  std::vector<AssignClientBlock> blocks;  ///< in order; later ones win
+      shifts;  ///< by service and source region
+  std::vector<AssignClientBlock>
+      blocks;  ///< in order; later blocks override earlier ones
   RolloutStates rollouts;
 
   template <class Archive>
@@ -31,7 +32,8 @@
 };
 
 /// @brief Applies the next change.
-/// @return false, and nothing changed, unless it is version + 1.
+/// @return false, without any effect, unless the change's version is the
+/// state's version + 1.
 /// @ingroup steer
 bool Apply(ConfigState& state, const ConfigChange& change);
 
--- a/include/pathcleat/steer/key_claim.hpp
+++ b/include/pathcleat/steer/key_claim.hpp
@@ -13,36 +13,37 @@
 /// @ingroup steer
 enum class KeyState {
   kRunning,   ///< claimed; its request may be running
-  kFinished,  ///< it ran, and the answer is kept
-  kUnknown,   ///< it may have run; it is never run again
+  kFinished,  ///< its request ran, and the response is stored
+  kUnknown,   ///< its request may have run; it is never run again
 };
 
-/// @brief What the claim needs to know of a row that was read.
+/// @brief The parts of a row read from the store that the claim's decision
+/// depends on.
 /// @ingroup steer
 struct ObservedKey {
   std::uint64_t version = 0;  ///< 0: there is no row
   KeyState state = KeyState::kRunning;
-  std::string token;              ///< of the claim that wrote it
+  std::string token;              ///< of the claim that wrote the row
   std::uint64_t fingerprint = 0;  ///< of the request
-  bool is_overdue = false;        ///< its request must have ended by now
+  bool is_overdue = false;        ///< the deadline of its request has passed
 };
 
-/// @brief What to do next with a keyed request.
+/// @brief Next step for a request with an idempotency key.
 /// @ingroup steer
 enum class KeyAction {
   kPut,             ///< write the claim if there is no row
   kRead,            ///< read the row
-  kRun,             ///< the key is this request's: run it, once
-  kReplayAnswer,    ///< give the kept answer
-  kAnswerRunning,   ///< say that it is still running
-  kAnswerUnknown,   ///< say that it may have run
+  kRun,             ///< this request owns the key: run it, once
+  kReplayAnswer,    ///< send the stored response
+  kAnswerRunning,   ///< answer that the request is still running
+  kAnswerUnknown,   ///< answer that the request may have run
   kAnswerMismatch,  ///< the key was used for another request
-  kRefuseNotRun,    ///< the claim cannot be kept: refuse, not run
+  kRefuseNotRun,    ///< the claim is not confirmed: refuse as not run
 };
 
-/// @brief Decides whether a keyed request may be run. kRun is given at most
-/// once for a key, over all hosts, for any order of lost, late or repeated
-/// store answers. Pure state; not thread-safe.
+/// @brief Decides whether a request with an idempotency key may be run. kRun is
+/// returned at most once for a key over all hosts, for any order of lost, late
+/// or repeated store answers. Does no I/O; not thread-safe.
 /// @ingroup steer
 class KeyClaim {
  public:
@@ -52,14 +53,14 @@
 
   KeyAction Start() const { return KeyAction::kPut; }
 
-  /// @brief Answer to kPut.
+  /// @brief Handles the store's answer to kPut.
   /// @param version of the row, for kDone.
   KeyAction OnPut(StoreOutcome outcome, std::uint64_t version);
 
-  /// @brief Answer to kRead.
+  /// @brief Handles the row read for kRead.
   KeyAction OnRead(const ObservedKey& row);
 
-  /// @brief The read failed.
+  /// @brief Handles a failed read.
   static KeyAction OnReadFailed();
 
   const std::string& token() const { return token_; }
@@ -74,7 +75,7 @@
   std::string token_;
   std::uint64_t fingerprint_;
   std::uint64_t version_ = 0;
-  int tries_left_;
+  int retries_left_;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/steer/retry_budget.hpp
+++ b/include/pathcleat/steer/retry_budget.hpp
@@ -5,34 +5,35 @@
 
 namespace pathcleat {
 
-/// @brief Allows retries up to a share of first attempts, so that overload
-/// does not feed on itself. Not thread-safe.
+/// @brief Limits retries to a share of first attempts, so that retries do not
+/// amplify an overload. Not thread-safe.
 /// @ingroup steer
 class RetryBudget {
  public:
-  /// @param share retries allowed a first attempt, e.g. 0.1.
-  /// @param burst most retries that can be saved up.
+  /// @param share retries added by each first attempt, e.g. 0.1.
+  /// @param burst maximum number of retries saved up.
   RetryBudget(double share, double burst);
 
   void OnFirstAttempt();
 
-  /// @brief Changes how much can be saved up; more than that is lost.
+  /// @brief Changes how many retries can be saved up. Saved retries beyond that
+  /// are lost.
   void SetBurst(double burst);
 
-  /// @brief Takes one retry, if there is one.
+  /// @brief Uses one retry, if one is available.
   bool TryAcquire();
 
-  /// @brief Retries taken since the start.
-  std::uint64_t used() const { return taken_; }
+  /// @brief Retries used since the start.
+  std::uint64_t used() const { return used_; }
 
-  /// @brief Retries that may be taken now.
-  double remaining() const { return saved_; }
+  /// @brief Retries available now.
+  double remaining() const { return remaining_; }
 
  private:
   double share_;
   double burst_;
-  double saved_;
-  std::uint64_t taken_ = 0;
+  double remaining_;
+  std::uint64_t used_ = 0;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/steer/rollout_step.hpp
+++ b/include/pathcleat/steer/rollout_step.hpp
@@ -10,28 +10,29 @@
 
 namespace pathcleat {
 
-/// @brief How far a version rollout has come. The last two are final.
+/// @brief Progress of a version rollout. The last two phases are final.
 /// @ingroup steer
 enum class RolloutPhase : std::uint8_t {
-  kRunning,     ///< a small share of the requests tries the new version
-  kPromoted,    ///< all requests go to the new version; the old one finishes
+  kRunning,     ///< a small share of requests goes to the new version
+  kPromoted,    ///< new requests go to the new version; the old finishes
   kCompleted,   ///< the old version may end at once
-  kRolledBack,  ///< nothing more goes to the new version
+  kRolledBack,  ///< no more requests go to the new version
 };
 
-/// @brief Stable lower-case name of a phase, as logs and operators see it.
+/// @brief Stable lower-case name of a phase, as used in logs and shown to
+/// operators.
 /// @ingroup steer
 const char* ToString(RolloutPhase phase);
 
-/// @brief One decision on a rollout, as a change of the configuration.
+/// @brief One decision on a rollout, stored as a change of the configuration.
 /// @ingroup steer
 struct RolloutStep {
   std::string service;
-  std::uint64_t order_id = 0;  ///< which one; 0: whichever is in force
+  std::uint64_t order_id = 0;  ///< order that it belongs to; 0: the current one
   std::string version;         ///< that the order asks for
   RolloutPhase phase = RolloutPhase::kRunning;
   std::set<std::string>
-      replaced_versions;  ///< for kPromoted: versions to leave
+      replaced_versions;  ///< for kPromoted: versions that get no new requests
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -59,14 +60,14 @@
   }
 };
 
-/// @brief By service.
+/// @brief Rollout states by service.
 /// @ingroup steer
 using RolloutStates = std::map<std::string, RolloutState>;
 
-/// @brief Takes a decision over, if it may follow what was decided before: a
-/// newer order begins anew, and what is final stays as it is. Of decisions that
-/// contradict each other the first one holds.
-/// @return whether it was taken over.
+/// @brief Applies a decision if it is a valid successor of the current state: a
+/// newer order starts a new rollout, and a final phase never changes. Of two
+/// contradicting decisions the first one is kept.
+/// @return whether the decision was applied.
 /// @ingroup steer
 bool Apply(RolloutStates& states, const RolloutStep& step, HybridTime time);
 
--- a/include/pathcleat/steer/shift.hpp
+++ b/include/pathcleat/steer/shift.hpp
@@ -13,10 +13,10 @@
 struct ShiftPlan {
   std::uint64_t id = 0;  ///< configuration version that started it
   std::string service;
-  std::string from_region;  ///< region
-  std::string to_region;    ///< region
-  double cap = 0;           ///< largest share of offered requests, 0 to 1
-  Duration ramp_time{0};    ///< time from nothing moved to the cap, at best
+  std::string from_region;
+  std::string to_region;
+  double cap = 0;         ///< maximum share of offered requests moved, 0 to 1
+  Duration ramp_time{0};  ///< shortest time from no move to the cap
 
   template <class Archive>
   void save(Archive& archive) const {  // NOLINT: named by cereal
@@ -31,15 +31,15 @@
   }
 };
 
-/// @brief What is known of a shift's target when its pace is decided.
+/// @brief State of a shift's target region, by which its ramp is controlled.
 /// @ingroup steer
 struct ShiftTargetState {
   double headroom = 0;  ///< free share of the target's slots, 0 to 1
-  Duration latency{0};  ///< typical latency there
-  Duration age{0};      ///< how old this knowledge is
+  Duration latency{0};  ///< typical latency at the target
+  Duration age{0};      ///< of this information
 };
 
-/// @brief Result of a pace decision.
+/// @brief Result of a ramp decision.
 /// @ingroup steer
 enum class RampDecision {
   kAdvanced,
@@ -49,13 +49,13 @@
   kAtCap,
 };
 
-/// @brief Stable text of a pace step.
+/// @brief Stable text of a ramp decision.
 /// @ingroup steer
-const char* ToString(RampDecision step);
+const char* ToString(RampDecision decision);
 
-/// @brief Applies one shift at one host. The promise "moved <= cap x offered"
-/// holds at every prefix of this host's own count, so it holds for the sum
-/// over all hosts without any talk between them. Not thread-safe.
+/// @brief Applies one shift at one host. The guarantee "moved <= cap x offered"
+/// holds at every prefix of this host's own counts, so it holds for the sum
+/// over all hosts without communication between them. Not thread-safe.
 /// @ingroup steer
 class ShiftControl {
  public:
@@ -63,25 +63,29 @@
 
   const ShiftPlan& plan() const { return plan_; }
 
-  /// @brief Counts a request whose place without the shift is the plan's from.
+  /// @brief Counts a request that would go to the plan's source region without
+  /// the shift.
   void OnOffered() { ++offered_; }
 
-  /// @brief Whether this caller is among those moved at the present pace.
-  /// Callers are ordered by hash, so those moved first stay moved.
+  /// @brief Whether the requests of this caller are moved at the current share.
+  /// Callers are ordered by hash, so a moved caller stays moved as the share
+  /// grows.
   /// @param caller_hash position of the caller in [0, 1).
-  bool ShouldMove(double caller_hash) const { return caller_hash < fraction_; }
+  bool ShouldMove(double caller_hash) const {
+    return caller_hash < current_share_;
+  }
 
-  /// @brief Counts one send away from the place, if the cap allows it. Every
-  /// such send counts: shifted, spilled or retried.
+  /// @brief Counts one request sent away from the source region, if the cap
+  /// allows it. Every such request counts: shifted, spilled over or retried.
   bool TryMove();
 
-  /// @brief Decides the pace; call about once a second.
+  /// @brief Decides on the next step of the ramp. Call about once a second.
   RampDecision Advance(const ShiftTargetState& target, Time now);
 
-  double current_share() const { return fraction_; }
+  double current_share() const { return current_share_; }
   std::uint64_t offered() const { return offered_; }
   std::uint64_t moved() const { return moved_; }
-  RampDecision last_decision() const { return last_step_; }
+  RampDecision last_decision() const { return last_decision_; }
 
  private:
   RampDecision Decide(const ShiftTargetState& target, Time now);
@@ -89,10 +93,10 @@
   ShiftPlan plan_;
   Time last_advance_;
   Duration baseline_latency_{0};
-  double fraction_ = 0;
+  double current_share_ = 0;
   std::uint64_t offered_ = 0;
   std::uint64_t moved_ = 0;
-  RampDecision last_step_ = RampDecision::kHeldStaleData;
+  RampDecision last_decision_ = RampDecision::kHeldStaleData;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/steer/token_bucket.hpp
+++ b/include/pathcleat/steer/token_bucket.hpp
@@ -7,7 +7,7 @@
 
 namespace pathcleat {
 
-/// @brief Rate limit with a burst. At a rate of 0 nothing passes. Not
+/// @brief Rate limiter with a burst. At a rate of 0 no call is allowed. Not
 /// thread-safe.
 /// @ingroup steer
 class TokenBucket {
@@ -16,22 +16,22 @@
   /// @param burst calls that may come at once.
   TokenBucket(double per_second, double burst);
 
-  /// @brief Takes one call, if the rate allows it now.
+  /// @brief Acquires a token for one call, if the rate allows it now.
   bool TryAcquire(Time now);
 
-  /// @brief Gives back one call that was taken and not made.
+  /// @brief Returns the token of a call that was not made.
   void Release(Time now);
 
-  /// @brief Whether TryAcquire would take one now.
+  /// @brief Whether TryAcquire would succeed now.
   bool CanAcquire(Time now) const;
 
-  /// @brief How long until TryAcquire would take one; nothing: not by this
+  /// @brief How long until TryAcquire would succeed; nothing: never at this
   /// rate.
   std::optional<Duration> TimeUntilAvailable(Time now) const;
 
   double rate_per_second() const { return per_second_; }
 
-  /// @brief Changes the long-term rate; what is saved up stays.
+  /// @brief Changes the long-term rate; the saved tokens stay.
   void SetRate(double per_second, Time now);
 
  private:
@@ -40,7 +40,7 @@
   double per_second_;
   double burst_;
   double tokens_;
-  Time last_;
+  Time updated_at_;
   bool started_ = false;
 };
 
--- a/src/pathcleat/steer/client_block_table_test.cpp
+++ b/src/pathcleat/steer/client_block_table_test.cpp
@@ -8,41 +8,42 @@
 namespace pathcleat {
 namespace {
 
-constexpr std::uint32_t kAddresses = 4'096;
-constexpr std::uint32_t kSpread = 1U << 18;
+constexpr std::uint32_t kGridSize = 4'096;
+constexpr std::uint32_t kGridStep = 1U << 18;
 
-// The same assignments in a plain array, on a coarse grid of addresses.
-Test(block_table, finds_what_a_plain_array_finds) {
+// Compares the table with a plain array that gets the same assignments, on a
+// coarse grid of addresses.
+Test(client_block_table, agrees_with_a_plain_array) {
   cr_assert(Holds("any assignments, compacted at any time", [] {
-    std::vector<std::uint16_t> plain(kAddresses, 0);
+    std::vector<std::uint16_t> expected(kGridSize, 0);
     ClientBlockTable table({});
     const auto steps =
         *rc::gen::container<std::vector<std::tuple<int, int, int>>>(
-            rc::gen::tuple(rc::gen::inRange<int>(0, kAddresses),
+            rc::gen::tuple(rc::gen::inRange<int>(0, kGridSize),
                            rc::gen::inRange(1, 600), rc::gen::inRange(0, 9)));
-    for (const auto& [first, length, site] : steps) {
-      if (site == 0) {
+    for (const auto& [first, length, region] : steps) {
+      if (region == 0) {
         table.Compact();
         continue;
       }
       const auto last = std::min<std::uint32_t>(
-          kAddresses - 1, static_cast<std::uint32_t>(first + length - 1));
+          kGridSize - 1, static_cast<std::uint32_t>(first + length - 1));
       for (std::uint32_t i = static_cast<std::uint32_t>(first); i <= last;
            ++i) {
-        plain[i] = static_cast<std::uint16_t>(site);
+        expected[i] = static_cast<std::uint16_t>(region);
       }
-      table.Assign(static_cast<std::uint32_t>(first) * kSpread,
-                   last * kSpread + (kSpread - 1),
-                   static_cast<std::uint16_t>(site));
+      table.Assign(static_cast<std::uint32_t>(first) * kGridStep,
+                   last * kGridStep + (kGridStep - 1),
+                   static_cast<std::uint16_t>(region));
     }
-    for (std::uint32_t i = 0; i < kAddresses; ++i) {
-      RC_ASSERT(table.Find(i * kSpread) == plain[i]);
-      RC_ASSERT(table.Find(i * kSpread + kSpread - 1) == plain[i]);
+    for (std::uint32_t i = 0; i < kGridSize; ++i) {
+      RC_ASSERT(table.Find(i * kGridStep) == expected[i]);
+      RC_ASSERT(table.Find(i * kGridStep + kGridStep - 1) == expected[i]);
     }
   }));
 }
 
-Test(block_table, rows_given_at_the_start_are_found) {
+Test(client_block_table, initial_rows_are_found) {
   const ClientBlockTable table(
       {{0x0A000000, 1}, {0x0B000000, 2}, {0xFFFFFFFF, 3}});
   cr_assert_eq(table.Find(0x09FFFFFF), 0);
--- a/src/pathcleat/steer/config_log.cpp
+++ b/src/pathcleat/steer/config_log.cpp
@@ -30,14 +30,15 @@
   return true;
 }
 
-std::vector<ConfigChange> ConfigLog::ChangesAfter(std::uint64_t version,
-                                                  std::size_t most) const {
+std::vector<ConfigChange> ConfigLog::ChangesAfter(
+    std::uint64_t version,
+    std::size_t max_changes) const {
   std::vector<ConfigChange> found;
   if (!CanReplayFrom(version)) {
     return found;
   }
   for (const ConfigChange& change : changes_) {
-    if (change.version > version && found.size() < most) {
+    if (change.version > version && found.size() < max_changes) {
       found.push_back(change);
     }
   }
--- a/src/pathcleat/steer/config_log_test.cpp
+++ b/src/pathcleat/steer/config_log_test.cpp
@@ -37,8 +37,8 @@
   return a.version == b.version && a.drained_upstreams == b.drained_upstreams;
 }
 
-// Promise: an accepted configuration never reverts. Checked to fail with the
-// version test in ConfigLog::Adopt or in Apply switched off.
+// Promise: an accepted configuration never reverts. Fails with the version
+// check in ConfigLog::ReplaceIfNewer or in Apply switched off.
 Test(promise, configuration_never_reverts) {
   cr_assert(Holds("any peers, stale, repeated or out of order", [] {
     constexpr std::uint64_t kNewest = 30;
@@ -55,13 +55,13 @@
         log.Apply(Changes(version, std::min(kNewest, version + length)));
       }
       RC_ASSERT(log.version() >= before);
-      // Whatever the way, one version is one state.
+      // The same version is the same state, however it was reached.
       RC_ASSERT(Same(log.state(), StateAt(log.version())));
     }
   }));
 }
 
-Test(config_log, serves_a_peer_that_lags_by_changes_or_not_at_all) {
+Test(config_log, updates_a_lagging_peer_by_kept_changes_or_not_at_all) {
   ConfigLog log(4);
   log.Apply(Changes(1, 10));
   cr_assert(log.CanReplayFrom(6));
--- a/src/pathcleat/steer/key_claim.cpp
+++ b/src/pathcleat/steer/key_claim.cpp
@@ -5,21 +5,21 @@
 
 namespace pathcleat {
 namespace {
-// Store calls a claim may take beyond the first: one to read it back, one to
-// write it again where the read found nothing, and one to read that back.
-constexpr int kMostTries = 3;
+// Store calls that a claim may make beyond the first: one to read the row back,
+// one to write it again if the read found nothing, and one to read that back.
+constexpr int kMaxRetries = 3;
 }  // namespace
 
 KeyClaim::KeyClaim(std::string token, std::uint64_t fingerprint)
     : token_(std::move(token)),
       fingerprint_(fingerprint),
-      tries_left_(kMostTries) {}
+      retries_left_(kMaxRetries) {}
 
 KeyAction KeyClaim::Retry(KeyAction action) {
-  if (tries_left_ == 0) {
+  if (retries_left_ == 0) {
     return KeyAction::kRefuseNotRun;
   }
-  --tries_left_;
+  --retries_left_;
   return action;
 }
 
@@ -30,8 +30,8 @@
       return KeyAction::kRun;
     case StoreOutcome::kConflict:
     case StoreOutcome::kUnknown:
-      // The row is another's, or this claim's own from a put whose answer
-      // was lost: the token in it tells.
+      // The row belongs to another claim, or to this claim if the answer to its
+      // put was lost. The row's token shows which.
       return Retry(KeyAction::kRead);
     case StoreOutcome::kNotDone:
     case StoreOutcome::kHistoryGone:
@@ -42,8 +42,8 @@
 
 KeyAction KeyClaim::OnRead(const ObservedKey& row) {
   if (row.version == 0) {
-    // A lost put may still be on its way; a second one with the same token
-    // meets it as a conflict and is read back.
+    // A put without an answer may still arrive. A second put with the same
+    // token then gets a conflict, and the row is read back.
     return Retry(KeyAction::kPut);
   }
   if (row.token == token_) {
@@ -66,7 +66,8 @@
 }
 
 KeyAction KeyClaim::OnReadFailed() {
-  // Nothing was sent, so "not run" is certain whatever the row says.
+  // The request was not sent to an upstream, so "not run" is certain whatever
+  // the row holds.
   return KeyAction::kRefuseNotRun;
 }
 
--- a/src/pathcleat/steer/key_claim_test.cpp
+++ b/src/pathcleat/steer/key_claim_test.cpp
@@ -15,26 +15,26 @@
   ObservedKey key;
 };
 
-// What a caller of one try was told.
-enum class Told { kNothing, kNotRun, kOther };
+// The result that the caller of one attempt received.
+enum class CallerResult { kNothing, kNotRun, kOtherAnswer };
 
-// One key, tried from several entry hosts, against a table service that
-// delays writes, loses answers after the write, and goes away. Hosts crash
-// between any two steps, and requests are lost before or after they ran.
-class KeyWorld {
+// Simulates one key that is used through several entry hosts, with a store that
+// delays writes, loses answers after the write, and becomes unreachable. Hosts
+// crash between any two steps, and requests are lost before or after they ran.
+class KeySimulation {
  public:
-  void StartTry() {
-    Try attempt{KeyClaim("token-" + std::to_string(tries_.size()), 1),
-                KeyAction::kPut, Told::kNothing, false};
-    tries_.push_back(attempt);
+  void StartAttempt() {
+    Attempt attempt{KeyClaim("token-" + std::to_string(attempts_.size()), 1),
+                    KeyAction::kPut, CallerResult::kNothing, false};
+    attempts_.push_back(attempt);
   }
 
   void Step(std::size_t which, unsigned choice) {
-    if (tries_.empty()) {
+    if (attempts_.empty()) {
       return;
     }
-    Try& attempt = tries_[which % tries_.size()];
-    if (attempt.crashed || attempt.told != Told::kNothing) {
+    Attempt& attempt = attempts_[which % attempts_.size()];
+    if (attempt.crashed || attempt.result != CallerResult::kNothing) {
       return;
     }
     if (choice % 17 == 0) {
@@ -52,27 +52,27 @@
         Run(attempt, choice);
         break;
       case KeyAction::kRefuseNotRun:
-        attempt.told = Told::kNotRun;
+        attempt.result = CallerResult::kNotRun;
         break;
       default:
-        attempt.told = Told::kOther;
+        attempt.result = CallerResult::kOtherAnswer;
     }
     Check();
   }
 
-  // A write that was under way arrives now.
-  void DeliverLate() {
-    if (!late_.empty()) {
-      Write(late_.back());
-      late_.pop_back();
+  // Applies a delayed write now.
+  void DeliverDelayed() {
+    if (!delayed_.empty()) {
+      Write(delayed_.back());
+      delayed_.pop_back();
     }
   }
 
  private:
-  struct Try {
+  struct Attempt {
     KeyClaim claim;
     KeyAction next;
-    Told told;
+    CallerResult result;
     bool crashed;
     int runs = 0;
   };
@@ -87,17 +87,17 @@
     return true;
   }
 
-  void Put(Try& attempt, unsigned choice) {
+  void Put(Attempt& attempt, unsigned choice) {
     switch (choice % 5) {
-      case 0:  // Refused before it was done.
+      case 0:  // Refused before the write.
         attempt.next = attempt.claim.OnPut(StoreOutcome::kNotDone, 0);
         return;
-      case 1:  // Done, and the answer lost.
+      case 1:  // Written, and the answer lost.
         Write(attempt.claim);
         attempt.next = attempt.claim.OnPut(StoreOutcome::kUnknown, 0);
         return;
-      case 2:  // Under way.
-        late_.push_back(attempt.claim);
+      case 2:  // Write delayed.
+        delayed_.push_back(attempt.claim);
         attempt.next = attempt.claim.OnPut(StoreOutcome::kUnknown, 0);
         return;
       default:
@@ -108,7 +108,7 @@
     }
   }
 
-  void Read(Try& attempt, unsigned choice) {
+  void Read(Attempt& attempt, unsigned choice) {
     if (choice % 4 == 0) {
       attempt.next = KeyClaim::OnReadFailed();
       return;
@@ -119,12 +119,12 @@
     attempt.next = attempt.claim.OnRead(seen);
   }
 
-  // The owner of the claim sends: once, and then settles the row.
-  void Run(Try& attempt, unsigned choice) {
+  // The owner of the claim sends the request once and then updates the row.
+  void Run(Attempt& attempt, unsigned choice) {
     const bool certainly_not_run = choice % 6 == 0;
     if (certainly_not_run) {
-      attempt.told = Told::kNotRun;
-      // Deleted on the condition of its version.
+      attempt.result = CallerResult::kNotRun;
+      // Deleted only if the version is still that of the claim.
       if (row_.version == attempt.claim.version()) {
         row_ = {};
       }
@@ -132,7 +132,7 @@
     }
     ++attempt.runs;
     ++runs_;
-    attempt.told = Told::kOther;
+    attempt.result = CallerResult::kOtherAnswer;
     if (choice % 2 == 0 && row_.version == attempt.claim.version()) {
       row_.version = ++next_version_;
       row_.key.state =
@@ -142,40 +142,41 @@
 
   void Check() const {
     RC_ASSERT(runs_ <= 1);
-    for (const Try& attempt : tries_) {
-      RC_ASSERT(!(attempt.told == Told::kNotRun && attempt.runs > 0));
+    for (const Attempt& attempt : attempts_) {
+      RC_ASSERT(!(attempt.result == CallerResult::kNotRun && attempt.runs > 0));
     }
   }
 
   Row row_;
   std::uint64_t next_version_ = 0;
-  std::vector<Try> tries_;
-  std::vector<KeyClaim> late_;
+  std::vector<Attempt> attempts_;
+  std::vector<KeyClaim> delayed_;
   int runs_ = 0;
 };
 
-// Promises: what may not be repeated runs at most once; told "not run" means
-// not run. Checked to fail when a lost put is taken for done, when an overdue
-// running row is claimed again, and when a read-back ignores the token.
+// Promises: a request that may not be repeated runs at most once, and a caller
+// that is told "not run" can rely on it. Fails if a lost put is taken for done,
+// if an overdue running row is claimed again, or if a read-back ignores the
+// token.
 Test(promise, keyed_request_runs_at_most_once) {
   cr_assert(Holds("any order of loss, delay, crash and repeat", [] {
-    KeyWorld world;
+    KeySimulation simulation;
     using Event = std::pair<int, unsigned>;
     const auto events = *rc::gen::container<std::vector<Event>>(
         rc::gen::pair(rc::gen::inRange(0, 10), rc::gen::arbitrary<unsigned>()));
     for (const auto& [event, value] : events) {
       if (event == 0) {
-        world.StartTry();
+        simulation.StartAttempt();
       } else if (event == 1) {
-        world.DeliverLate();
+        simulation.DeliverDelayed();
       } else {
-        world.Step(value / 1'000, value);
+        simulation.Step(value / 1'000, value);
       }
     }
   }));
 }
 
-Test(key_claim, lost_answer_of_the_own_put_is_read_back) {
+Test(key_claim, own_put_with_lost_answer_is_read_back) {
   KeyClaim claim("mine", 7);
   cr_assert_eq(claim.OnPut(StoreOutcome::kUnknown, 0), KeyAction::kRead);
   const ObservedKey row{3, KeyState::kRunning, "mine", 7, false};
@@ -190,7 +191,7 @@
   cr_assert_eq(claim.OnRead(row), KeyAction::kAnswerMismatch);
 }
 
-Test(key_claim, store_that_never_answers_is_given_up) {
+Test(key_claim, request_is_refused_if_the_store_never_answers) {
   KeyClaim claim("mine", 7);
   cr_assert_eq(claim.OnPut(StoreOutcome::kUnknown, 0), KeyAction::kRead);
   cr_assert_eq(KeyClaim::OnReadFailed(), KeyAction::kRefuseNotRun);
--- a/src/pathcleat/steer/retry_budget.cpp
+++ b/src/pathcleat/steer/retry_budget.cpp
@@ -6,23 +6,23 @@
 namespace pathcleat {
 
 RetryBudget::RetryBudget(double share, double burst)
-    : share_(share), burst_(burst), saved_(burst) {}
+    : share_(share), burst_(burst), remaining_(burst) {}
 
 void RetryBudget::OnFirstAttempt() {
-  saved_ = std::min(burst_, saved_ + share_);
+  remaining_ = std::min(burst_, remaining_ + share_);
 }
 
 void RetryBudget::SetBurst(double burst) {
   burst_ = burst;
-  saved_ = std::min(saved_, burst_);
+  remaining_ = std::min(remaining_, burst_);
 }
 
 bool RetryBudget::TryAcquire() {
-  if (saved_ < 1) {
+  if (remaining_ < 1) {
     return false;
   }
-  saved_ -= 1;
-  ++taken_;
+  remaining_ -= 1;
+  ++used_;
   return true;
 }
 
--- a/src/pathcleat/steer/rollout_step.cpp
+++ b/src/pathcleat/steer/rollout_step.cpp
@@ -4,7 +4,7 @@
 namespace pathcleat {
 namespace {
 
-bool MayFollow(RolloutPhase before, RolloutPhase after) {
+bool IsValidTransition(RolloutPhase before, RolloutPhase after) {
   switch (before) {
     case RolloutPhase::kRunning:
       return after == RolloutPhase::kPromoted ||
@@ -36,21 +36,22 @@
 }
 
 bool Apply(RolloutStates& states, const RolloutStep& step, HybridTime time) {
-  const auto known = states.find(step.service);
+  const auto found = states.find(step.service);
   if (step.phase == RolloutPhase::kRunning) {
-    if (known != states.end() && known->second.order_id >= step.order_id) {
+    if (found != states.end() && found->second.order_id >= step.order_id) {
       return false;
     }
     states[step.service] = {step.order_id, step.version, step.phase, time,
                             step.replaced_versions};
     return true;
   }
-  if (known == states.end()) {
+  if (found == states.end()) {
     return false;
   }
-  RolloutState& state = known->second;
-  const bool meant = step.order_id == 0 || step.order_id == state.order_id;
-  if (!meant || !MayFollow(state.phase, step.phase)) {
+  RolloutState& state = found->second;
+  const bool is_for_order =
+      step.order_id == 0 || step.order_id == state.order_id;
+  if (!is_for_order || !IsValidTransition(state.phase, step.phase)) {
     return false;
   }
   state.phase = step.phase;
--- a/src/pathcleat/steer/shift.cpp
+++ b/src/pathcleat/steer/shift.cpp
@@ -6,19 +6,20 @@
 namespace pathcleat {
 namespace {
 
-// A target's state older than this is not acted on.
-constexpr Duration kOldestState{2'000'000};
-// Least free share of the target's slots at which a shift still advances.
-constexpr double kLeastHeadroom = 0.15;
-// Latency at the target, over that at the shift's start, above which it holds.
-constexpr double kMostLatencyRatio = 1.5;
-// The pace used when a plan gives no time: the whole cap in one step.
-constexpr Duration kShortestShift{1};
+// A target state older than this is ignored.
+constexpr Duration kMaxStateAge{2'000'000};
+// Minimum free share of the target's slots at which a shift still advances.
+constexpr double kMinHeadroom = 0.15;
+// Ratio of the target's latency to that at the start of the shift above which
+// the shift is held.
+constexpr double kMaxLatencyRatio = 1.5;
+// Used if a plan has no ramp time: the whole cap in one step.
+constexpr Duration kMinRampTime{1};
 
 }  // namespace
 
-const char* ToString(RampDecision step) {
-  switch (step) {
+const char* ToString(RampDecision decision) {
+  switch (decision) {
     case RampDecision::kAdvanced:
       return "advanced";
     case RampDecision::kHeldStaleData:
@@ -46,26 +47,28 @@
 }
 
 RampDecision ShiftControl::Advance(const ShiftTargetState& target, Time now) {
-  last_step_ = Decide(target, now);
-  if (last_step_ == RampDecision::kAdvanced) {
-    const Duration over = std::max(plan_.ramp_time, kShortestShift);
+  last_decision_ = Decide(target, now);
+  if (last_decision_ == RampDecision::kAdvanced) {
+    const Duration ramp_time = std::max(plan_.ramp_time, kMinRampTime);
     const auto elapsed = static_cast<double>((now - last_advance_).count());
-    const double step = plan_.cap * elapsed / static_cast<double>(over.count());
-    fraction_ = std::min(plan_.cap, fraction_ + step);
+    const double step =
+        plan_.cap * elapsed / static_cast<double>(ramp_time.count());
+    current_share_ = std::min(plan_.cap, current_share_ + step);
   }
-  // Time spent held is not made up for: the pace stays the planned one.
+  // Time spent on hold is not caught up: the ramp never gets steeper than
+  // planned.
   last_advance_ = now;
-  return last_step_;
+  return last_decision_;
 }
 
 RampDecision ShiftControl::Decide(const ShiftTargetState& target, Time now) {
-  if (fraction_ >= plan_.cap) {
+  if (current_share_ >= plan_.cap) {
     return RampDecision::kAtCap;
   }
-  if (target.age > kOldestState || now < last_advance_) {
+  if (target.age > kMaxStateAge || now < last_advance_) {
     return RampDecision::kHeldStaleData;
   }
-  if (target.headroom < kLeastHeadroom) {
+  if (target.headroom < kMinHeadroom) {
     return RampDecision::kHeldLowHeadroom;
   }
   if (baseline_latency_ == Duration::zero()) {
@@ -75,8 +78,8 @@
                            ? 1
                            : static_cast<double>(target.latency.count()) /
                                  static_cast<double>(baseline_latency_.count());
-  return ratio > kMostLatencyRatio ? RampDecision::kHeldHighLatency
-                                   : RampDecision::kAdvanced;
+  return ratio > kMaxLatencyRatio ? RampDecision::kHeldHighLatency
+                                  : RampDecision::kAdvanced;
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/steer/token_bucket.cpp
+++ b/src/pathcleat/steer/token_bucket.cpp
@@ -13,7 +13,8 @@
   if (!started_) {
     return tokens_;
   }
-  const double elapsed = std::chrono::duration<double>(now - last_).count();
+  const double elapsed =
+      std::chrono::duration<double>(now - updated_at_).count();
   return std::min(burst_, tokens_ + std::max(0.0, elapsed) * per_second_);
 }
 
@@ -33,20 +34,20 @@
 
 void TokenBucket::Release(Time now) {
   tokens_ = std::min(burst_, TokensAt(now) + 1);
-  last_ = now;
+  updated_at_ = now;
 }
 
 void TokenBucket::SetRate(double per_second, Time now) {
   tokens_ = TokensAt(now);
   started_ = true;
-  last_ = now;
+  updated_at_ = now;
   per_second_ = per_second;
 }
 
 bool TokenBucket::TryAcquire(Time now) {
   tokens_ = TokensAt(now);
   started_ = true;
-  last_ = now;
+  updated_at_ = now;
   if (!CanAcquire(now)) {
     return false;
   }
--- a/src/pathcleat/steer/token_bucket_test.cpp
+++ b/src/pathcleat/steer/token_bucket_test.cpp
@@ -6,9 +6,9 @@
 namespace pathcleat {
 namespace {
 
-// Guards against calls that were never made and use up what others may make,
-// and against more given back than one burst.
-Test(token_bucket, what_is_given_back_can_be_taken_again_and_no_more) {
+// Guards against calls that were not made but still use up the rate, and
+// against more returned tokens than one burst.
+Test(token_bucket, released_tokens_can_be_acquired_again_up_to_the_burst) {
   const Time start{std::chrono::hours(1)};
   TokenBucket bucket(1, 1);
   cr_assert(bucket.TryAcquire(start));
