--- a/include/pathcleat/crashes/crash_report.hpp
+++ b/include/pathcleat/crashes/crash_report.hpp
@@ -14,11 +14,12 @@
 
 namespace pathcleat {
 
-/// @brief A request under which so many upstreams have ended is refused.
+/// @brief Number of upstreams that must have ended while running a request for
+/// the request to be blocked.
 /// @ingroup crashes
 inline constexpr std::size_t kCrashBlockThreshold = 3;
 
-/// @brief That an upstream ended while it had a request.
+/// @brief One upstream that ended while it had a request.
 /// @ingroup crashes
 struct CrashObservation {
   std::uint64_t upstream_hash = 0;  ///< hash of its id
@@ -30,20 +31,20 @@
   }
 };
 
-/// @brief Stands for an answer that never came.
+/// @brief Value of CrashEntry::answer_age_ms if no upstream has answered.
 /// @ingroup crashes
 inline constexpr std::uint32_t kNeverAnswered =
     std::numeric_limits<std::uint32_t>::max();
 
-/// @brief What is known of one request that may crash upstreams.
+/// @brief State of one request that may crash upstreams.
 /// @ingroup crashes
 struct CrashEntry {
   RequestDigest request = 0;
   std::vector<CrashObservation>
-      observations;  ///< since its answer; kCrashBlockThreshold at most
+      observations;  ///< since the last answer; kCrashBlockThreshold at most
   std::uint32_t answer_age_ms =
-      kNeverAnswered;              ///< since an upstream answered it
-  std::uint8_t failed_trials = 0;  ///< crashes after it was blocked for a while
+      kNeverAnswered;  ///< since an upstream last answered the request
+  std::uint8_t failed_trials = 0;  ///< crashes by trials of the blocked request
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -51,16 +52,18 @@
   }
 };
 
-/// @brief So many entries fit a datagram of 1,472 bytes, at 57 bytes each.
+/// @brief Maximum number of entries in a report: at 57 bytes each they fit a
+/// datagram of 1,472 bytes.
 /// @ingroup crashes
 inline constexpr std::size_t kMaxCrashEntries = 24;
 
-/// @brief What hosts tell each other of requests that crash upstreams.
+/// @brief Report on requests that crash upstreams, exchanged between hosts.
 /// @ingroup crashes
 struct CrashReport {
-  std::string domain;              ///< of the host that makes it
-  std::string host;                ///< that makes it
-  bool forward_to_domain = false;  ///< the receiver is to tell its own domain
+  std::string domain;  ///< of the sending host
+  std::string host;    ///< sending host
+  bool forward_to_domain =
+      false;  ///< the receiver sends it on to its own domain
   std::vector<CrashEntry> entries;
 
   template <class Archive>
@@ -69,32 +72,33 @@
   }
 };
 
-/// @brief A report's bytes (cereal, portable binary).
+/// @brief Encodes a report (cereal, portable binary).
 /// @ingroup crashes
 std::string EncodeCrashes(const CrashReport& report);
 
-/// @brief Reads a report; nothing if the bytes are none.
+/// @brief Decodes a report; nothing if the bytes are not a report.
 /// @ingroup crashes
 std::optional<CrashReport> DecodeCrashes(std::string_view bytes);
 
-/// @brief Who takes part in what hosts tell each other of such requests.
+/// @brief Source and receiver of the crash reports that hosts exchange.
 /// @ingroup crashes
 class CrashPublisher {
  public:
   virtual ~CrashPublisher() = default;
 
-  /// @brief What this host has seen and tells its own failure domain now.
-  /// @param reports whether it reports for the domain: then what is blocked is
-  /// told again and again, as hosts may have been cut off.
-  virtual CrashReport OwnCrashes(bool reports, Time now) = 0;
+  /// @brief The report of this host to its own failure domain.
+  /// @param is_reporter whether this host reports for its domain. Then blocked
+  /// requests are reported repeatedly, as some hosts may have been cut off.
+  virtual CrashReport OwnCrashes(bool is_reporter, Time now) = 0;
 
-  /// @brief What the domain has seen; asked of the hosts that report for it.
+  /// @brief The report on the own domain to other domains, sent by the hosts
+  /// that report for the domain.
   virtual CrashReport DomainCrashes(Time now) = 0;
 
-  /// @brief What a host that has just started should know.
+  /// @brief The state to send to a host that has just started.
   virtual CrashReport CrashSnapshot(Time now) const = 0;
 
-  /// @return whether something of it was new here.
+  /// @return whether the report added or removed crashes at this host.
   virtual bool OnCrashReport(const CrashReport& report, Time now) = 0;
 };
 
--- a/include/pathcleat/crashes/suspect_request.hpp
+++ b/include/pathcleat/crashes/suspect_request.hpp
@@ -10,49 +10,54 @@
 
 namespace pathcleat {
 
-/// @brief What is known of one request that may crash upstreams: which ones
-/// ended under it since it was answered last. What hosts know of it can be
-/// joined in any order, and more than once.
+/// @brief State of one request that may crash upstreams: the upstreams that
+/// ended while running the request since its last answer. The states of several
+/// hosts can be merged in any order, and repeatedly.
 /// @ingroup crashes
 class SuspectRequest {
  public:
-  /// @brief An upstream ended under it.
-  /// @return whether that was new.
+  /// @brief Records that an upstream ended while running the request.
+  /// @return whether that changed the state.
   bool AddCrash(std::uint64_t upstream, Time at);
 
-  /// @brief An upstream answered it: what crashed before was not its doing.
-  /// @return whether that was new.
+  /// @brief Records that an upstream answered the request: earlier crashes were
+  /// not caused by it.
+  /// @return whether that removed crashes.
   bool ClearUntil(Time at);
 
-  /// @brief Adds what another host knows.
-  /// @return whether something of it was new.
+  /// @brief Merges the state of another host.
+  /// @return whether that added or removed crashes.
   bool Merge(const CrashEntry& entry, Time now);
 
   CrashEntry ToEntry(RequestDigest request, Time now) const;
 
-  /// @brief Upstreams that ended under it; kCrashBlockThreshold stands for any
-  /// larger number.
-  std::size_t crash_count() const { return signs_.size(); }
-  bool IsBlocked() const { return signs_.size() >= kCrashBlockThreshold; }
+  /// @brief Number of upstreams that ended while running the request;
+  /// kCrashBlockThreshold stands for any larger number.
+  std::size_t crash_count() const { return observations_.size(); }
+  bool IsBlocked() const {
+    return observations_.size() >= kCrashBlockThreshold;
+  }
   int failed_trials() const { return failed_trials_; }
 
-  /// @brief When the last of them ended, as far as it counted.
+  /// @brief When the last of them ended, among the crashes that counted.
   Time LastCrashTime() const;
 
   /// @brief When a blocked request may be tried again.
   Time BlockedUntil() const;
 
-  /// @brief Whether nothing more can come of what is known.
+  /// @brief Whether the state can be discarded, as it is too old to have an
+  /// effect.
   bool IsExpired(Time now) const;
 
  private:
-  struct Sign {
+  struct Observation {
     std::uint64_t upstream;
     Time at;
   };
 
-  std::vector<Sign> signs_;  ///< since answered_; kCrashBlockThreshold at most
-  Time answered_ = Time::min();
+  std::vector<Observation>
+      observations_;  ///< since answered_at_; kCrashBlockThreshold at most
+  Time answered_at_ = Time::min();
   std::uint8_t failed_trials_ = 0;
 };
 
--- a/src/pathcleat/crashes/crash_tracker.cpp
+++ b/src/pathcleat/crashes/crash_tracker.cpp
@@ -9,35 +9,37 @@
 namespace pathcleat {
 namespace {
 
-// About 150 bytes each. Where upstreams crash in great numbers, the requests
-// that are nearest to being blocked are kept.
-constexpr std::size_t kMostSuspects = 1'024;
-// Longer than any trial takes, so that two of them do not overlap.
+// About 150 bytes each. If more requests are suspected, those nearest to being
+// blocked are kept.
+constexpr std::size_t kMaxSuspects = 1'024;
+// Longer than any trial takes, so that two trials do not overlap.
 constexpr Duration kTrialTurn = std::chrono::seconds(30);
-// Datagrams get lost. One crash alone decides nothing and is repeated less.
-constexpr int kTellsOfSuspect = 2;
-constexpr int kTellsOfChange = 4;
-constexpr Duration kTellGap{400'000};
-// A host that was cut off while others were told hears of it again within this
-// time, for as long as callers are likely to ask on.
-constexpr Duration kRepeatGap{2'000'000};
-constexpr Duration kRepeatFor = std::chrono::minutes(2);
-// What was heard in the own domain waits so long for this host to become the
-// one that tells other domains.
-constexpr Duration kNewsTime = std::chrono::seconds(5);
+// Reports are repeated as datagrams get lost. A single crash does not block a
+// request and is repeated less often.
+constexpr int kReportsOfSingleCrash = 2;
+constexpr int kReportsOfChange = 4;
+constexpr Duration kReportInterval{400'000};
+// A host that was cut off when others were notified receives the entry again
+// after at most this interval. The repeats end when callers are unlikely to
+// send the request again.
+constexpr Duration kRepeatInterval{2'000'000};
+constexpr Duration kRepeatTime = std::chrono::minutes(2);
+// A change received within the own domain is kept for other domains this long,
+// in case this host becomes the one that reports to them.
+constexpr Duration kUpdateTtl = std::chrono::seconds(5);
 
-int TellsOf(const SuspectRequest& suspect) {
-  return suspect.crash_count() == 1 ? kTellsOfSuspect : kTellsOfChange;
+int ReportCountOf(const SuspectRequest& suspect) {
+  return suspect.crash_count() == 1 ? kReportsOfSingleCrash : kReportsOfChange;
 }
 
-// When the turn of trials began that it is now.
-Time TurnAt(const SuspectRequest& suspect, Time now) {
+// Start of the current turn of trials.
+Time TurnStart(const SuspectRequest& suspect, Time now) {
   const Time first = suspect.BlockedUntil();
   return first + (now - first) / kTrialTurn * kTrialTurn;
 }
 
-// Keeps the entries that are nearest to being blocked, as many as fit.
-void KeepFirst(std::vector<CrashEntry>& entries) {
+// Keeps the entries nearest to being blocked, as many as fit into a report.
+void KeepMostSuspect(std::vector<CrashEntry>& entries) {
   std::sort(entries.begin(), entries.end(),
             [](const CrashEntry& a, const CrashEntry& b) {
               return a.observations.size() > b.observations.size();
@@ -47,12 +49,12 @@
 
 }  // namespace
 
-EventFields ToEventFields(const CrashDecision& verdict) {
-  return {IntegerField(field::kCrashes, verdict.crash_count),
-          MillisecondsField(field::kAgeMs, verdict.age),
-          IntegerField(field::kFailedTrials, verdict.failed_trials),
-          MillisecondsField(field::kRetryAfterMs, verdict.retry_after),
-          {field::kFrom, verdict.reported_by}};
+EventFields ToEventFields(const CrashDecision& decision) {
+  return {IntegerField(field::kCrashes, decision.crash_count),
+          MillisecondsField(field::kAgeMs, decision.age),
+          IntegerField(field::kFailedTrials, decision.failed_trials),
+          MillisecondsField(field::kRetryAfterMs, decision.retry_after),
+          {field::kFrom, decision.reported_by}};
 }
 
 CrashTracker::CrashTracker(std::string domain, std::string host)
@@ -63,20 +65,21 @@
 std::size_t CrashTracker::BlockedCount() const {
   return static_cast<std::size_t>(std::count_if(
       suspects_.begin(), suspects_.end(),
-      [](const auto& named) { return named.second.known.IsBlocked(); }));
+      [](const auto& entry) { return entry.second.state.IsBlocked(); }));
 }
 
-// Forgets the entry that matters least, if there is no room for another one.
-CrashTracker::Suspect& CrashTracker::Entry(RequestDigest request) {
+// Finds or adds an entry. If there is no free slot, removes the entry with the
+// fewest crashes, the oldest of these.
+CrashTracker::Suspect& CrashTracker::FindOrAdd(RequestDigest request) {
   const auto found = suspects_.find(request);
   if (found != suspects_.end()) {
     return found->second;
   }
-  if (suspects_.size() >= kMostSuspects) {
+  if (suspects_.size() >= kMaxSuspects) {
     suspects_.erase(std::min_element(
         suspects_.begin(), suspects_.end(), [](const auto& a, const auto& b) {
-          return std::pair(a.second.known.crash_count(), a.second.noted) <
-                 std::pair(b.second.known.crash_count(), b.second.noted);
+          return std::pair(a.second.state.crash_count(), a.second.changed_at) <
+                 std::pair(b.second.state.crash_count(), b.second.changed_at);
         }));
   }
   return suspects_[request];
@@ -85,10 +88,10 @@
 void CrashTracker::OnCrash(RequestDigest request,
                            std::uint64_t upstream,
                            Time now) {
-  Suspect& suspect = Entry(request);
-  const bool was_blocked = suspect.known.IsBlocked();
-  if (suspect.known.AddCrash(upstream, now)) {
-    NoteOwn(request, was_blocked, now);
+  Suspect& suspect = FindOrAdd(request);
+  const bool was_blocked = suspect.state.IsBlocked();
+  if (suspect.state.AddCrash(upstream, now)) {
+    OnOwnChange(request, was_blocked, now);
   }
 }
 
@@ -97,46 +100,50 @@
   if (found == suspects_.end()) {
     return;
   }
-  const bool was_blocked = found->second.known.IsBlocked();
-  if (found->second.known.ClearUntil(now)) {
-    NoteOwn(request, was_blocked, now);
+  const bool was_blocked = found->second.state.IsBlocked();
+  if (found->second.state.ClearUntil(now)) {
+    OnOwnChange(request, was_blocked, now);
   }
 }
 
-void CrashTracker::NoteOwn(RequestDigest request, bool was_blocked, Time now) {
+void CrashTracker::OnOwnChange(RequestDigest request,
+                               bool was_blocked,
+                               Time now) {
   Suspect& suspect = suspects_.at(request);
-  suspect.noted = now;
+  suspect.changed_at = now;
   suspect.reported_by.clear();
-  suspect.to_domain = {TellsOf(suspect.known), now, {}};
-  suspect.to_others = suspect.to_domain;
-  Notice(request, was_blocked, now);
-  if (on_news_) {
-    on_news_();
+  suspect.for_domain = {ReportCountOf(suspect.state), now, {}};
+  suspect.for_other_domains = suspect.for_domain;
+  NotifyBlockChange(request, was_blocked, now);
+  if (on_update_) {
+    on_update_();
   }
 }
 
-void CrashTracker::Notice(RequestDigest request, bool was_blocked, Time now) {
-  const bool blocked = suspects_.at(request).known.IsBlocked();
-  if (blocked != was_blocked && on_notice_) {
-    on_notice_({request, Decide(request, now), blocked});
+void CrashTracker::NotifyBlockChange(RequestDigest request,
+                                     bool was_blocked,
+                                     Time now) {
+  const bool blocked = suspects_.at(request).state.IsBlocked();
+  if (blocked != was_blocked && on_block_change_) {
+    on_block_change_({request, Decide(request, now), blocked});
   }
 }
 
-// Hosts that see other hosts live than the rest see may try it as well: each
-// of them once in a turn.
-bool CrashTracker::MayTry(RequestDigest request,
-                          const Suspect& suspect,
-                          Time now) const {
-  if (now < suspect.known.BlockedUntil()) {
+// Each host ranks the hosts that it considers alive. If hosts disagree on
+// these, several hosts may try the request, each of them once in a turn.
+bool CrashTracker::IsTrialAllowed(RequestDigest request,
+                                  const Suspect& suspect,
+                                  Time now) const {
+  if (now < suspect.state.BlockedUntil()) {
     return false;
   }
-  const Time turn = TurnAt(suspect.known, now);
-  if (suspect.tried_in == turn) {
+  const Time turn = TurnStart(suspect.state, now);
+  if (suspect.last_trial_turn == turn) {
     return false;
   }
-  const auto number = (turn - suspect.known.BlockedUntil()) / kTrialTurn;
+  const auto turn_number = (turn - suspect.state.BlockedUntil()) / kTrialTurn;
   const std::uint64_t seed =
-      MixHashes(request, static_cast<std::uint64_t>(number));
+      MixHashes(request, static_cast<std::uint64_t>(turn_number));
   const std::uint64_t own = MixHashes(own_hash_, seed);
   return std::all_of(others_.begin(), others_.end(),
                      [own, seed](std::uint64_t other) {
@@ -146,118 +153,119 @@
 
 CrashDecision CrashTracker::Decide(RequestDigest request, Time now) const {
   const auto found = suspects_.find(request);
-  if (found == suspects_.end() || found->second.known.crash_count() == 0) {
+  if (found == suspects_.end() || found->second.state.crash_count() == 0) {
     return {};
   }
   const Suspect& suspect = found->second;
-  CrashDecision verdict;
-  verdict.crash_count = suspect.known.crash_count();
-  verdict.failed_trials = suspect.known.failed_trials();
-  verdict.age = now - suspect.known.LastCrashTime();
-  verdict.reported_by = suspect.reported_by;
-  if (suspect.known.IsBlocked()) {
-    verdict.blocked = !MayTry(request, suspect, now);
-    const Duration rest = suspect.known.BlockedUntil() - now;
-    verdict.retry_after = rest > Duration::zero() ? rest : kTrialTurn;
+  CrashDecision decision;
+  decision.crash_count = suspect.state.crash_count();
+  decision.failed_trials = suspect.state.failed_trials();
+  decision.age = now - suspect.state.LastCrashTime();
+  decision.reported_by = suspect.reported_by;
+  if (suspect.state.IsBlocked()) {
+    decision.blocked = !IsTrialAllowed(request, suspect, now);
+    const Duration time_left = suspect.state.BlockedUntil() - now;
+    decision.retry_after =
+        time_left > Duration::zero() ? time_left : kTrialTurn;
   }
-  return verdict;
+  return decision;
 }
 
 bool CrashTracker::OnSent(RequestDigest request, Time now) {
   const auto found = suspects_.find(request);
-  if (found == suspects_.end() || !found->second.known.IsBlocked()) {
+  if (found == suspects_.end() || !found->second.state.IsBlocked()) {
     return false;
   }
-  found->second.tried_in = TurnAt(found->second.known, now);
+  found->second.last_trial_turn = TurnStart(found->second.state, now);
   return true;
 }
 
 void CrashTracker::Tick(Time now) {
   std::vector<RequestDigest> released;
-  std::erase_if(suspects_, [&](const auto& named) {
-    const bool outlived = named.second.known.IsExpired(now);
-    if (outlived && named.second.known.IsBlocked()) {
-      released.push_back(named.first);
+  std::erase_if(suspects_, [&](const auto& entry) {
+    const bool expired = entry.second.state.IsExpired(now);
+    if (expired && entry.second.state.IsBlocked()) {
+      released.push_back(entry.first);
     }
-    return outlived;
+    return expired;
   });
   for (const RequestDigest request : released) {
-    if (on_notice_) {
-      on_notice_({request, {}, false});
+    if (on_block_change_) {
+      on_block_change_({request, {}, false});
     }
   }
 }
 
-bool CrashTracker::Telling::IsDue(const SuspectRequest& suspect,
-                                  bool repeats,
-                                  Time now) const {
-  const bool again = repeats && suspect.IsBlocked() &&
-                     now - suspect.LastCrashTime() < kRepeatFor &&
-                     now - told >= kRepeatGap;
-  return again || (left > 0 && now >= due);
+bool CrashTracker::PublishState::IsDue(const SuspectRequest& suspect,
+                                       bool repeats_blocked,
+                                       Time now) const {
+  const bool again = repeats_blocked && suspect.IsBlocked() &&
+                     now - suspect.LastCrashTime() < kRepeatTime &&
+                     now - last_sent >= kRepeatInterval;
+  return again || (remaining > 0 && now >= due);
 }
 
-// What finds no room is told the next time.
-CrashReport CrashTracker::Report(bool pass_on,
-                                 Telling Suspect::*telling,
-                                 bool repeats,
-                                 Time now) {
-  CrashReport report{domain_, host_, pass_on, {}};
+// Entries that do not fit are sent with the next report.
+CrashReport CrashTracker::MakeReport(bool forward_to_domain,
+                                     PublishState Suspect::*publish_state,
+                                     bool repeats_blocked,
+                                     Time now) {
+  CrashReport report{domain_, host_, forward_to_domain, {}};
   for (auto& [request, suspect] : suspects_) {
-    Telling& tell = suspect.*telling;
-    if (now - suspect.noted > kNewsTime) {
-      tell.left = 0;
+    PublishState& publishing = suspect.*publish_state;
+    if (now - suspect.changed_at > kUpdateTtl) {
+      publishing.remaining = 0;
     }
-    if (tell.IsDue(suspect.known, repeats, now)) {
-      report.entries.push_back(suspect.known.ToEntry(request, now));
+    if (publishing.IsDue(suspect.state, repeats_blocked, now)) {
+      report.entries.push_back(suspect.state.ToEntry(request, now));
     }
   }
-  KeepFirst(report.entries);
+  KeepMostSuspect(report.entries);
   for (const CrashEntry& entry : report.entries) {
-    Telling& tell = suspects_.at(entry.request).*telling;
-    tell.left = std::max(0, tell.left - 1);
-    tell.due = now + kTellGap;
-    tell.told = now;
+    PublishState& publishing = suspects_.at(entry.request).*publish_state;
+    publishing.remaining = std::max(0, publishing.remaining - 1);
+    publishing.due = now + kReportInterval;
+    publishing.last_sent = now;
   }
   return report;
 }
 
-CrashReport CrashTracker::OwnCrashes(bool reports, Time now) {
-  return Report(false, &Suspect::to_domain, reports, now);
+CrashReport CrashTracker::OwnCrashes(bool is_reporter, Time now) {
+  return MakeReport(false, &Suspect::for_domain, is_reporter, now);
 }
 
 CrashReport CrashTracker::DomainCrashes(Time now) {
-  return Report(true, &Suspect::to_others, true, now);
+  return MakeReport(true, &Suspect::for_other_domains, true, now);
 }
 
 CrashReport CrashTracker::CrashSnapshot(Time now) const {
   CrashReport report{domain_, host_, false, {}};
   for (const auto& [request, suspect] : suspects_) {
-    if (suspect.known.crash_count() > 0) {
-      report.entries.push_back(suspect.known.ToEntry(request, now));
+    if (suspect.state.crash_count() > 0) {
+      report.entries.push_back(suspect.state.ToEntry(request, now));
     }
   }
-  KeepFirst(report.entries);
+  KeepMostSuspect(report.entries);
   return report;
 }
 
 bool CrashTracker::OnCrashReport(const CrashReport& report, Time now) {
-  bool any_news = false;
+  bool has_update = false;
   for (const CrashEntry& entry : report.entries) {
-    Suspect& suspect = Entry(entry.request);
-    const bool was_blocked = suspect.known.IsBlocked();
-    if (!suspect.known.Merge(entry, now)) {
+    Suspect& suspect = FindOrAdd(entry.request);
+    const bool was_blocked = suspect.state.IsBlocked();
+    if (!suspect.state.Merge(entry, now)) {
       continue;
     }
-    any_news = true;
-    suspect.noted = now;
+    has_update = true;
+    suspect.changed_at = now;
     suspect.reported_by = report.host;
     if (report.domain == domain_) {
-      suspect.to_others = {TellsOf(suspect.known), now, {}};
+      suspect.for_other_domains = {ReportCountOf(suspect.state), now, {}};
     }
-    Notice(entry.request, was_blocked, now);
+    NotifyBlockChange(entry.request, was_blocked, now);
   }
-  return any_news;
+  return has_update;
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/crashes/request_digest.cpp
+++ b/src/pathcleat/crashes/request_digest.cpp
@@ -9,7 +9,8 @@
 namespace pathcleat {
 namespace {
 
-// The length before each part keeps parts apart that join to the same bytes.
+// The length before each part distinguishes sequences of parts that concatenate
+// to the same bytes.
 void Append(std::string& text, std::string_view part) {
   text += std::to_string(part.size());
   text += ':';
@@ -20,16 +21,16 @@
 
 RequestDigest DigestOf(const HttpRequest& request,
                        std::string_view account,
-                       const KeyedHasher& digester) {
+                       const KeyedHasher& hasher) {
   std::string text;
   Append(text, request.method);
   Append(text, FindHeader(request.headers, "Host").value_or(""));
   Append(text, request.target);
   Append(text, account);
-  // Bodies may be large: they are not copied.
-  const KeyedDigest body = digester.Digest(request.body);
+  // Bodies may be large: their digest is appended, so that they are not copied.
+  const KeyedDigest body = hasher.Digest(request.body);
   text.append(body.begin(), body.end());
-  const KeyedDigest digest = digester.Digest(text);
+  const KeyedDigest digest = hasher.Digest(text);
   RequestDigest first_half = 0;
   std::memcpy(&first_half, digest.data(), sizeof first_half);
   return first_half;
--- a/src/pathcleat/crashes/request_digest_test.cpp
+++ b/src/pathcleat/crashes/request_digest_test.cpp
@@ -6,55 +6,55 @@
 namespace pathcleat {
 namespace {
 
-KeyedHasher Digester(std::string_view secret) {
-  KeyedHasher digester(kRequestDigestPurpose);
-  digester.SetSecret(secret);
-  return digester;
+KeyedHasher MakeHasher(std::string_view secret) {
+  KeyedHasher hasher(kRequestDigestPurpose);
+  hasher.SetSecret(secret);
+  return hasher;
 }
 
-HttpRequest Request() {
+HttpRequest MakeRequest() {
   return {"POST",
           "/book/1?page=2",
           {{"Host", "a.example"}, {"X-Request-Id", "1"}},
           "body"};
 }
 
-Test(request_digest, repeat_under_another_id_is_the_same_request) {
-  HttpRequest repeat = Request();
+Test(request_digest, repeat_with_another_id_has_the_same_digest) {
+  HttpRequest repeat = MakeRequest();
   repeat.headers.back().value = "2";
-  const KeyedHasher digester = Digester("secret");
-  cr_assert_eq(DigestOf(Request(), "club", digester),
-               DigestOf(repeat, "club", digester));
+  const KeyedHasher hasher = MakeHasher("secret");
+  cr_assert_eq(DigestOf(MakeRequest(), "club", hasher),
+               DigestOf(repeat, "club", hasher));
 }
 
-Test(request_digest, each_part_and_the_secret_count) {
-  const KeyedHasher digester = Digester("secret");
-  const RequestDigest whole = DigestOf(Request(), "club", digester);
-  HttpRequest other = Request();
+Test(request_digest, digest_depends_on_each_part_and_the_secret) {
+  const KeyedHasher hasher = MakeHasher("secret");
+  const RequestDigest whole = DigestOf(MakeRequest(), "club", hasher);
+  HttpRequest other = MakeRequest();
   other.method = "PUT";
-  cr_assert_neq(DigestOf(other, "club", digester), whole);
-  other = Request();
+  cr_assert_neq(DigestOf(other, "club", hasher), whole);
+  other = MakeRequest();
   other.target = "/book/1?page=3";
-  cr_assert_neq(DigestOf(other, "club", digester), whole);
-  other = Request();
+  cr_assert_neq(DigestOf(other, "club", hasher), whole);
+  other = MakeRequest();
   other.headers.front().value = "b.example";
-  cr_assert_neq(DigestOf(other, "club", digester), whole);
-  other = Request();
+  cr_assert_neq(DigestOf(other, "club", hasher), whole);
+  other = MakeRequest();
   other.body = "bodY";
-  cr_assert_neq(DigestOf(other, "club", digester), whole);
-  cr_assert_neq(DigestOf(Request(), "clubs", digester), whole);
-  cr_assert_neq(DigestOf(Request(), "club", Digester("another")), whole);
+  cr_assert_neq(DigestOf(other, "club", hasher), whole);
+  cr_assert_neq(DigestOf(MakeRequest(), "clubs", hasher), whole);
+  cr_assert_neq(DigestOf(MakeRequest(), "club", MakeHasher("another")), whole);
 }
 
-// Guards against a request that is made to look like another one by moving
-// bytes from one part to the next.
-Test(request_digest, parts_do_not_run_into_each_other) {
-  const KeyedHasher digester = Digester("secret");
-  HttpRequest moved = Request();
+// Guards against a request that gets the digest of another one by moving bytes
+// from one part to the next.
+Test(request_digest, parts_are_separated) {
+  const KeyedHasher hasher = MakeHasher("secret");
+  HttpRequest moved = MakeRequest();
   moved.target += "b";
   moved.body = "ody";
-  cr_assert_neq(DigestOf(moved, "", digester),
-                DigestOf(Request(), "", digester));
+  cr_assert_neq(DigestOf(moved, "", hasher),
+                DigestOf(MakeRequest(), "", hasher));
 }
 
 }  // namespace
