--- a/include/pathcleat/rollouts/canary_limiter.hpp
+++ b/include/pathcleat/rollouts/canary_limiter.hpp
@@ -5,36 +5,37 @@
 
 namespace pathcleat {
 
-/// @brief Bounds what this host sends to a version that is being tried, by
-/// what it has itself sent to the service before: each request to the new
-/// version is paid for by others that came first. So the bound holds in sum
-/// over all hosts, whatever they know of each other, and a host that starts
-/// again has nothing to spend twice. Not thread-safe.
+/// @brief Limits the requests that this host sends to a version on trial to a
+/// share of all requests that this host has sent to the service: each request
+/// to the new version must be preceded by enough requests to other versions. So
+/// the limit holds for the sum over all hosts without communication between
+/// them, and a host that restarts has no saved-up allowance to use a second
+/// time. Not thread-safe.
 /// @ingroup rollouts
 class CanaryLimiter {
  public:
-  /// @param share of all requests sent that may go to the new version.
+  /// @param share of all sent requests that may go to the new version.
   explicit CanaryLimiter(double share) : share_(share) {}
 
-  /// @brief A request went to an upstream.
-  void OnSent(bool fresh) {
+  /// @brief Counts a request sent to an upstream.
+  void OnSent(bool to_new_version) {
     ++sent_;
-    fresh_ += fresh ? 1 : 0;
+    new_version_sent_ += to_new_version ? 1 : 0;
   }
 
   /// @brief Whether the next request may go to the new version.
   bool MaySend() const {
-    return static_cast<double>(fresh_ + 1) <=
+    return static_cast<double>(new_version_sent_ + 1) <=
            share_ * static_cast<double>(sent_ + 1);
   }
 
   std::uint64_t sent() const { return sent_; }
-  std::uint64_t new_version_sent() const { return fresh_; }
+  std::uint64_t new_version_sent() const { return new_version_sent_; }
 
  private:
   double share_;
   std::uint64_t sent_ = 0;
-  std::uint64_t fresh_ = 0;
+  std::uint64_t new_version_sent_ = 0;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/rollouts/rollout.hpp
+++ b/include/pathcleat/rollouts/rollout.hpp
@@ -17,16 +17,16 @@
 
 namespace pathcleat {
 
-/// @brief What a decision on a rollout rests on, beside the answers.
+/// @brief Input of a decision on a rollout, besides the counts of answers.
 /// @ingroup rollouts
 struct RolloutInput {
-  bool is_order_active = true;  ///< the order stands, or is withdrawn
-  Duration elapsed{0};          ///< since the rollout began
-  int host_count = 1;           ///< that may be sending, this one included
+  bool is_order_active = true;  ///< false: the order was withdrawn
+  Duration elapsed{0};          ///< since the start of the rollout
+  int host_count = 1;           ///< that may send requests, this one included
 };
 
-/// @brief One order to move a service to a version, as this host follows and
-/// judges it. A version in doubt is taken back, never completed.
+/// @brief One order to move a service to a version: how this host follows and
+/// evaluates it. A version in doubt is rolled back, never completed.
 /// @ingroup rollouts
 class Rollout {
  public:
@@ -34,79 +34,83 @@
 
   const RolloutOrder& order() const { return order_; }
 
-  /// @brief What is decided, as far as it is known here.
+  /// @brief Sets the last decision that this host has received.
   void SetState(const RolloutState& state);
   const std::optional<RolloutState>& state() const { return state_; }
 
-  /// @brief Where the next request may go.
-  /// @param first false for a request that was sent before: it tries nothing.
-  VersionRulePtr RuleFor(bool first) const;
+  /// @brief Versions that the next request may go to.
+  /// @param is_first_attempt false for a retry, which is never sent to a
+  /// version on trial.
+  VersionRulePtr RuleFor(bool is_first_attempt) const;
 
-  /// @brief Whether what was to go to a version may still go there, by what
-  /// has been decided since.
+  /// @brief Whether a request for which a version was chosen earlier may still
+  /// be sent to that version, by the decisions made since.
   bool IsVersionAllowed(const std::string& version) const;
 
-  /// @brief A request goes to an upstream.
+  /// @brief Counts a request sent to an upstream.
   void OnSent(const std::string& version);
 
-  /// @brief How things stand at this host now. Call before it tells others,
-  /// a few times a second.
+  /// @brief Sets the state of this host. Call before each report to other
+  /// hosts, a few times a second.
   /// @param versions of the service's open upstreams.
-  /// @param on_others requests under way at versions but the new one.
+  /// @param other_versions_in_flight requests in flight at versions other than
+  /// the new one.
   void SetLocalState(const std::set<std::string>& versions,
-                     std::uint32_t on_others);
+                     std::uint32_t other_versions_in_flight);
 
   void OnAnswer(const std::string& version, std::uint64_t route, bool bad);
 
-  /// @brief What this host alone has counted.
-  const RolloutTally& OwnTally() const { return own_; }
+  /// @brief The counts of this host only.
+  const RolloutTally& OwnTally() const { return own_tally_; }
 
-  TallyTable& tally_table() { return board_; }
-  const TallyTable& tally_table() const { return board_; }
-  const CanaryLimiter& canary_limiter() const { return gate_; }
+  TallyTable& tally_table() { return tally_table_; }
+  const TallyTable& tally_table() const { return tally_table_; }
+  const CanaryLimiter& canary_limiter() const { return canary_limiter_; }
 
-  /// @brief Answers of the whole fleet, as they were last judged.
-  const RolloutTally& evaluated_tally() const { return judged_; }
+  /// @brief Answers of the whole fleet at the last evaluation.
+  const RolloutTally& evaluated_tally() const { return evaluated_tally_; }
 
-  /// @brief Takes the answers that came since the last call into the tests.
+  /// @brief Updates the sequential tests with the answers since the last call.
   void Evaluate(Time now);
 
-  /// @brief The decision that is due, if any.
-  /// @param reason set to what led to it, for the log.
-  std::optional<RolloutStep> ProposeStep(const RolloutInput& facts,
+  /// @brief The next decision, if one is due.
+  /// @param reason set to the cause of the decision, for the log.
+  std::optional<RolloutStep> ProposeStep(const RolloutInput& input,
                                          Time now,
                                          std::string& reason) const;
 
  private:
-  bool IsFresh(const std::string& version) const {
+  bool IsNewVersion(const std::string& version) const {
     return version == order_.version;
   }
-  bool HasManyBad() const;
+  bool IsBadShareHigh() const;
   bool IsBad() const;
   bool IsGood() const;
   RolloutStep StepTo(RolloutPhase phase) const;
-  std::optional<RolloutStep> WhileRunning(const RolloutInput& facts,
-                                          std::string& reason) const;
-  std::optional<RolloutStep> WhilePromoted(const RolloutInput& facts,
-                                           Time now,
-                                           std::string& reason) const;
+  std::optional<RolloutStep> ProposeStepWhileRunning(const RolloutInput& input,
+                                                     std::string& reason) const;
+  std::optional<RolloutStep> ProposeStepWhilePromoted(
+      const RolloutInput& input,
+      Time now,
+      std::string& reason) const;
 
   RolloutOrder order_;
   std::uint64_t incarnation_;
   std::optional<RolloutState> state_;
-  CanaryLimiter gate_;
-  RolloutTally own_;
+  CanaryLimiter canary_limiter_;
+  RolloutTally own_tally_;
   std::set<std::string> versions_;
-  // Until the list is known, a rule holds as if both ran.
-  bool others_run_ = true;
-  bool fresh_runs_ = true;
-  TallyTable board_;
-  RolloutTally judged_;  ///< answers that the tests have seen
-  VersionEvaluator all_;
+  // Until the list of upstreams is received, both are assumed to run, so that
+  // the version rules apply.
+  bool other_versions_run_ = true;
+  bool new_version_runs_ = true;
+  TallyTable tally_table_;
+  RolloutTally evaluated_tally_;  ///< answers seen by the tests
+  VersionEvaluator all_routes_;
   std::map<std::uint64_t, VersionEvaluator> by_route_;
-  VersionRulePtr canary_;
-  VersionRulePtr others_;
-  VersionRulePtr promoted_;
+  VersionRulePtr canary_rule_;
+  VersionRulePtr other_versions_rule_;
+  VersionRulePtr promoted_rule_;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/rollouts/rollout_control.hpp
+++ b/include/pathcleat/rollouts/rollout_control.hpp
@@ -13,38 +13,39 @@
 
 namespace pathcleat {
 
-/// @brief A decision that is due, and why.
+/// @brief A decision that is due, with its reason.
 /// @ingroup rollouts
 struct ProposedStep {
   RolloutStep step;
   std::string reason;
 };
 
-/// @brief The fleet as it matters to rollouts.
+/// @brief State of the fleet that decisions on rollouts depend on.
 /// @ingroup rollouts
 struct RolloutContext {
-  int host_count = 1;  ///< that may be sending, this one included
+  int host_count = 1;  ///< that may send requests, this one included
   HybridTime time;
 };
 
-/// @brief All rollouts at this host: what was ordered, what is decided, and
-/// what hosts have seen. Any host may decide; the operators' command log keeps
-/// the first of two decisions that contradict each other. Not thread-safe.
+/// @brief All rollouts at this host: the orders, the decisions, and the counts
+/// reported by hosts. Any host may decide. Of two contradicting decisions the
+/// operators' command log keeps the first. Not thread-safe.
 /// @ingroup rollouts
 class RolloutControl final : public TallyPublisher {
  public:
   /// @param domain own failure domain.
-  /// @param incarnation another one at each start of a host.
+  /// @param incarnation differs at each start of a host.
   RolloutControl(std::string domain, std::uint64_t incarnation)
       : domain_(std::move(domain)), incarnation_(incarnation) {}
 
-  /// @brief All orders that stand.
+  /// @brief Sets all orders that are active.
   void SetOrders(const std::vector<RolloutOrder>& orders);
 
-  /// @brief All decisions in force.
+  /// @brief Sets all decisions that have been made.
   void SetStates(const RolloutStates& states);
 
-  /// @brief Whether a service is moved, or was moved lately.
+  /// @brief The newest rollout of a service, running or finished; null if there
+  /// is none.
   Rollout* Find(const std::string& service);
   std::map<std::string, Rollout>& All() { return rollouts_; }
   const std::map<std::string, Rollout>& All() const { return rollouts_; }
@@ -59,8 +60,8 @@
                        const RolloutTallies& tallies,
                        Time now) override;
 
-  /// @brief Judges what has come and says what is to be decided now. Call a
-  /// few times a second.
+  /// @brief Evaluates the answers since the last call and returns the decisions
+  /// that are due. Call a few times a second.
   std::vector<ProposedStep> Evaluate(const RolloutContext& fleet, Time now);
 
  private:
--- a/include/pathcleat/rollouts/rollout_order.hpp
+++ b/include/pathcleat/rollouts/rollout_order.hpp
@@ -8,13 +8,13 @@
 
 namespace pathcleat {
 
-/// @brief An operator wants a service's traffic moved to a version.
+/// @brief An operator's order to move a service's traffic to a version.
 /// @ingroup rollouts
 struct RolloutOrder {
   std::string service;
   std::string version;
-  Duration timeout{0};   ///< from the order to its end, either way
-  std::uint64_t id = 0;  ///< rises with each order of the service
+  Duration timeout{0};   ///< from the order to its completion or rollback
+  std::uint64_t id = 0;  ///< increases with each order of the service
 
   bool operator==(const RolloutOrder&) const = default;
 
--- a/include/pathcleat/rollouts/rollout_tally.hpp
+++ b/include/pathcleat/rollouts/rollout_tally.hpp
@@ -9,7 +9,7 @@
 
 namespace pathcleat {
 
-/// @brief Answers of one version's upstreams.
+/// @brief Counts of the answers of one version's upstreams.
 /// @ingroup rollouts
 struct AnswerCounts {
   std::uint64_t good = 0;
@@ -17,7 +17,7 @@
 
   std::uint64_t total() const { return good + bad; }
   void Add(const AnswerCounts& other);
-  /// @brief The larger of each: counts only rise.
+  /// @brief Sets each count to the maximum of both: counts never decrease.
   void MergeMax(const AnswerCounts& other);
 
   template <class Archive>
@@ -26,18 +26,19 @@
   }
 };
 
-/// @brief What a host, or all hosts of a failure domain, saw of a rollout.
+/// @brief Counts for one rollout, of a host or of all hosts of a failure
+/// domain.
 /// @ingroup rollouts
 struct RolloutTally {
   std::uint64_t order_id = 0;
   AnswerCounts other_versions;  ///< of all versions but the new one
-  AnswerCounts new_version;     ///< of the new one
+  AnswerCounts new_version;     ///< of the new version
   std::map<std::uint64_t, AnswerCounts>
-      new_version_by_route;  ///< by name's hash
+      new_version_by_route;  ///< by hash of the route's name
   std::uint32_t other_versions_in_flight =
-      0;  ///< requests under way at other versions
+      0;  ///< requests in flight at other versions
   std::uint32_t promoted_host_count =
-      0;  ///< hosts that send to the new version alone
+      0;  ///< hosts that send to the new version only
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -46,28 +47,28 @@
   }
 };
 
-/// @brief By service.
+/// @brief Tallies by service.
 /// @ingroup rollouts
 using RolloutTallies = std::map<std::string, RolloutTally>;
 
-/// @brief Who takes part in what hosts tell each other of rollouts.
+/// @brief Source and receiver of the rollout tallies that hosts exchange.
 /// @ingroup rollouts
 class TallyPublisher {
  public:
   virtual ~TallyPublisher() = default;
 
-  /// @brief What this host tells the others of its failure domain.
+  /// @brief The report of this host to the other hosts of its failure domain.
   virtual RolloutTallies OwnTallies() const = 0;
 
-  /// @brief What it tells other failure domains of its own one.
+  /// @brief The report on the own failure domain to other domains.
   virtual RolloutTallies DomainTallies(Time now) const = 0;
 
-  /// @brief What a host of the own failure domain told.
+  /// @brief Handles a report of a host of the own failure domain.
   virtual void OnHostTallies(std::uint64_t incarnation,
                              const RolloutTallies& tallies,
                              Time now) = 0;
 
-  /// @brief What another failure domain told.
+  /// @brief Handles a report on a failure domain.
   virtual void OnDomainTallies(const std::string& domain,
                                const RolloutTallies& tallies,
                                Time now) = 0;
--- a/include/pathcleat/rollouts/tally_table.hpp
+++ b/include/pathcleat/rollouts/tally_table.hpp
@@ -11,47 +11,49 @@
 
 namespace pathcleat {
 
-/// @brief Sums what hosts tell of one order. Answers once counted stay, also
-/// of hosts that have died; what is under way counts only as long as it is
-/// told. Not thread-safe.
+/// @brief Sums the reports of all hosts on one order. Counted answers stay,
+/// also those of dead hosts. Requests in flight count only as long as they are
+/// reported. Not thread-safe.
 /// @ingroup rollouts
 class TallyTable {
  public:
   explicit TallyTable(std::uint64_t order) : order_(order) {}
 
-  /// @brief A host of the own failure domain tells.
-  /// @param incarnation another one at each of its starts: counts begin anew.
+  /// @brief Handles the tally of a host of the own failure domain.
+  /// @param incarnation differs at each start of the host: its counts restart
+  /// from zero.
   void OnHostTally(std::uint64_t incarnation,
                    const RolloutTally& tally,
                    Time now);
 
-  /// @brief Another failure domain tells of all its hosts.
+  /// @brief Handles the sum over the hosts of another failure domain.
   void OnDomainTally(const std::string& domain,
                      const RolloutTally& tally,
                      Time now);
 
-  /// @brief A host that hears all of the own failure domain tells of it.
+  /// @brief Handles the sum over the own failure domain, from a host that
+  /// receives the reports of all its hosts.
   void OnOwnDomainTally(const RolloutTally& tally, Time now);
 
-  /// @brief The own failure domain, as told to others.
+  /// @brief Sum over the own failure domain, to report to other domains.
   RolloutTally DomainTally(Time now) const;
 
-  /// @brief The whole fleet.
+  /// @brief Sum over the whole fleet.
   RolloutTally FleetTally(Time now) const;
 
  private:
-  struct Told {
+  struct Received {
     RolloutTally tally;
-    Time heard;
+    Time received_at;
   };
 
-  static void Keep(Told& kept, const RolloutTally& tally, Time now);
-  static void Add(RolloutTally& sum, const Told& told, Time now);
+  static void Update(Received& kept, const RolloutTally& tally, Time now);
+  static void Add(RolloutTally& sum, const Received& received, Time now);
 
   std::uint64_t order_;
-  std::map<std::uint64_t, Told> hosts_;  ///< by incarnation
-  Told own_domain_;                      ///< as others told it
-  std::map<std::string, Told> domains_;  ///< all but the own one
+  std::map<std::uint64_t, Received> hosts_;  ///< by incarnation
+  Received own_domain_;                      ///< as reported by another host
+  std::map<std::string, Received> domains_;  ///< all but the own domain
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/rollouts/version_evaluator.hpp
+++ b/include/pathcleat/rollouts/version_evaluator.hpp
@@ -6,32 +6,35 @@
 namespace pathcleat {
 
 /// @brief Sequential test of whether a version's answers are bad more often
-/// than usual: by 2 in 100 at most (good), or by 7 in 100 and half of the usual
-/// (bad).
+/// than usual. The hypotheses are an excess of at most 2 percentage points
+/// (good) and a share of 1.5 times the usual plus 7 percentage points (bad).
 ///
-/// "Good" is Wald's sequential probability ratio test (1945) over all answers,
-/// "bad" is Page's cumulative sum (1954), which forgets what was good before,
-/// so that a version which turns bad later is found as fast. Both at 1 error
-/// in 1,000. Not thread-safe.
+/// "Good" is decided by Wald's sequential probability ratio test (1945) over
+/// all answers, "bad" by Page's cumulative sum (1954). The cumulative sum
+/// discards earlier good answers, so that a version that becomes bad later is
+/// found equally fast. Both have an error probability of 1 in 1,000. Not
+/// thread-safe.
 /// @ingroup rollouts
 class VersionEvaluator {
  public:
-  /// @brief Answers that came since the last call.
-  /// @param usual share of bad answers at the other versions meanwhile.
+  /// @brief Adds the answers since the last call.
+  /// @param usual share of bad answers at the other versions in that time.
   void Add(const AnswerCounts& answers, double usual);
 
   bool IsBad() const;
   bool IsGood() const;
 
-  /// @brief Less sure than good, and not in doubt.
+  /// @brief Weaker than IsGood: more likely good than bad, and not in doubt.
   bool IsLikelyGood() const;
 
  private:
-  double ratio_ = 0;  ///< logarithm of the odds, negative: good
-  double worst_ = 0;  ///< cumulative sum, at least 0
+  double log_ratio_ =
+      0;  ///< log likelihood ratio of bad to good; negative: good
+  double cumulative_sum_ = 0;  ///< cumulative sum, at least 0
 };
 
-/// @brief The share of bad answers to expect, from few counts as well.
+/// @brief The expected share of bad answers, estimated with a prior so that few
+/// counts suffice.
 /// @ingroup rollouts
 double ExpectedBadRatio(const AnswerCounts& answers);
 
--- a/include/pathcleat/rollouts/version_rule.hpp
+++ b/include/pathcleat/rollouts/version_rule.hpp
@@ -7,13 +7,13 @@
 
 namespace pathcleat {
 
-/// @brief Which versions of a service's upstreams a request may go to.
+/// @brief Versions of a service's upstreams that a request may go to.
 /// @ingroup rollouts
 struct VersionRule {
-  std::string required_version;  ///< empty: any that is not avoided
+  std::string required_version;  ///< empty: any version that is not excluded
   std::set<std::string> excluded_versions;
-  /// For `only`: the part of that version's upstreams that get requests, so
-  /// that these are as busy as the others of the service.
+  /// With required_version: the share of that version's upstreams that get
+  /// requests, so that these are as busy as the service's other upstreams.
   double upstream_share = 1;
 
   bool Allows(const std::string& version) const {
--- a/src/pathcleat/rollouts/rollout.cpp
+++ b/src/pathcleat/rollouts/rollout.cpp
@@ -8,34 +8,37 @@
 namespace {
 
 // The users allow a bad version a tenth of a service's requests and 50 more.
-// The rest is left for hosts that have not heard of the order yet.
+// The margin below a tenth is for hosts that have not received the order yet.
 constexpr double kCanaryShare = 0.08;
-// Of the time allowed: no version is judged good before the first, so that one
-// that fails late is still found; what is not known to be good by the second is
-// taken back, and the rest is left for the old version's work to end.
-constexpr double kTryAtLeast = 0.5;
-constexpr double kTryAtMost = 0.75;
-constexpr double kFinishBy = 0.97;
-// So many bad answers are judged by their count as well, in time for the users'
-// bound, which runs from the 50th one.
-constexpr std::uint64_t kManyBad = 25;
-// Standard errors beyond the usual share: chance passes 3.1 once in 1,000
-// looks, and there are a few dozen of them.
-constexpr double kManyBadErrors = 4;
+// Parts of the order's timeout. No version is promoted before the first, so
+// that a version that fails late is still found. A version that is not found
+// good by the second is rolled back. The time from the second to the third is
+// left for the old version's work to end; if the work has not ended by then,
+// the new version is rolled back.
+constexpr double kMinTrialRatio = 0.5;
+constexpr double kMaxTrialRatio = 0.75;
+constexpr double kFinishRatio = 0.97;
+// From this many bad answers on, the share of bad answers is checked as well.
+// That is in time for the users' limit, which applies from the 50th bad answer.
+constexpr std::uint64_t kMinBadForShareCheck = 25;
+// Standard errors above the usual share. 3.1 are exceeded by chance once in
+// 1,000 checks, and a rollout has a few dozen of them.
+constexpr double kMaxStandardErrors = 4;
 
 AnswerCounts Since(const AnswerCounts& now, const AnswerCounts& before) {
   return {now.good - std::min(now.good, before.good),
           now.bad - std::min(now.bad, before.bad)};
 }
 
-VersionRulePtr Only(const std::string& version, double part) {
+VersionRulePtr RequireVersion(const std::string& version,
+                              double upstream_share) {
   VersionRule rule;
   rule.required_version = version;
-  rule.upstream_share = part;
+  rule.upstream_share = upstream_share;
   return std::make_shared<const VersionRule>(rule);
 }
 
-VersionRulePtr NoneOf(const std::set<std::string>& versions) {
+VersionRulePtr ExcludeVersions(const std::set<std::string>& versions) {
   VersionRule rule;
   rule.excluded_versions = versions;
   return std::make_shared<const VersionRule>(rule);
@@ -46,30 +49,32 @@
 Rollout::Rollout(const RolloutOrder& order, std::uint64_t incarnation)
     : order_(order),
       incarnation_(incarnation),
-      gate_(kCanaryShare),
-      board_(order.id),
-      canary_(Only(order.version, kCanaryShare)),
-      others_(NoneOf({order.version})) {
-  own_.order_id = order.id;
+      canary_limiter_(kCanaryShare),
+      tally_table_(order.id),
+      canary_rule_(RequireVersion(order.version, kCanaryShare)),
+      other_versions_rule_(ExcludeVersions({order.version})) {
+  own_tally_.order_id = order.id;
 }
 
 void Rollout::SetState(const RolloutState& state) {
   state_ = state;
-  promoted_ = NoneOf(state.replaced_versions);
+  promoted_rule_ = ExcludeVersions(state.replaced_versions);
 }
 
-// Before it is known here that the rollout has begun, nothing is tried.
-VersionRulePtr Rollout::RuleFor(bool first) const {
-  if (!others_run_ || !fresh_runs_) {
-    return nullptr;  // there is one choice alone
+// No request goes to the new version before this host has received the start of
+// the rollout.
+VersionRulePtr Rollout::RuleFor(bool is_first_attempt) const {
+  if (!other_versions_run_ || !new_version_runs_) {
+    return nullptr;  // only one choice is left
   }
   if (!state_ || state_->phase == RolloutPhase::kRolledBack) {
-    return others_;
+    return other_versions_rule_;
   }
   if (state_->phase != RolloutPhase::kRunning) {
-    return promoted_;
+    return promoted_rule_;
   }
-  return first && gate_.MaySend() ? canary_ : others_;
+  return is_first_attempt && canary_limiter_.MaySend() ? canary_rule_
+                                                       : other_versions_rule_;
 }
 
 bool Rollout::IsVersionAllowed(const std::string& version) const {
@@ -81,18 +86,18 @@
 }
 
 void Rollout::OnSent(const std::string& version) {
-  gate_.OnSent(IsFresh(version));
+  canary_limiter_.OnSent(IsNewVersion(version));
 }
 
 void Rollout::SetLocalState(const std::set<std::string>& versions,
-                            std::uint32_t on_others) {
+                            std::uint32_t other_versions_in_flight) {
   versions_ = versions;
   if (!versions.empty()) {
-    fresh_runs_ = versions.contains(order_.version);
-    others_run_ = versions.size() > versions.count(order_.version);
+    new_version_runs_ = versions.contains(order_.version);
+    other_versions_run_ = versions.size() > versions.count(order_.version);
   }
-  own_.other_versions_in_flight = on_others;
-  own_.promoted_host_count =
+  own_tally_.other_versions_in_flight = other_versions_in_flight;
+  own_tally_.promoted_host_count =
       state_ && state_->phase == RolloutPhase::kPromoted ? 1 : 0;
 }
 
@@ -100,46 +105,48 @@
                        std::uint64_t route,
                        bool bad) {
   const AnswerCounts one{bad ? 0U : 1U, bad ? 1U : 0U};
-  if (!IsFresh(version)) {
-    own_.other_versions.Add(one);
+  if (!IsNewVersion(version)) {
+    own_tally_.other_versions.Add(one);
     return;
   }
-  own_.new_version.Add(one);
-  own_.new_version_by_route[route].Add(one);
+  own_tally_.new_version.Add(one);
+  own_tally_.new_version_by_route[route].Add(one);
 }
 
 void Rollout::Evaluate(Time now) {
-  board_.OnHostTally(incarnation_, own_, now);
-  const RolloutTally fleet = board_.FleetTally(now);
+  tally_table_.OnHostTally(incarnation_, own_tally_, now);
+  const RolloutTally fleet = tally_table_.FleetTally(now);
   const double usual = ExpectedBadRatio(fleet.other_versions);
-  all_.Add(Since(fleet.new_version, judged_.new_version), usual);
+  all_routes_.Add(Since(fleet.new_version, evaluated_tally_.new_version),
+                  usual);
   for (const auto& [route, answers] : fleet.new_version_by_route) {
-    by_route_[route].Add(Since(answers, judged_.new_version_by_route[route]),
-                         usual);
+    by_route_[route].Add(
+        Since(answers, evaluated_tally_.new_version_by_route[route]), usual);
   }
-  judged_ = fleet;
+  evaluated_tally_ = fleet;
 }
 
-bool Rollout::HasManyBad() const {
-  if (judged_.new_version.bad < kManyBad) {
+bool Rollout::IsBadShareHigh() const {
+  if (evaluated_tally_.new_version.bad < kMinBadForShareCheck) {
     return false;
   }
-  const auto answers = static_cast<double>(judged_.new_version.total());
-  const double usual = ExpectedBadRatio(judged_.other_versions);
+  const auto answers =
+      static_cast<double>(evaluated_tally_.new_version.total());
+  const double usual = ExpectedBadRatio(evaluated_tally_.other_versions);
   const double error = std::sqrt(usual * (1 - usual) / answers);
-  return static_cast<double>(judged_.new_version.bad) / answers >
-         usual + kManyBadErrors * error;
+  return static_cast<double>(evaluated_tally_.new_version.bad) / answers >
+         usual + kMaxStandardErrors * error;
 }
 
 bool Rollout::IsBad() const {
-  return HasManyBad() || all_.IsBad() ||
+  return IsBadShareHigh() || all_routes_.IsBad() ||
          std::any_of(by_route_.begin(), by_route_.end(),
                      [](const auto& route) { return route.second.IsBad(); });
 }
 
-// Also no route by itself is in doubt.
+// Requires also that no single route is in doubt.
 bool Rollout::IsGood() const {
-  return all_.IsGood() &&
+  return all_routes_.IsGood() &&
          std::all_of(by_route_.begin(), by_route_.end(), [](const auto& route) {
            return route.second.IsLikelyGood();
          });
@@ -154,11 +161,11 @@
   return step;
 }
 
-std::optional<RolloutStep> Rollout::ProposeStep(const RolloutInput& facts,
+std::optional<RolloutStep> Rollout::ProposeStep(const RolloutInput& input,
                                                 Time now,
                                                 std::string& reason) const {
   if (!state_) {
-    if (!facts.is_order_active) {
+    if (!input.is_order_active) {
       return std::nullopt;
     }
     reason = "an operator's order";
@@ -167,7 +174,7 @@
   if (state_->IsFinal()) {
     return std::nullopt;
   }
-  if (!facts.is_order_active) {
+  if (!input.is_order_active) {
     reason = "the order was withdrawn";
     return StepTo(RolloutPhase::kRolledBack);
   }
@@ -176,44 +183,48 @@
     return StepTo(RolloutPhase::kRolledBack);
   }
   return state_->phase == RolloutPhase::kRunning
-             ? WhileRunning(facts, reason)
-             : WhilePromoted(facts, now, reason);
+             ? ProposeStepWhileRunning(input, reason)
+             : ProposeStepWhilePromoted(input, now, reason);
 }
 
-std::optional<RolloutStep> Rollout::WhileRunning(const RolloutInput& facts,
-                                                 std::string& reason) const {
+std::optional<RolloutStep> Rollout::ProposeStepWhileRunning(
+    const RolloutInput& input,
+    std::string& reason) const {
   RolloutStep promote = StepTo(RolloutPhase::kPromoted);
   promote.replaced_versions = versions_;
   promote.replaced_versions.erase(order_.version);
-  const bool runs = versions_.contains(order_.version);
-  if (runs && promote.replaced_versions.empty()) {
+  const bool new_version_runs = versions_.contains(order_.version);
+  if (new_version_runs && promote.replaced_versions.empty()) {
     reason = "no other version runs";
     return promote;
   }
-  if (runs && facts.elapsed >= order_.timeout * kTryAtLeast && IsGood()) {
+  if (new_version_runs && input.elapsed >= order_.timeout * kMinTrialRatio &&
+      IsGood()) {
     reason = "its answers are as good as those of other versions";
     return promote;
   }
-  if (facts.elapsed >= order_.timeout * kTryAtMost) {
+  if (input.elapsed >= order_.timeout * kMaxTrialRatio) {
     reason = "not known to be good in time";
     return StepTo(RolloutPhase::kRolledBack);
   }
   return std::nullopt;
 }
 
-// The old version ends at once when this is completed: by then each host that
-// may send has said that it sends there no more, and what ran there has ended.
-std::optional<RolloutStep> Rollout::WhilePromoted(const RolloutInput& facts,
-                                                  Time now,
-                                                  std::string& reason) const {
-  const RolloutTally fleet = board_.FleetTally(now);
-  if (fresh_runs_ && fleet.other_versions_in_flight == 0 &&
+// The old version ends at once when the rollout is completed. So all hosts that
+// may send must have reported that they no longer send to the old version, and
+// its work must have ended.
+std::optional<RolloutStep> Rollout::ProposeStepWhilePromoted(
+    const RolloutInput& input,
+    Time now,
+    std::string& reason) const {
+  const RolloutTally fleet = tally_table_.FleetTally(now);
+  if (new_version_runs_ && fleet.other_versions_in_flight == 0 &&
       fleet.promoted_host_count >=
-          static_cast<std::uint32_t>(facts.host_count)) {
+          static_cast<std::uint32_t>(input.host_count)) {
     reason = "nothing runs at other versions";
     return StepTo(RolloutPhase::kCompleted);
   }
-  if (facts.elapsed >= order_.timeout * kFinishBy) {
+  if (input.elapsed >= order_.timeout * kFinishRatio) {
     reason = "work at other versions has not ended in time";
     return StepTo(RolloutPhase::kRolledBack);
   }
--- a/src/pathcleat/rollouts/rollout_control.cpp
+++ b/src/pathcleat/rollouts/rollout_control.cpp
@@ -12,7 +12,7 @@
   return found == tallies.end() ? RolloutTally() : found->second;
 }
 
-Duration Between(HybridTime from, HybridTime until) {
+Duration ElapsedBetween(HybridTime from, HybridTime until) {
   return Duration(until.micros > from.micros ? until.micros - from.micros : 0);
 }
 
@@ -21,8 +21,8 @@
 void RolloutControl::SetOrders(const std::vector<RolloutOrder>& orders) {
   orders_ = orders;
   for (const RolloutOrder& order : orders) {
-    const auto known = rollouts_.find(order.service);
-    if (known != rollouts_.end() && known->second.order().id >= order.id) {
+    const auto found = rollouts_.find(order.service);
+    if (found != rollouts_.end() && found->second.order().id >= order.id) {
       continue;
     }
     rollouts_.insert_or_assign(order.service, Rollout(order, incarnation_));
@@ -96,24 +96,24 @@
 
 std::vector<ProposedStep> RolloutControl::Evaluate(const RolloutContext& fleet,
                                                    Time now) {
-  std::vector<ProposedStep> due;
+  std::vector<ProposedStep> due_steps;
   for (auto& [service, rollout] : rollouts_) {
     if (rollout.state() && rollout.state()->IsFinal()) {
       continue;
     }
     rollout.Evaluate(now);
-    RolloutInput facts;
-    facts.is_order_active = IsOrdered(rollout);
-    facts.host_count = fleet.host_count;
+    RolloutInput input;
+    input.is_order_active = IsOrdered(rollout);
+    input.host_count = fleet.host_count;
     if (rollout.state()) {
-      facts.elapsed = Between(rollout.state()->start_time, fleet.time);
+      input.elapsed = ElapsedBetween(rollout.state()->start_time, fleet.time);
     }
     std::string reason;
-    if (const auto step = rollout.ProposeStep(facts, now, reason)) {
-      due.push_back({*step, reason});
+    if (const auto step = rollout.ProposeStep(input, now, reason)) {
+      due_steps.push_back({*step, reason});
     }
   }
-  return due;
+  return due_steps;
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/rollouts/rollout_test.cpp
+++ b/src/pathcleat/rollouts/rollout_test.cpp
@@ -9,43 +9,50 @@
 namespace {
 
 const Time kStart{Duration(10'000'000)};
-constexpr Duration kAllowed{12'000'000};
+constexpr Duration kTimeout{12'000'000};
 constexpr Duration kPeriod{250'000};
 constexpr std::uint64_t kRoute = 7;
-constexpr double kMostExposed = 0.1;
+constexpr double kMaxCanaryShare = 0.1;
 
-RolloutOrder Order(std::uint64_t id = 5) {
-  return {"s", "v2", kAllowed, id};
+RolloutOrder MakeOrder(std::uint64_t id = 5) {
+  return {"s", "v2", kTimeout, id};
 }
 
-// What the answers of a version are like.
-struct Answers {
-  double bad = 0;                ///< share of them
-  Duration bad_from{0};          ///< good before that
-  std::uint64_t only_route = 0;  ///< 0: on all routes
+// Quality of a version's answers.
+struct AnswerModel {
+  double bad = 0;        ///< share of bad answers
+  Duration bad_from{0};  ///< all answers before that are good
+  std::uint64_t only_route =
+      0;  ///< bad answers on this route only; 0: on all routes
 };
 
-// Hosts that each send by their own gate, hear each other's tallies, and are
-// killed and started anew; one log of decisions that the store would keep.
+// Hosts that each send by their own canary limiter, receive each other's
+// tallies, and are killed and restarted, with one log of decisions as the store
+// would keep it.
 class Fleet {
  public:
   Fleet(int hosts, std::uint64_t seed) : random_(seed) {
     for (int i = 0; i < hosts; ++i) {
       controls_.emplace_back("d", ++incarnations_);
-      controls_.back().SetOrders({Order()});
+      controls_.back().SetOrders({MakeOrder()});
     }
   }
 
-  void Run(const Answers& fresh, const Answers& others, int rate) {
-    for (Time now = kStart; now < kStart + kAllowed; now += kPeriod) {
-      Step(fresh, others, rate, now);
+  void Run(const AnswerModel& new_version,
+           const AnswerModel& other_versions,
+           int rate) {
+    for (Time now = kStart; now < kStart + kTimeout; now += kPeriod) {
+      Step(new_version, other_versions, rate, now);
     }
   }
 
-  void Step(const Answers& fresh, const Answers& others, int rate, Time now) {
+  void Step(const AnswerModel& new_version,
+            const AnswerModel& other_versions,
+            int rate,
+            Time now) {
     for (RolloutControl& control : controls_) {
       for (int i = 0; i < rate; ++i) {
-        Send(control, fresh, others, now);
+        Send(control, new_version, other_versions, now);
       }
     }
     for (std::size_t from = 0; from < controls_.size(); ++from) {
@@ -68,41 +75,42 @@
     for (RolloutControl& control : controls_) {
       control.SetStates(states_);
     }
-    if (states_["s"].phase == RolloutPhase::kRolledBack && taken_back_ == 0) {
-      taken_back_ = fresh_sent_;
+    if (states_["s"].phase == RolloutPhase::kRolledBack &&
+        sent_at_rollback_ == 0) {
+      sent_at_rollback_ = new_version_sent_;
     }
   }
 
   void Kill(std::size_t index) {
     controls_[index] = RolloutControl("d", ++incarnations_);
-    controls_[index].SetOrders({Order()});
+    controls_[index].SetOrders({MakeOrder()});
     controls_[index].SetStates(states_);
   }
 
   RolloutPhase phase() { return states_["s"].phase; }
   int sent() const { return sent_; }
-  int fresh_sent() const { return fresh_sent_; }
+  int new_version_sent() const { return new_version_sent_; }
   int bad_seen() const { return bad_seen_; }
 
  private:
   void Send(RolloutControl& control,
-            const Answers& fresh,
-            const Answers& others,
+            const AnswerModel& new_version,
+            const AnswerModel& other_versions,
             Time now) {
     Rollout& rollout = *control.Find("s");
     const VersionRulePtr rule = rollout.RuleFor(true);
     const std::string version = !rule || rule->Allows("v1") ? "v1" : "v2";
-    const Answers& answers = version == "v2" ? fresh : others;
+    const AnswerModel& answers = version == "v2" ? new_version : other_versions;
     const std::uint64_t route = kRoute + random_() % 2;
-    const bool struck =
+    const bool affected =
         (answers.only_route == 0 || answers.only_route == route) &&
         now - kStart >= answers.bad_from;
-    std::bernoulli_distribution draw(struck ? answers.bad : 0);
+    std::bernoulli_distribution draw(affected ? answers.bad : 0);
     const bool bad = draw(random_);
     rollout.OnSent(version);
     rollout.OnAnswer(version, route, bad);
     ++sent_;
-    fresh_sent_ += version == "v2" ? 1 : 0;
+    new_version_sent_ += version == "v2" ? 1 : 0;
     bad_seen_ += version == "v2" && bad ? 1 : 0;
   }
 
@@ -111,41 +119,40 @@
   std::uint64_t incarnations_ = 0;
   RolloutStates states_;
   int sent_ = 0;
-  int fresh_sent_ = 0;
+  int new_version_sent_ = 0;
   int bad_seen_ = 0;
-  int taken_back_ = 0;
+  int sent_at_rollback_ = 0;
 };
 
-// Promise: no decision exposes more than a tenth of a service's requests to a
-// version that is being tried, whatever hosts know of each other.
-// Checked to fail with the comparison in CanaryLimiter::IsOpen switched off.
-Test(promise, tried_version_gets_its_share_at_most) {
+// Promise: no decision sends more than a tenth of a service's requests to a
+// version on trial, whatever hosts have received from each other. Fails with
+// the comparison in CanaryLimiter::MaySend switched off.
+Test(promise, canary_version_gets_its_share_at_most) {
   cr_assert(Holds("fresh <= 0.1 * sent, over deaths and starts", [] {
     const int hosts = *rc::gen::inRange(1, 8);
-    std::vector<CanaryLimiter> gates(static_cast<std::size_t>(hosts),
-                                     CanaryLimiter(0.08));
+    std::vector<CanaryLimiter> limiters(static_cast<std::size_t>(hosts),
+                                        CanaryLimiter(0.08));
     const auto steps =
         *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, hosts * 20));
     int sent = 0;
-    int fresh = 0;
+    int new_version = 0;
     for (const int step : steps) {
-      CanaryLimiter& gate = gates[static_cast<std::size_t>(step % hosts)];
+      CanaryLimiter& limiter = limiters[static_cast<std::size_t>(step % hosts)];
       if (step < hosts) {
-        gate = CanaryLimiter(0.08);
+        limiter = CanaryLimiter(0.08);
         continue;
       }
-      const bool tries = gate.MaySend();
-      gate.OnSent(tries);
+      const bool to_new_version = limiter.MaySend();
+      limiter.OnSent(to_new_version);
       ++sent;
-      fresh += tries ? 1 : 0;
-      RC_ASSERT(fresh <= kMostExposed * sent);
+      new_version += to_new_version ? 1 : 0;
+      RC_ASSERT(new_version <= kMaxCanaryShare * sent);
     }
   }));
 }
 
-// Checked to fail with RolloutPhase::kCompleted made open to kRolledBack in
-// MayFollow.
-Test(promise, final_rollout_is_never_opened_again) {
+// Fails if IsValidTransition allows kRolledBack after RolloutPhase::kCompleted.
+Test(promise, final_rollout_never_changes) {
   cr_assert(Holds("no step changes a final state but a newer order", [] {
     RolloutStates states;
     const auto steps =
@@ -167,17 +174,17 @@
   }));
 }
 
-// 30 hosts that send 4 requests each a quarter of a second: 480 a second.
+// 30 hosts that each send 4 requests per quarter of a second: 480 a second.
 constexpr int kHosts = 30;
 constexpr int kRate = 4;
 constexpr int kSeeds = 40;
 
-RolloutPhase Played(const Answers& fresh,
-                    const Answers& others,
-                    std::uint64_t seed,
-                    int* bad_seen = nullptr) {
+RolloutPhase RunRollout(const AnswerModel& new_version,
+                        const AnswerModel& other_versions,
+                        std::uint64_t seed,
+                        int* bad_seen = nullptr) {
   Fleet fleet(kHosts, seed);
-  fleet.Run(fresh, others, kRate);
+  fleet.Run(new_version, other_versions, kRate);
   if (bad_seen != nullptr) {
     *bad_seen = std::max(*bad_seen, fleet.bad_seen());
   }
@@ -186,73 +193,75 @@
 
 Test(rollout, good_version_completes) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    const Answers alike{0.004, Duration(0), 0};
-    cr_assert(Played(alike, alike, seed) == RolloutPhase::kCompleted);
+    const AnswerModel same{0.004, Duration(0), 0};
+    cr_assert(RunRollout(same, same, seed) == RolloutPhase::kCompleted);
   }
 }
 
-// A grey upstream or a burst strikes the other versions as well.
-Test(rollout, good_version_among_bad_days_completes) {
+// A degraded upstream or a burst of failures affects the other versions as
+// well.
+Test(rollout, good_version_completes_when_all_versions_fail_often) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    const Answers alike{0.1, Duration(0), 0};
-    cr_assert(Played(alike, alike, seed) == RolloutPhase::kCompleted);
+    const AnswerModel same{0.1, Duration(0), 0};
+    cr_assert(RunRollout(same, same, seed) == RolloutPhase::kCompleted);
   }
 }
 
-// 50 bad answers are what the users' bound allows until it begins to run.
-constexpr int kMostBadSeen = 50;
+// The users' limit allows 50 bad answers before it applies.
+constexpr int kMaxBadSeen = 50;
 
-// Checked to fail with Rollout::IsBad switched off.
-Test(rollout, version_that_fails_is_taken_back) {
-  const std::vector<Answers> kinds{{0.2, Duration(0), 0},
-                                   {1.0, Duration(0), 0},
-                                   {0.2, Duration(3'000'000), 0},
-                                   {0.5, Duration(0), kRoute}};
-  for (const Answers& kind : kinds) {
+// Fails with Rollout::IsBad switched off.
+Test(rollout, failing_version_is_rolled_back) {
+  const std::vector<AnswerModel> models{{0.2, Duration(0), 0},
+                                        {1.0, Duration(0), 0},
+                                        {0.2, Duration(3'000'000), 0},
+                                        {0.5, Duration(0), kRoute}};
+  for (const AnswerModel& model : models) {
     int bad_seen = 0;
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-      const Answers usual{0.004, Duration(0), 0};
-      cr_assert(Played(kind, usual, seed, &bad_seen) ==
+      const AnswerModel usual{0.004, Duration(0), 0};
+      cr_assert(RunRollout(model, usual, seed, &bad_seen) ==
                 RolloutPhase::kRolledBack);
     }
-    cr_assert_leq(bad_seen, kMostBadSeen);
+    cr_assert_leq(bad_seen, kMaxBadSeen);
   }
 }
 
-// What turns bad once all requests go there is taken back before the other
-// version is given up, or found in the last moment of its trial.
+// Guards against completing a version that turns bad after all requests go to
+// it or at the end of its trial: it is rolled back before the other version
+// ends.
 Test(rollout, version_in_doubt_is_never_completed) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    const Answers usual{0.004, Duration(0), 0};
-    const Answers slight{0.07, Duration(0), 0};
-    cr_assert(Played(slight, usual, seed) != RolloutPhase::kCompleted);
+    const AnswerModel usual{0.004, Duration(0), 0};
+    const AnswerModel slight{0.07, Duration(0), 0};
+    cr_assert(RunRollout(slight, usual, seed) != RolloutPhase::kCompleted);
   }
 }
 
-Test(rollout, few_answers_are_doubt) {
+Test(rollout, version_with_few_answers_is_rolled_back) {
   Fleet fleet(2, 1);
-  const Answers good{0, Duration(0), 0};
+  const AnswerModel good{0, Duration(0), 0};
   fleet.Run(good, good, 1);
   cr_assert(fleet.phase() == RolloutPhase::kRolledBack);
 }
 
-Test(rollout, deaths_do_not_expose_more) {
+Test(rollout, killed_hosts_do_not_exceed_the_canary_share) {
   constexpr std::size_t kKilled = 18;
   Fleet fleet(kHosts, 3);
-  const Answers good{0.004, Duration(0), 0};
-  for (Time now = kStart; now < kStart + kAllowed / 2; now += kPeriod) {
+  const AnswerModel good{0.004, Duration(0), 0};
+  for (Time now = kStart; now < kStart + kTimeout / 2; now += kPeriod) {
     fleet.Step(good, good, kRate, now);
     for (std::size_t i = 0; i < kKilled; ++i) {
       fleet.Kill(i);
     }
-    cr_assert(fleet.fresh_sent() <= kMostExposed * fleet.sent());
+    cr_assert(fleet.new_version_sent() <= kMaxCanaryShare * fleet.sent());
   }
 }
 
-Test(rollout, withdrawn_order_is_taken_back_and_new_one_begins) {
+Test(rollout, withdrawn_order_is_rolled_back_and_a_new_one_starts) {
   RolloutControl control("d", 1);
   RolloutStates states;
-  const auto decide = [&](Time now) {
+  const auto evaluate = [&](Time now) {
     RolloutContext fleet;
     control.Find("s")->SetLocalState({"v1", "v2"}, 0);
     for (const ProposedStep& due : control.Evaluate(fleet, now)) {
@@ -260,108 +269,111 @@
     }
     control.SetStates(states);
   };
-  control.SetOrders({Order(1)});
-  decide(kStart);
+  control.SetOrders({MakeOrder(1)});
+  evaluate(kStart);
   cr_assert(states["s"].phase == RolloutPhase::kRunning);
   control.SetOrders({});
-  decide(kStart);
+  evaluate(kStart);
   cr_assert(states["s"].phase == RolloutPhase::kRolledBack);
-  control.SetOrders({Order(2)});
-  decide(kStart);
+  control.SetOrders({MakeOrder(2)});
+  evaluate(kStart);
   cr_assert(states["s"].phase == RolloutPhase::kRunning);
   cr_assert_eq(states["s"].order_id, 2U);
 }
 
-// Work that runs at an old version holds its end back.
-// Checked to fail without the test of on_others in Rollout::WhilePromoted.
-Test(promise, old_version_does_not_end_while_work_runs_there) {
+// Work in flight at an old version delays that version's end. Fails without the
+// check of other_versions_in_flight in Rollout::ProposeStepWhilePromoted.
+Test(promise, old_version_does_not_end_while_work_runs_on_it) {
   RolloutControl control("d", 1);
   RolloutStates states;
   RolloutContext fleet;
-  const auto decide = [&](Time now, std::uint32_t under_way) {
-    control.Find("s")->SetLocalState({"v2"}, under_way);
+  const auto evaluate = [&](Time now, std::uint32_t in_flight) {
+    control.Find("s")->SetLocalState({"v2"}, in_flight);
     for (const ProposedStep& due : control.Evaluate(fleet, now)) {
       Apply(states, due.step, {});
     }
     control.SetStates(states);
   };
-  control.SetOrders({Order()});
-  decide(kStart, 1);
-  decide(kStart, 1);
+  control.SetOrders({MakeOrder()});
+  evaluate(kStart, 1);
+  evaluate(kStart, 1);
   cr_assert(states["s"].phase == RolloutPhase::kPromoted);
-  decide(kStart + kPeriod, 1);
+  evaluate(kStart + kPeriod, 1);
   cr_assert(states["s"].phase == RolloutPhase::kPromoted);
-  fleet.host_count = 2;  // One host has not said that it sends there no more.
-  decide(kStart + kPeriod * 2, 0);
+  fleet.host_count = 2;  // One host has not reported that it no longer sends to
+                         // the old version.
+  evaluate(kStart + kPeriod * 2, 0);
   cr_assert(states["s"].phase == RolloutPhase::kPromoted);
   fleet.host_count = 1;
-  decide(kStart + kPeriod * 3, 0);
+  evaluate(kStart + kPeriod * 3, 0);
   cr_assert(states["s"].phase == RolloutPhase::kCompleted);
 }
 
-// Takes a rollout to a phase by hand.
-void Decide(RolloutControl& control, RolloutPhase phase) {
+// Sets the phase of a rollout directly.
+void SetPhase(RolloutControl& control, RolloutPhase phase) {
   RolloutState state;
-  state.order_id = Order().id;
+  state.order_id = MakeOrder().id;
   state.version = "v2";
   state.phase = phase;
   state.replaced_versions = {"v1"};
   control.SetStates({{"s", state}});
 }
 
-// Before the list is known, a host that has just started must not take any
-// version for the only one. Seen to fail: an empty list counted as one without
-// other versions, and the tried one got requests as any.
-Test(promise, unknown_list_opens_no_version) {
+// Guards against a host that has just started and takes an empty list of
+// upstreams for one without other versions: the version on trial then got
+// requests like any other.
+Test(promise, missing_list_allows_no_version_on_trial) {
   RolloutControl control("d", 1);
-  control.SetOrders({Order()});
+  control.SetOrders({MakeOrder()});
   Rollout& rollout = *control.Find("s");
   rollout.SetLocalState({}, 0);
   for (const RolloutPhase phase :
        {RolloutPhase::kRunning, RolloutPhase::kRolledBack}) {
-    Decide(control, phase);
+    SetPhase(control, phase);
     cr_assert(rollout.RuleFor(false) != nullptr);
     cr_assert_not(rollout.RuleFor(false)->Allows("v2"));
   }
-  Decide(control, RolloutPhase::kCompleted);
+  SetPhase(control, RolloutPhase::kCompleted);
   cr_assert_not(rollout.RuleFor(false)->Allows("v1"));
 }
 
-// What was chosen before a decision is sent by the decision: while a connection
-// opened, the tried version was taken back, or the old one was replaced.
-Test(promise, decided_rollout_binds_what_was_chosen_before) {
+// Guards against a request that is sent by a choice made before a decision:
+// while its connection opened, the version on trial was rolled back, or the old
+// version was replaced.
+Test(promise, decision_applies_to_versions_chosen_earlier) {
   RolloutControl control("d", 1);
-  control.SetOrders({Order()});
+  control.SetOrders({MakeOrder()});
   Rollout& rollout = *control.Find("s");
   rollout.SetLocalState({"v1", "v2"}, 0);
-  Decide(control, RolloutPhase::kRunning);
+  SetPhase(control, RolloutPhase::kRunning);
   cr_assert(rollout.IsVersionAllowed("v1"));
   cr_assert(rollout.IsVersionAllowed("v2"));
-  Decide(control, RolloutPhase::kRolledBack);
+  SetPhase(control, RolloutPhase::kRolledBack);
   cr_assert(rollout.IsVersionAllowed("v1"));
   cr_assert_not(rollout.IsVersionAllowed("v2"));
 }
 
-Test(promise, promoted_version_gets_what_was_chosen_for_the_old_one) {
+Test(promise, promotion_excludes_an_old_version_chosen_earlier) {
   RolloutControl control("d", 1);
-  control.SetOrders({Order()});
+  control.SetOrders({MakeOrder()});
   Rollout& rollout = *control.Find("s");
   rollout.SetLocalState({"v1", "v2"}, 0);
-  Decide(control, RolloutPhase::kPromoted);
+  SetPhase(control, RolloutPhase::kPromoted);
   cr_assert_not(rollout.IsVersionAllowed("v1"));
   cr_assert(rollout.IsVersionAllowed("v2"));
 }
 
-// Where the list names no other version at all, what runs serves; the old one
-// is then not said to be done with either.
-Test(rollout, only_version_that_is_listed_serves) {
+// If the list has only one version, that version gets the requests, also after
+// a rollback; an old version that is the only one listed does not count as
+// ended.
+Test(rollout, only_listed_version_gets_requests) {
   RolloutControl control("d", 1);
-  control.SetOrders({Order()});
+  control.SetOrders({MakeOrder()});
   Rollout& rollout = *control.Find("s");
-  Decide(control, RolloutPhase::kRolledBack);
+  SetPhase(control, RolloutPhase::kRolledBack);
   rollout.SetLocalState({"v2"}, 0);
   cr_assert(rollout.RuleFor(false) == nullptr);
-  Decide(control, RolloutPhase::kPromoted);
+  SetPhase(control, RolloutPhase::kPromoted);
   rollout.SetLocalState({"v1"}, 0);
   cr_assert(rollout.RuleFor(false) == nullptr);
   cr_assert(control.Evaluate({1, {}}, kStart).empty());
--- a/src/pathcleat/rollouts/tally_table.cpp
+++ b/src/pathcleat/rollouts/tally_table.cpp
@@ -6,40 +6,40 @@
 namespace pathcleat {
 namespace {
 
-// Tallies come twice a second; one that is this old may be of a host that has
-// died, and tells nothing of what is under way now.
-constexpr Duration kFreshFor{2'500'000};
+// Tallies come twice a second. An older tally may be from a dead host, and its
+// requests in flight no longer count.
+constexpr Duration kInFlightTtl{2'500'000};
 
-void RaiseAnswers(RolloutTally& kept, const RolloutTally& told) {
-  kept.other_versions.MergeMax(told.other_versions);
-  kept.new_version.MergeMax(told.new_version);
-  for (const auto& [route, answers] : told.new_version_by_route) {
+void MergeMaxAnswers(RolloutTally& kept, const RolloutTally& received) {
+  kept.other_versions.MergeMax(received.other_versions);
+  kept.new_version.MergeMax(received.new_version);
+  for (const auto& [route, answers] : received.new_version_by_route) {
     kept.new_version_by_route[route].MergeMax(answers);
   }
 }
 
-void AddAnswers(RolloutTally& sum, const RolloutTally& told) {
-  sum.other_versions.Add(told.other_versions);
-  sum.new_version.Add(told.new_version);
-  for (const auto& [route, answers] : told.new_version_by_route) {
+void AddAnswers(RolloutTally& sum, const RolloutTally& received) {
+  sum.other_versions.Add(received.other_versions);
+  sum.new_version.Add(received.new_version);
+  for (const auto& [route, answers] : received.new_version_by_route) {
     sum.new_version_by_route[route].Add(answers);
   }
 }
 
 }  // namespace
 
-void TallyTable::Keep(Told& kept, const RolloutTally& tally, Time now) {
-  RaiseAnswers(kept.tally, tally);
+void TallyTable::Update(Received& kept, const RolloutTally& tally, Time now) {
+  MergeMaxAnswers(kept.tally, tally);
   kept.tally.other_versions_in_flight = tally.other_versions_in_flight;
   kept.tally.promoted_host_count = tally.promoted_host_count;
-  kept.heard = now;
+  kept.received_at = now;
 }
 
-void TallyTable::Add(RolloutTally& sum, const Told& told, Time now) {
-  AddAnswers(sum, told.tally);
-  if (now - told.heard <= kFreshFor) {
-    sum.other_versions_in_flight += told.tally.other_versions_in_flight;
-    sum.promoted_host_count += told.tally.promoted_host_count;
+void TallyTable::Add(RolloutTally& sum, const Received& received, Time now) {
+  AddAnswers(sum, received.tally);
+  if (now - received.received_at <= kInFlightTtl) {
+    sum.other_versions_in_flight += received.tally.other_versions_in_flight;
+    sum.promoted_host_count += received.tally.promoted_host_count;
   }
 }
 
@@ -47,7 +47,7 @@
                              const RolloutTally& tally,
                              Time now) {
   if (tally.order_id == order_) {
-    Keep(hosts_[incarnation], tally, now);
+    Update(hosts_[incarnation], tally, now);
   }
 }
 
@@ -55,32 +55,32 @@
                                const RolloutTally& tally,
                                Time now) {
   if (tally.order_id == order_) {
-    Keep(domains_[domain], tally, now);
+    Update(domains_[domain], tally, now);
   }
 }
 
 void TallyTable::OnOwnDomainTally(const RolloutTally& tally, Time now) {
   if (tally.order_id == order_) {
-    Keep(own_domain_, tally, now);
+    Update(own_domain_, tally, now);
   }
 }
 
-// A host of a large domain hears few others itself; both are of the same
-// answers.
+// A host of a large domain receives the tallies of few hosts directly. Both
+// sums count the same answers, so their maximum is used.
 RolloutTally TallyTable::DomainTally(Time now) const {
-  RolloutTally heard;
-  heard.order_id = order_;
+  RolloutTally direct;
+  direct.order_id = order_;
   for (const auto& [incarnation, host] : hosts_) {
-    Add(heard, host, now);
+    Add(direct, host, now);
   }
-  RolloutTally told;
-  Add(told, own_domain_, now);
-  RaiseAnswers(heard, told);
-  heard.other_versions_in_flight =
-      std::max(heard.other_versions_in_flight, told.other_versions_in_flight);
-  heard.promoted_host_count =
-      std::max(heard.promoted_host_count, told.promoted_host_count);
-  return heard;
+  RolloutTally relayed;
+  Add(relayed, own_domain_, now);
+  MergeMaxAnswers(direct, relayed);
+  direct.other_versions_in_flight = std::max(direct.other_versions_in_flight,
+                                             relayed.other_versions_in_flight);
+  direct.promoted_host_count =
+      std::max(direct.promoted_host_count, relayed.promoted_host_count);
+  return direct;
 }
 
 RolloutTally TallyTable::FleetTally(Time now) const {
--- a/src/pathcleat/rollouts/version_evaluator.cpp
+++ b/src/pathcleat/rollouts/version_evaluator.cpp
@@ -7,51 +7,53 @@
 namespace pathcleat {
 namespace {
 
-// A version is as good as the others up to this many more bad answers, so that
-// the counts' own chance does not convict it, and bad from the second on.
-constexpr double kGoodBeyondUsual = 0.02;
-constexpr double kBadBeyondUsual = 0.07;
-// Where many answers are bad anyway, chance moves their share more.
-constexpr double kBadTimesUsual = 1.5;
-// ln(1,000): one error in a thousand, either way.
-constexpr double kSure = 6.907755;
-// A version that is half convicted is not promoted.
-constexpr double kInDoubt = kSure / 2;
-// What is assumed of a version before anything was seen: 1 bad of 100, which
-// counts as much as 50 answers.
-constexpr double kAssumedBad = 0.5;
-constexpr double kAssumedAnswers = 50;
-// Beyond it the two hypotheses would pass certainty.
-constexpr double kMostUsual = 0.5;
+// Excess of the bad share over the usual share: up to the first a version
+// counts as good, so that random variation alone does not make it bad; from the
+// second on it counts as bad.
+constexpr double kGoodExcess = 0.02;
+constexpr double kBadExcess = 0.07;
+// Where many answers are bad anyway, their share varies more by chance.
+constexpr double kBadUsualFactor = 1.5;
+// ln(1,000): an error probability of 1 in 1,000, in either direction.
+constexpr double kDecisionThreshold = 6.907755;
+// A version whose cumulative sum has reached half of that threshold is in doubt
+// and not promoted.
+constexpr double kDoubtThreshold = kDecisionThreshold / 2;
+// Prior of a version without answers: 1 bad of 100, with the weight of 50
+// answers.
+constexpr double kPriorBad = 0.5;
+constexpr double kPriorAnswers = 50;
+// With a larger usual share the bad hypothesis would exceed a share of 1.
+constexpr double kMaxUsual = 0.5;
 
 }  // namespace
 
 double ExpectedBadRatio(const AnswerCounts& answers) {
-  return (static_cast<double>(answers.bad) + kAssumedBad) /
-         (static_cast<double>(answers.total()) + kAssumedAnswers);
+  return (static_cast<double>(answers.bad) + kPriorBad) /
+         (static_cast<double>(answers.total()) + kPriorAnswers);
 }
 
 void VersionEvaluator::Add(const AnswerCounts& answers, double usual) {
-  const double base = std::min(usual, kMostUsual);
-  const double good = base + kGoodBeyondUsual;
-  const double bad = base * kBadTimesUsual + kBadBeyondUsual;
+  const double base = std::min(usual, kMaxUsual);
+  const double good = base + kGoodExcess;
+  const double bad = base * kBadUsualFactor + kBadExcess;
   const double step =
       static_cast<double>(answers.bad) * std::log(bad / good) +
       static_cast<double>(answers.good) * std::log((1 - bad) / (1 - good));
-  ratio_ += step;
-  worst_ = std::max(0.0, worst_ + step);
+  log_ratio_ += step;
+  cumulative_sum_ = std::max(0.0, cumulative_sum_ + step);
 }
 
 bool VersionEvaluator::IsBad() const {
-  return worst_ >= kSure;
+  return cumulative_sum_ >= kDecisionThreshold;
 }
 
 bool VersionEvaluator::IsGood() const {
-  return ratio_ <= -kSure && worst_ < kInDoubt;
+  return log_ratio_ <= -kDecisionThreshold && cumulative_sum_ < kDoubtThreshold;
 }
 
 bool VersionEvaluator::IsLikelyGood() const {
-  return ratio_ < 0 && worst_ < kInDoubt;
+  return log_ratio_ < 0 && cumulative_sum_ < kDoubtThreshold;
 }
 
 }  // namespace pathcleat
