--- a/include/pathcleat/accounts/account_limiter.hpp
+++ b/include/pathcleat/accounts/account_limiter.hpp
@@ -29,18 +29,20 @@
 ///
 /// Far below the limit no shares are enforced: each host admits all requests as
 /// long as its own demand is near what it reported. Shares are enforced when
-/// the demand that all hosts reported is near the limit, or when much more
-/// arrives at this host than it reported. A host's share is proportional to the
-/// demand that it reported last, plus a small equal part for hosts where the
-/// account is new. The shares of all hosts sum to 1, as each host computes with
-/// its own last report and with the reports received from the others. While a
-/// host is silent, no share grows. Not thread-safe.
+/// the demand that all hosts reported exceeds the limit, when few tokens of the
+/// fleet are left, or when much more arrives at this host than it reported. A
+/// host's share is proportional to the demand that it reported last, plus a
+/// small equal part for hosts where the account is new. The shares of all hosts
+/// sum to 1, as each host computes with its own last report and with the
+/// reports received from the others. While a host is silent, no share grows.
+/// Not thread-safe.
 /// @ingroup accounts
 class AccountLimiter {
  public:
-  /// @param seed differs from host to host. It spreads the initial token
-  /// fractions, so that when each of many hosts has a small part of one
-  /// request, they don't all admit one at the same time.
+  /// @param seed differs from host to host. It determines the random fraction
+  /// of a token that a host keeps when it starts to enforce its share, so that
+  /// many hosts with a share of less than one request each do not all admit one
+  /// at the same time.
   AccountLimiter(const AccountLimit& limit,
                  const QuotaBounds& bounds,
                  std::uint64_t seed);
--- a/include/pathcleat/rollouts/rollout.hpp
+++ b/include/pathcleat/rollouts/rollout.hpp
@@ -105,7 +105,7 @@
   bool other_versions_run_ = true;
   bool new_version_runs_ = true;
   TallyTable tally_table_;
-  RolloutTally evaluated_tally_;  ///< answers seen by the tests
+  RolloutTally evaluated_tally_;  ///< already in the sequential tests
   VersionEvaluator all_routes_;
   std::map<std::uint64_t, VersionEvaluator> by_route_;
   VersionRulePtr canary_rule_;
--- a/include/pathcleat/rollouts/version_evaluator.hpp
+++ b/include/pathcleat/rollouts/version_evaluator.hpp
@@ -30,7 +30,7 @@
  private:
   double log_ratio_ =
       0;  ///< log likelihood ratio of bad to good; negative: good
-  double cumulative_sum_ = 0;  ///< cumulative sum, at least 0
+  double cumulative_sum_ = 0;  ///< at least 0
 };
 
 /// @brief The expected share of bad answers, estimated with a prior so that few
--- a/src/pathcleat/accounts/account_limiter.cpp
+++ b/src/pathcleat/accounts/account_limiter.cpp
@@ -168,8 +168,9 @@
                   fleet.other_usage.demand * growth + own - limit_.per_second);
 }
 
-// A fraction in [0, 1), so that hosts which each have a part of one request do
-// not all admit one at the same time.
+// Pseudo-random fraction in [0, 1). It differs between hosts, so that hosts
+// with a share of less than one request each do not all admit one at the same
+// time.
 double AccountLimiter::NextRandomFraction() {
   random_state_ = MixHashes(random_state_, random_state_ + 1);
   return ToUnitInterval(random_state_);
