--- a/include/pathcleat/routing/shift_table.hpp
+++ b/include/pathcleat/routing/shift_table.hpp
@@ -11,39 +11,39 @@
 
 namespace pathcleat {
 
-/// @brief A shift as one host sees it.
+/// @brief State of a shift at one host.
 /// @ingroup routing
 struct ShiftStatus {
   ShiftPlan plan;
   double current_share = 0;
-  std::uint64_t offered = 0;  ///< requests of the place, at this host
-  std::uint64_t moved = 0;    ///< of these, sent elsewhere
+  std::uint64_t offered = 0;  ///< requests counted by the shift, at this host
+  std::uint64_t moved = 0;    ///< of these, sent to another region
   RampDecision last_decision = RampDecision::kHeldStaleData;
 };
 
-/// @brief The shifts in force, as they concern this host: those that lead
-/// away from its own region. Not thread-safe.
+/// @brief The shifts in force that move traffic away from this host's own
+/// region. Not thread-safe.
 /// @ingroup routing
 class ShiftTable {
  public:
-  /// @brief Tells the state of a shift's target region.
+  /// @brief Returns the state of a shift's target region.
   using TargetReader =
       std::function<ShiftTargetState(const std::string& service,
                                      const std::string& region)>;
-  /// @brief Told of each change of a shift's pace.
+  /// @brief Called after each change of a shift's ramp decision.
   using StepObserver = std::function<void(const ShiftStatus&)>;
 
   explicit ShiftTable(std::string own_region);
 
-  /// @brief Takes the shifts of a configuration over.
+  /// @brief Adds the shifts of a configuration and removes those it lacks.
   void Sync(const ConfigState& config, Time now);
 
-  /// @brief Decides the pace of each. Call about once a second.
+  /// @brief Advances the ramp of each shift. Call about once a second.
   void Advance(const TargetReader& target,
                const StepObserver& observer,
                Time now);
 
-  /// @brief The gate that a service's requests pass before they leave this
+  /// @brief The control that decides which of a service's requests leave this
   /// region; null if no shift is in force.
   ShiftControl* Find(const std::string& service);
 
@@ -51,7 +51,7 @@
 
  private:
   std::string own_region_;
-  std::map<std::string, ShiftControl> gates_;  ///< by service
+  std::map<std::string, ShiftControl> controls_;  ///< by service
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/routing/slowness.hpp
+++ b/include/pathcleat/routing/slowness.hpp
@@ -8,46 +8,49 @@
 
 namespace pathcleat {
 
-/// @brief How many times as long as usual an upstream's runs take, learned
-/// from runs and from waiting in vain. What is not confirmed is forgotten, so
-/// that an upstream which has recovered is tried again. Not thread-safe.
+/// @brief Ratio of an upstream's run times to the usual ones, estimated from
+/// completed runs and from requests left unanswered. The estimate decays to 1
+/// without new samples, so that a recovered upstream is used again. Not
+/// thread-safe.
 /// @ingroup routing
 class Slowness {
  public:
+  /// @brief The ratio now; 1 is the usual speed.
   double Value(Time now) const {
-    const double age = std::chrono::duration<double>(now - learned_).count();
-    return 1 + (value_ - 1) * std::exp(-std::max(0.0, age) / kForgetSeconds);
+    const double age = std::chrono::duration<double>(now - updated_).count();
+    return 1 + (value_ - 1) * std::exp(-std::max(0.0, age) / kDecaySeconds);
   }
 
-  /// @brief A run took this many times as long as usual.
-  void OnRun(double ratio, Time now) { Learn(ratio, now); }
+  /// @brief Adds a completed run that took `ratio` times the usual run time.
+  void OnRun(double ratio, Time now) { AddSample(ratio, now); }
 
-  /// @brief No answer came for this many times as long as usual: it is at
-  /// least as slow as that.
+  /// @brief Adds a request without an answer for `ratio` times the usual time:
+  /// a lower bound, so it only raises the estimate.
   void OnNoAnswer(double ratio, Time now) {
     if (ratio > Value(now)) {
-      Learn(ratio, now);
+      AddSample(ratio, now);
     }
   }
 
  private:
-  // Of one run's ratio so much is believed: run times of one kind vary by 15%,
-  // while a slow upstream is slow by a factor of several.
-  static constexpr double kWeight = 0.25;
-  static constexpr double kLeast = 0.8;
-  static constexpr double kMost = 8;
-  // About as long as upstreams stay slow in the incidents seen (4 to 7 s).
-  static constexpr double kForgetSeconds = 8;
-
-  void Learn(double ratio, Time now) {
+  // Weight of one sample: run times of one kind vary by 15%, while a slow
+  // upstream is slower by a factor of several.
+  static constexpr double kSampleWeight = 0.25;
+  static constexpr double kMinRatio = 0.8;
+  static constexpr double kMaxRatio = 8;
+  // About as long as upstreams stay slow in known incidents (4 to 7 s).
+  static constexpr double kDecaySeconds = 8;
+
+  void AddSample(double ratio, Time now) {
     const double before = Value(now);
-    value_ = std::clamp(before + (std::min(ratio, kMost) - before) * kWeight,
-                        kLeast, kMost);
-    learned_ = now;
+    value_ = std::clamp(
+        before + (std::min(ratio, kMaxRatio) - before) * kSampleWeight,
+        kMinRatio, kMaxRatio);
+    updated_ = now;
   }
 
   double value_ = 1;
-  Time learned_;
+  Time updated_;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/routing/split_balancer.hpp
+++ b/include/pathcleat/routing/split_balancer.hpp
@@ -9,20 +9,20 @@
 
 namespace pathcleat {
 
-/// @brief Shares a route's requests among its services by weight. A key keeps
-/// its service as long as the shares allow it; where a few popular keys would
-/// bend them, requests go to the service that is furthest behind.
+/// @brief Distributes a route's requests among its services by weight. A key
+/// keeps its service while the weights are met; if a few popular keys would
+/// distort them, requests go to the service furthest below its share.
 /// @ingroup routing
 class SplitBalancer {
  public:
-  /// @param position where the key falls, in [0, 1).
+  /// @param position of the key, in [0, 1).
   /// @return the service; empty for a route without splits.
   std::string Choose(const Route& route, double position);
 
  private:
   struct Counts {
-    std::vector<RouteSplit> splits;  ///< those that were counted under
-    std::vector<double> chosen;      ///< fading counts, one a split
+    std::vector<RouteSplit> splits;  ///< the splits that `chosen` counts
+    std::vector<double> chosen;      ///< decaying request count of each split
     double total = 0;
   };
 
--- a/include/pathcleat/routing/upstream.hpp
+++ b/include/pathcleat/routing/upstream.hpp
@@ -16,7 +16,7 @@
 
 namespace pathcleat {
 
-/// @brief One upstream as this host knows it.
+/// @brief This host's state of one upstream.
 /// @ingroup routing
 struct UpstreamState {
   explicit UpstreamState(const UpstreamInfo& entry);
@@ -27,31 +27,31 @@
   UpstreamLoad load;
   UpstreamHealth health;
   RecentKeys keys;
-  RetryScheduler retry_scheduler;  ///< of requests refused for its queue
-  Time cold_until;                 ///< bears few requests until then
-  TokenBucket rate_share;          ///< this host's share of its bounded rate
-  UpstreamLimit limit;             ///< that it names in its answers
-  bool limit_unreadable = false;   ///< its last answer named one that is none
-  bool may_be_rate_bounded =
-      false;  ///< whether the table looks after its bounded rate
-  std::uint64_t passed_over = 0;  ///< requests that its share had no room for
-  std::uint64_t not_run = 0;      ///< requests that it said it did not run
+  RetryScheduler retry_scheduler;  ///< for requests refused for its queue
+  Time cold_until;         ///< accepts only a low request rate until then
+  TokenBucket rate_share;  ///< this host's share of its bounded rate
+  UpstreamLimit limit;     ///< stated in its answers
+  bool limit_unreadable = false;     ///< its last answer stated an invalid one
+  bool may_be_rate_bounded = false;  ///< tracked for that by UpstreamTable
+  std::uint64_t passed_over = 0;  ///< requests that found no rate_share token
+  std::uint64_t not_run = 0;      ///< requests that it reported as not run
   Slowness slowness;
-  std::optional<Time> lapse_deadline;  ///< its entry is gone; it may come back
-  Time open_from;                      ///< no requests before
-  bool removed = false;  ///< off the list; requests under way go on
+  /// Set while its list entry is missing: until when the entry may return.
+  std::optional<Time> lapse_deadline;
+  Time open_from;        ///< gets no requests before this time
+  bool removed = false;  ///< no longer listed; requests in flight go on
 
   bool IsCold(Time now) const { return now < cold_until; }
 
-  /// @brief Whether all hosts together may send it requests at a bounded rate
-  /// alone, this host at that of its share.
+  /// @brief Whether all hosts together must keep to a bounded request rate for
+  /// it, and this host to its share of that rate.
   bool IsRateBounded(Time now) const {
     return IsCold(now) || limit.IsInForce(now);
   }
 
-  /// @brief Slots that requests can use: fewer than it has while it names a
-  /// limit.
-  /// @param run_seconds how long they run; 0: not known.
+  /// @brief Slots that requests can use: fewer than it has while its rate limit
+  /// is in force.
+  /// @param run_seconds run time of one request; 0: not known.
   double UsableSlots(double run_seconds, Time now) const;
 };
 
--- a/include/pathcleat/routing/upstream_health.hpp
+++ b/include/pathcleat/routing/upstream_health.hpp
@@ -7,66 +7,67 @@
 
 namespace pathcleat {
 
-/// @brief Whether an upstream is worth sending to, judged by this host's own
-/// attempts alone. After failures in a row it is left alone for a time that
-/// doubles; then one request at a time tries it. While requests are there and
-/// nothing at all comes back, it gets no more.
+/// @brief Decides whether an upstream may receive requests, by this host's own
+/// attempts alone. After consecutive failures the upstream is suspended for a
+/// delay that doubles with each further failure, then probed by one request at
+/// a time. While requests are in flight and no answer at all arrives, it gets
+/// no more requests.
 /// @ingroup routing
 class UpstreamHealth {
  public:
-  /// @brief A request is sent to it.
-  /// @param expected time until its answer.
+  /// @brief Call when a request is sent to the upstream.
+  /// @param expected time until the answer.
   void OnSent(Duration expected, Time now);
 
-  /// @brief A request sent to it has ended, in whatever way.
-  void OnEnded() { --under_way_; }
+  /// @brief Call when a request has ended, with or without an answer.
+  void OnEnded() { --in_flight_; }
 
-  /// @brief A request that was taken as ended is counted again.
-  void OnEndReverted() { ++under_way_; }
+  /// @brief Counts a request as in flight again after OnEnded.
+  void OnEndReverted() { ++in_flight_; }
 
-  /// @brief It gave an answer of any kind.
+  /// @brief Call when the upstream has answered, with any status.
   void OnResponse(Time now) {
-    quiet_since_ = now;
-    heard_ = now;
+    silent_since_ = now;
+    last_answer_ = now;
   }
 
-  /// @brief Whether it has given any answer since then.
-  bool HasAnsweredSince(Time then) const { return heard_ > then; }
+  /// @brief Whether the upstream has answered any request after `then`.
+  bool HasAnsweredSince(Time then) const { return last_answer_ > then; }
 
   void OnSuccess() {
     failures_ = 0;
-    trying_ = false;
+    probing_ = false;
   }
   void OnFailure(Time now);
 
   bool IsSuspect() const { return failures_ >= kFailuresToSuspect; }
 
-  /// @brief Whether it has kept requests for far longer than expected without
-  /// answering any.
+  /// @brief Whether requests have been in flight for far longer than expected
+  /// without any answer.
   bool IsSilent(Time now) const {
-    return under_way_ > 0 && now - quiet_since_ > patience_;
+    return in_flight_ > 0 && now - silent_since_ > silence_timeout_;
   }
 
-  /// @brief When it is tried again, if it is left alone for its failures.
+  /// @brief When a suspended upstream is probed again; empty if not suspended.
   std::optional<Time> RetryTime() const {
     return IsSuspect() ? std::optional(retry_at_) : std::nullopt;
   }
 
   /// @brief Whether a request may be sent now.
   bool MayTry(Time now) const {
-    return !IsSilent(now) && (!IsSuspect() || (now >= retry_at_ && !trying_));
+    return !IsSilent(now) && (!IsSuspect() || (now >= retry_at_ && !probing_));
   }
 
  private:
   static constexpr int kFailuresToSuspect = 2;
 
   int failures_ = 0;
-  int under_way_ = 0;
-  bool trying_ = false;
+  int in_flight_ = 0;
+  bool probing_ = false;
   Time retry_at_;
-  Time heard_;        ///< its last answer
-  Time quiet_since_;  ///< last answer, or first request sent since none
-  Duration patience_{0};
+  Time last_answer_;   ///< time of the last answer
+  Time silent_since_;  ///< last answer, or first request sent after idleness
+  Duration silence_timeout_{0};
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/routing/upstream_info.hpp
+++ b/include/pathcleat/routing/upstream_info.hpp
@@ -8,7 +8,7 @@
 
 namespace pathcleat {
 
-/// @brief One upstream, as its list entry tells it.
+/// @brief List entry of one upstream.
 /// @ingroup routing
 struct UpstreamInfo {
   std::string id;
@@ -16,13 +16,14 @@
   std::string address;  ///< IP number and port, "10.1.0.35:8144"
   std::string domain;   ///< failure domain
   std::string version;  ///< of its software
-  /// When it started, by its own clock, in milliseconds since the epoch. One
-  /// that starts again may keep its id, and knows nothing of before. 0: untold.
+  /// Start time by the upstream's own clock, in milliseconds since the epoch.
+  /// An upstream may keep its id over a restart but loses its state. 0: not
+  /// reported.
   std::uint64_t started_ms = 0;
   int slots = 1;
   bool leaving = false;
-  Duration cold_remaining{
-      0};  ///< how much longer it bears little, when it was told
+  /// Time for which it accepts only a low request rate, as of the report.
+  Duration cold_remaining{0};
 
   bool operator==(const UpstreamInfo&) const = default;
 };
--- a/include/pathcleat/routing/upstream_limit.hpp
+++ b/include/pathcleat/routing/upstream_limit.hpp
@@ -9,59 +9,61 @@
 
 namespace pathcleat {
 
-/// @brief What an answer showed of the requests a second that an upstream takes
-/// from all hosts together.
+/// @brief Rate limit of an upstream for all hosts together, as one of its
+/// answers stated it.
 /// @ingroup routing
 struct LimitObservation {
-  std::optional<double> per_second;  ///< nothing: it names no limit
-  Time observed_at;                  ///< when that was known to hold
-  std::string host;                  ///< that got the answer
+  std::optional<double> per_second;  ///< empty: the answer stated no limit
+  Time observed_at;                  ///< when this was certain to hold
+  std::string host;                  ///< that received the answer
   std::string domain;                ///< failure domain of that host
 };
 
-/// @brief What a sign changed.
+/// @brief Effect of a LimitObservation on the limit in force.
 /// @ingroup routing
 enum class LimitChange {
-  kNone,     ///< nothing, or an older sign than is known
-  kStarted,  ///< a limit holds that did not before
-  kChanged,  ///< another limit holds
-  kEnded,    ///< none holds any more
+  kNone,     ///< no effect, or the observation was outdated
+  kStarted,  ///< a limit came into force
+  kChanged,  ///< the limit in force has another value
+  kEnded,    ///< no limit is in force any more
 };
 
-/// @brief The limit that an upstream names in its answers while it is in need.
+/// @brief The rate limit that an upstream states in its answers while it is
+/// short of capacity.
 ///
-/// The newest sign holds. An answer without a limit ends it only if its request
-/// was sent after the last one that named it, as answers overtake each other.
-/// Nobody can tell that it has ended without sending, so one that was not heard
-/// of for a while is to be asked about, and where no answer comes at all, what
-/// may be sent is doubled again and again. Not thread-safe.
+/// The newest observation applies. An answer without a limit ends the limit
+/// only if its request was sent after the limit was last stated, as answers can
+/// overtake each other. Only an answer shows that a limit has ended, so an
+/// unconfirmed limit is probed after a while; without any answer the permitted
+/// rate doubles at regular intervals. Not thread-safe.
 /// @ingroup routing
 class UpstreamLimit {
  public:
-  /// @brief What the upstream can do in any case, requests a second: a limit
-  /// beyond that binds nothing.
+  /// @brief Sets the highest rate the upstream can serve, in requests per
+  /// second; a limit at or above it has no effect.
   void SetCapacity(double per_second) { capacity_ = per_second; }
 
-  /// @brief Takes what is newer than what is known.
-  /// @return whether it was newer.
-  bool Update(const LimitObservation& sign);
+  /// @brief Replaces the latest observation by a newer one.
+  /// @return whether `update` was newer.
+  bool Update(const LimitObservation& update);
 
-  /// @brief Whether a limit binds.
+  /// @brief Whether a limit below the capacity applies.
   bool IsInForce(Time now) const;
 
-  /// @brief Whether a request should go there to learn whether it still binds.
+  /// @brief Whether a request should be sent to learn if the limit still
+  /// applies.
   bool ShouldProbe(Time now) const;
 
-  /// @brief Requests a second that all hosts may send now.
+  /// @brief Requests per second that all hosts together may send now.
   double PerSecond(Time now) const;
 
-  /// @brief The newest sign; null if nothing was ever told.
-  const LimitObservation* observation() const { return sign_.get(); }
+  /// @brief The latest observation; null if there was none.
+  const LimitObservation* observation() const { return latest_.get(); }
 
  private:
   double capacity_ = 0;
-  /// Few of the thousands of upstreams that a host knows ever name a limit.
-  std::shared_ptr<const LimitObservation> sign_;
+  /// A pointer, as few of a host's thousands of upstreams ever state a limit.
+  std::shared_ptr<const LimitObservation> latest_;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/routing/upstream_load.hpp
+++ b/include/pathcleat/routing/upstream_load.hpp
@@ -10,7 +10,7 @@
 
 namespace pathcleat {
 
-/// @brief What an upstream tells of its load in an answer.
+/// @brief Load that an upstream reports in an answer, in requests and slots.
 /// @ingroup routing
 struct LoadReport {
   int running = 0;
@@ -18,49 +18,50 @@
   int slots = 0;
 };
 
-/// @brief Estimates the requests at an upstream from this host's own count
-/// and from reports that grow old. The part of a report that others caused
-/// fades; the own part is always exact.
+/// @brief Estimates the requests at an upstream from this host's own exact
+/// count and from the upstream's load reports. The part of a report caused by
+/// other hosts decays with the report's age.
 /// @ingroup routing
 class UpstreamLoad {
  public:
-  /// @brief Whether the usual load by others is remembered once a report has
-  /// grown old; without it, no load is assumed.
+  /// @brief Sets whether the estimate decays from a report to the usual load by
+  /// other hosts; otherwise it decays to no load.
   void SetRememberUsual(bool remember) { remember_usual_ = remember; }
 
-  /// @brief Takes a part in an average over upstreams, which is assumed where
-  /// this one's reports have grown old.
+  /// @brief Sets an average over upstreams to which this upstream's reports
+  /// contribute, and which replaces them in the estimate once they are old.
   void SetSharedAverage(std::shared_ptr<AverageLoad> average) {
-    average_ = std::move(average);
+    shared_average_ = std::move(average);
   }
 
-  void OnSent() { ++own_; }
-  void OnEnded() { --own_; }
+  void OnSent() { ++own_in_flight_; }
+  void OnEnded() { --own_in_flight_; }
 
-  /// @brief A report came with an answer; call before OnEnded.
+  /// @brief Adds the report of an answer. Call before OnEnded.
   void OnReport(const LoadReport& report, Time now);
 
-  int own_in_flight() const { return own_; }
+  int own_in_flight() const { return own_in_flight_; }
 
-  /// @brief Expected requests running or waiting there now, from all hosts.
+  /// @brief Expected requests of all hosts running or waiting there now.
   double ExpectedRequests(Time now) const;
 
-  /// @brief The same by what this upstream itself told, without the average of
-  /// others: few that are busy would else move all that told nothing of late.
+  /// @brief ExpectedRequests by this upstream's own reports, without the shared
+  /// average: with it, reports of a few busy upstreams would move traffic away
+  /// from all upstreams without a recent report.
   double ExpectedFromReports(Time now) const;
 
  private:
   double AgeMicros(Time now) const;
   double OwnUsualAt(Time now) const;
   double UsualAt(Time now) const;
-  double With(double usual, Time now) const;
+  double EstimateWith(double usual, Time now) const;
 
   bool remember_usual_ = true;
-  int own_ = 0;
-  double usual_ = 0;              ///< requests of others, on average of late
-  double others_ = 0;             ///< at reported_
-  std::optional<Time> reported_;  ///< the last report
-  std::shared_ptr<AverageLoad> average_;  ///< may be null: no load
+  int own_in_flight_ = 0;
+  double usual_other_requests_ = 0;  ///< recent average of other_requests_
+  double other_requests_ = 0;  ///< requests of other hosts at reported_at_
+  std::optional<Time> reported_at_;              ///< time of the last report
+  std::shared_ptr<AverageLoad> shared_average_;  ///< null: no load is assumed
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/routing/upstream_picker.hpp
+++ b/include/pathcleat/routing/upstream_picker.hpp
@@ -21,12 +21,12 @@
 
 namespace pathcleat {
 
-/// @brief Where a host stands, and what carrying an answer costs.
+/// @brief Location of a host, and the costs and limits of its choices.
 /// @ingroup routing
 struct PickerSettings {
   std::string domain;
   std::string region;
-  /// Cost of a gigabyte, in worths of one answer.
+  /// Cost per gigabyte, in units of the value of one answer in time.
   double cross_domain_cost_per_gigabyte = 0;
   double cross_region_cost_per_gigabyte = 0;
   /// Most requests in flight from this region to others, by region.
@@ -34,102 +34,105 @@
   PolicySwitches policy;
 };
 
-/// @brief What an answer tells of its run.
+/// @brief Measurements of one answered request.
 /// @ingroup routing
 struct AnswerMeasurements {
-  Duration took{0};       ///< from sending to the answer's last byte
-  std::size_t bytes = 0;  ///< of its body
+  Duration took{0};  ///< from sending the request to the answer's last byte
+  std::size_t bytes = 0;  ///< of the answer's body
   bool queued = false;    ///< requests waited at the upstream
 };
 
-/// @brief Chooses the upstream of each request: the one whose answer is
-/// worth most, after the cost of carrying it and of the slot that it takes.
-/// All hosts rank the upstreams for a key alike, so that they send it to the
-/// same one without talk. Not thread-safe.
+/// @brief Chooses the upstream of each request: the one with the highest value
+/// of its answer, less the costs of the transfer and of the slot. All hosts
+/// rank the upstreams of a key in the same order, so they send the key to the
+/// same upstream without coordination. Not thread-safe.
 /// @ingroup routing
 class UpstreamPicker {
  public:
   UpstreamPicker(const PickerSettings& settings, UpstreamTable& table);
 
+  /// @brief Chooses an upstream, or the reason and retry delay of a refusal.
   Pick Choose(const PickRequest& request, Time now);
 
-  /// @brief How long a request that is refused after it was tried should stay
-  /// away: until there is room at the next choice.
+  /// @brief Time after which the caller of a refused request should retry:
+  /// until `next`, or any upstream if it has none, is expected to have
+  /// capacity.
   Duration RetryDelay(const PickRequest& request, const Pick& next, Time now);
 
-  /// @brief What is known of a region's upstreams of a service.
+  /// @brief Headroom and latency of a service's upstreams in a region.
   ShiftTargetState TargetStateOf(const std::string& service,
                                  const std::string& region,
                                  Time now) const;
 
-  /// @brief Entry hosts alive, by region.
-  void SetHostCounts(std::map<std::string, int> hosts) {
-    hosts_ = std::move(hosts);
+  /// @brief Sets the number of live entry hosts by region.
+  void SetHostCounts(std::map<std::string, int> host_counts) {
+    host_counts_ = std::move(host_counts);
   }
 
-  /// @brief Requests a second of client accounts that may run nowhere else, by
-  /// region. Call a few times a second.
+  /// @brief Sets the requests per second of client accounts that may run in one
+  /// region only, by region. Call a few times a second.
   void SetPinnedDemand(const std::map<std::string, double>& per_second) {
-    bound_.SetDemand(per_second);
+    pinned_capacity_.SetDemand(per_second);
   }
 
   ShiftTable& shifts() { return shifts_; }
   LinkLimits& links() { return links_; }
 
-  /// @brief The open upstreams of a service with what each would take, best
-  /// first, for an operator to see.
+  /// @brief The upstreams that may serve a request with their expected
+  /// latencies, best first, for operators.
   std::vector<Pick> Explain(const PickRequest& request, Time now);
 
-  /// @brief A connection to the upstream took this long to open.
+  /// @brief Adds the time that opening a connection to an upstream took.
   void OnConnected(const UpstreamState& upstream, Duration round_trip);
 
-  /// @brief An attempt was given up, or its time ended, without an answer.
-  /// @param waited since it was sent.
+  /// @brief Call when an attempt was cancelled or timed out without an answer.
+  /// @param waited time since the attempt was sent.
   void OnNoAnswer(UpstreamState& upstream,
                   const Pick& pick,
                   Duration waited,
                   Time now);
 
-  /// @brief A whole answer came.
+  /// @brief Call when a complete answer was received.
   void OnAnswer(UpstreamState& upstream,
                 const PickRequest& request,
                 const Pick& pick,
-                const AnswerMeasurements& facts,
+                const AnswerMeasurements& measurements,
                 Time now);
 
  private:
   struct SharesEntry {
     RegionShares shares;
-    std::optional<Time> updated;       ///< nothing: not reckoned yet
-    std::uint64_t revision = 0;        ///< of the list, when slots were counted
+    std::optional<Time> updated;  ///< empty: not computed yet
+    std::uint64_t revision = 0;   ///< of the table, when slots were counted
     std::map<std::string, int> slots;  ///< of open upstreams, by region
-    std::map<std::string, double> unusable;  ///< of them, for their limits
+    /// Slots that rate limits make unusable, by region.
+    std::map<std::string, double> unusable_slots;
   };
-  struct Scored {
+  struct ScoredPick {
     Pick pick;
-    double worth = 0;
+    double score = 0;
   };
 
   std::vector<Candidate> Candidates(const PickRequest& request,
                                     std::vector<UpstreamPtr>& passed_over,
                                     Time now) const;
-  void KeepLargeNear(std::vector<Candidate>& candidates,
-                     const PickRequest& request);
-  PickFailure PassShift(std::vector<Candidate>& candidates,
-                        const PickRequest& request);
-  void KeepRegion(std::vector<Candidate>& candidates,
-                  const std::string& region) const;
+  void KeepLargeAnswersLocal(std::vector<Candidate>& candidates,
+                             const PickRequest& request);
+  PickFailure ApplyShift(std::vector<Candidate>& candidates,
+                         const PickRequest& request);
+  void KeepOnlyRegion(std::vector<Candidate>& candidates,
+                      const std::string& region) const;
   RegionShares& SharesOf(const std::string& service, Time now);
   void CountSlots(SharesEntry& entry,
                   const std::string& service,
                   Time now) const;
   void EstimateWarmth(std::vector<Candidate>& candidates,
                       const PickRequest& request);
-  Scored Score(const Candidate& candidate,
-               const PickRequest& request,
-               Time now);
+  ScoredPick Score(const Candidate& candidate,
+                   const PickRequest& request,
+                   Time now);
   RequestProfile& ProfileOf(const Route& route);
-  Pick Refused(PickFailure failure, const PickRequest& request, Time now);
+  Pick MakeRefusal(PickFailure failure, const PickRequest& request, Time now);
   Duration RoundTrip(const UpstreamState& upstream) const;
   double CarryingCost(const UpstreamState& upstream, double bytes) const;
 
@@ -138,8 +141,8 @@
   AdmissionControl admission_;
   ShiftTable shifts_;
   LinkLimits links_;
-  PinnedCapacity bound_;
-  std::map<std::string, int> hosts_;                  ///< alive, by region
+  PinnedCapacity pinned_capacity_;
+  std::map<std::string, int> host_counts_;            ///< live hosts, by region
   std::map<std::string, SharesEntry> shares_;         ///< by service
   std::map<std::string, RequestProfile> profiles_;    ///< by route name
   std::map<std::string, LatencyEstimate> latencies_;  ///< by failure domain
--- a/include/pathcleat/routing/upstream_table.hpp
+++ b/include/pathcleat/routing/upstream_table.hpp
@@ -17,7 +17,7 @@
 
 using UpstreamPtr = std::shared_ptr<UpstreamState>;
 
-/// @brief The upstreams that the list names, by service. Not thread-safe.
+/// @brief The listed upstreams by service. Not thread-safe.
 /// @ingroup routing
 class UpstreamTable {
  public:
@@ -25,30 +25,32 @@
   explicit UpstreamTable(std::map<std::string, std::string> region_of_domain,
                          PolicySwitches policy = {});
 
-  /// @brief Adds or renews an entry. What is known of the upstream beside
-  /// the entry is kept, unless it has started again under its id.
-  /// @return whether it has.
+  /// @brief Adds or updates an entry. The other state of a listed upstream is
+  /// kept, unless the upstream has restarted under its id.
+  /// @return whether it has restarted.
   bool Put(const UpstreamInfo& entry, Time now);
 
-  /// @brief The entry is gone: no new requests.
+  /// @brief Removes an entry; its upstream gets no new requests.
   void Remove(const std::string& id);
 
-  /// @brief The entry is gone, but may come back until a time: requests go
-  /// there still, unless it was leaving.
-  /// @return whether it is listed and was not leaving.
+  /// @brief Marks an entry as missing from the list; it may return until a
+  /// given time. The upstream still gets requests.
+  /// @return false, and no effect, if it is not listed or is leaving.
   bool Lapse(const std::string& id, Time until);
 
   /// @brief Stops or resumes new requests to a failure domain.
   void SetDomainDrained(const std::string& domain, bool drained);
-  const std::set<std::string>& drained_domains() const { return drained_; }
+  const std::set<std::string>& drained_domains() const {
+    return drained_domains_;
+  }
 
-  /// @brief The upstreams and regions that operators have drained.
+  /// @brief Sets the upstreams and regions that operators have drained.
   void SetOperatorDrains(std::set<std::string> upstreams,
                          std::set<std::string> regions);
 
-  /// @brief Takes what was heard of the limit that an upstream names.
+  /// @brief Applies an observation of the rate limit of an upstream.
   LimitChange UpdateLimit(const UpstreamPtr& upstream,
-                          const LimitObservation& sign,
+                          const LimitObservation& update,
                           Time now);
 
   /// @brief The listed upstream of an id; null if there is none.
@@ -57,20 +59,20 @@
   /// @brief All listed upstreams of a service.
   const std::vector<UpstreamPtr>& ForService(std::string_view service) const;
 
-  /// @brief Upstreams whose rate may be bounded. Few are, so that looking after
-  /// them several times a second does not grow with the list.
+  /// @brief Upstreams whose rate may be bounded. Only they are checked several
+  /// times a second; they are few, so the cost does not grow with the list.
   const std::vector<UpstreamPtr>& MaybeRateBounded(Time now);
 
   /// @brief Upstreams whose entries have lapsed.
   std::vector<UpstreamPtr> Lapsed() const;
 
-  /// @brief Rises with each change of what is listed and open.
+  /// @brief Increases with each change of the listed or open upstreams.
   std::uint64_t revision() const { return revision_; }
 
   /// @brief All listed upstreams.
   std::vector<UpstreamPtr> All() const;
 
-  /// @brief Whether new requests may go there, by list and drains.
+  /// @brief Whether the list entry and the drains permit new requests.
   bool IsOpen(const UpstreamState& upstream) const;
 
   /// @brief Versions of a service's open upstreams.
@@ -79,7 +81,7 @@
   std::size_t size() const { return by_id_.size(); }
 
  private:
-  void Watch(const UpstreamPtr& upstream);
+  void TrackRateBound(const UpstreamPtr& upstream);
   UpstreamPtr Add(const UpstreamInfo& entry, Time now);
   Time OpenFrom(const UpstreamInfo& entry, Time now);
   std::shared_ptr<AverageLoad> AverageLoadOf(const UpstreamState& upstream);
@@ -91,12 +93,13 @@
   /// By service and region.
   std::map<std::pair<std::string, std::string>, std::shared_ptr<AverageLoad>>
       average_loads_;
-  /// When each version of a service was first listed.
-  std::map<std::string, std::map<std::string, Time>, std::less<>> versions_;
-  std::vector<UpstreamPtr> maybe_bounded_;
-  std::set<std::string> lapsed_;  ///< ids, also of some that came back
+  /// When each version of a service may first get requests.
+  std::map<std::string, std::map<std::string, Time>, std::less<>>
+      version_open_times_;
+  std::vector<UpstreamPtr> maybe_rate_bounded_;
+  std::set<std::string> lapsed_ids_;  ///< ids of upstreams with lapsed entries
   std::uint64_t revision_ = 0;
-  std::set<std::string> drained_;  ///< failure domains
+  std::set<std::string> drained_domains_;  ///< failure domains
   std::set<std::string> drained_upstreams_;
   std::set<std::string> drained_regions_;
 };
--- a/include/pathcleat/routing/urgency_tracker.hpp
+++ b/include/pathcleat/routing/urgency_tracker.hpp
@@ -9,45 +9,46 @@
 
 namespace pathcleat {
 
-/// @brief Which of two requests goes first; the lower one.
+/// @brief Order in which requests are served: lower values first.
 /// @ingroup routing
 struct Urgency {
-  int account_priority = 0;  ///< its account's priority, where it has one
-  int route_priority = 0;    ///< decides among callers that are alike
+  int account_priority = 0;  ///< of the account, else of the route
+  int route_priority = 0;    ///< decides between equal account priorities
 
   auto operator<=>(const Urgency&) const = default;
 };
 
-/// @brief What share of each kind of request of a service this host has sent
-/// on of late, so that no kind is served less often than a less urgent one.
-/// Not thread-safe.
+/// @brief Share of each kind of a service's requests that this host has
+/// recently sent to an upstream, so that no kind is served at a lower rate than
+/// a less urgent one. Not thread-safe.
 /// @ingroup routing
 class UrgencyTracker {
  public:
-  /// @brief A first try of a kind came.
+  /// @brief Counts the first attempt of a request of a kind.
   void OnFirstAttempt(const std::string& kind,
                       const Urgency& urgency,
                       Time now);
 
-  /// @brief A request of the kind was sent on.
+  /// @brief Counts a request of a kind that was sent to an upstream.
   void OnSent(const std::string& kind, Time now);
 
-  /// @brief Whether the kind is sent on more often than a more urgent one.
+  /// @brief Whether a higher share of this kind is sent than of a more urgent
+  /// kind.
   bool IsOverServed(const std::string& kind, Time now) const;
 
  private:
   struct Counts {
     Urgency urgency;
-    double offered = 0;  ///< weighted by age, at counted
-    double sent = 0;
-    Time counted;
+    double offered = 0;  ///< first attempts, weighted by age as of updated_at
+    double sent = 0;     ///< requests sent, weighted alike
+    Time updated_at;
 
-    void FadeTo(Time now);
+    void DecayTo(Time now);
   };
 
-  void Forget(Time now);
+  void DropDecayed(Time now);
 
-  /// Sent of the offered; 1 if too few were offered.
+  /// Requests sent per first attempt; 1 if there were too few attempts.
   static double Share(const Counts& counts, Time now);
 
   std::map<std::string, Counts> kinds_;
--- a/include/pathcleat/routing/usual_deadline.hpp
+++ b/include/pathcleat/routing/usual_deadline.hpp
@@ -8,45 +8,48 @@
 namespace pathcleat {
 
 /// @brief Learns the deadline that a route's callers send with their first
-/// tries: the one that recurs, while those of requests that come back differ
-/// from each other. A caller with an odd deadline does not move it. Not
+/// attempts: the value that recurs, as the deadlines of retries differ from
+/// each other. A single caller with an unusual deadline does not change it. Not
 /// thread-safe.
 /// @ingroup routing
 class UsualDeadline {
  public:
-  /// @brief A request came from its caller.
+  /// @brief Adds the deadline of a request received from a caller.
   void OnRequest(Duration deadline) {
-    if (IsAlike(deadline)) {
-      votes_ = std::min(votes_ + kVotesFor, kMostVotes);
+    if (Matches(deadline)) {
+      votes_ = std::min(votes_ + kVotesPerMatch, kMaxVotes);
       return;
     }
     if (--votes_ < 0) {
       value_ = deadline;
-      votes_ = kVotesFor;
+      votes_ = kVotesPerMatch;
     }
   }
 
-  /// @brief How long ago the caller's first try was, by what it has left.
+  /// @brief Time since the caller's first attempt, by the deadline it sent now.
   Duration SinceFirstTry(Duration deadline) const {
-    return IsAlike(deadline) ? Duration::zero()
+    return Matches(deadline) ? Duration::zero()
                              : std::max(Duration::zero(), value_ - deadline);
   }
 
   Duration value() const { return value_; }
 
  private:
-  // A recurring value counts for so many others, so that it is kept while at
-  // least one request in five is a first try.
-  static constexpr int kVotesFor = 4;
-  // So many requests in a row must differ before another value is taken.
-  static constexpr int kMostVotes = 64;
-  // Callers' clocks and queues shorten a deadline by this much of it.
-  static constexpr double kAlike = 0.03;
-
-  bool IsAlike(Duration deadline) const {
+  // A matching deadline outweighs this many others, so that the value is kept
+  // while at least one request in five is a first attempt.
+  static constexpr int kVotesPerMatch = 4;
+  // At most this many consecutive requests must differ before the value
+  // changes.
+  static constexpr int kMaxVotes = 64;
+  // Clock differences and queues at callers shorten a deadline by up to this
+  // part of it.
+  static constexpr double kMatchTolerance = 0.03;
+
+  bool Matches(Duration deadline) const {
     const auto difference = static_cast<double>((deadline - value_).count());
     const auto usual = static_cast<double>(value_.count());
-    return difference <= usual * kAlike && difference >= -usual * kAlike;
+    return difference <= usual * kMatchTolerance &&
+           difference >= -usual * kMatchTolerance;
   }
 
   Duration value_{0};
--- a/include/pathcleat/routing/version_filter.hpp
+++ b/include/pathcleat/routing/version_filter.hpp
@@ -8,8 +8,8 @@
 
 namespace pathcleat {
 
-/// @brief Leaves the candidates to which a rule on versions lets a request go;
-/// that may be none, also where others could serve it.
+/// @brief Removes the candidates that a version rule does not allow. This may
+/// leave none, even if upstreams of other versions could serve the request.
 /// @ingroup routing
 void FilterByVersion(std::vector<Candidate>& candidates,
                      const VersionRule& rule);
--- a/include/pathcleat/routing/warmth.hpp
+++ b/include/pathcleat/routing/warmth.hpp
@@ -9,54 +9,56 @@
 
 namespace pathcleat {
 
-/// @brief Why an upstream may be quick at a key: this host has sent the key
-/// there itself, or others are likely to have, as they rank it alike.
+/// @brief Why an upstream may be warm for a key, and so run it in less time:
+/// this host has sent the key there, or other hosts are likely to have, as they
+/// rank the upstreams of a key in the same order.
 /// @ingroup routing
 struct WarmthEvidence {
-  bool sent_recently = false;  ///< by this host, lately
-  std::size_t rank = 0;  ///< of the upstream for the key; 0 is the nearest
+  bool sent_recently = false;  ///< by this host
+  std::size_t rank = 0;        ///< of the upstream for the key; 0: nearest
 };
 
-/// @brief Learns from run times how often an upstream is quick at a key, by
-/// sign, and how long quick and slow runs take. Not thread-safe.
+/// @brief Learns from run times how often an upstream is warm for a key, by
+/// evidence, and how long warm and cold runs take. Not thread-safe.
 /// @ingroup routing
 class WarmthModel {
  public:
-  /// @param target_latency of the route: the first guess of both run times.
-  /// @param learns whether chances are learned; else the first guesses stay.
+  /// @param target_latency of the route; sets the initial run times.
+  /// @param learns whether probabilities are learned; else the initial ones
+  /// stay.
   explicit WarmthModel(Duration target_latency, bool learns = true);
 
-  /// @brief Probability that it is quick.
-  double Probability(const WarmthEvidence& sign) const;
+  /// @brief Probability that the upstream is warm.
+  double Probability(const WarmthEvidence& evidence) const;
 
-  /// @brief A run that nothing waited for took this long on an upstream of
+  /// @brief Adds a run without queueing, as it would take on an upstream of the
   /// usual speed.
-  /// @return whether it was quick.
-  bool OnRun(const WarmthEvidence& sign, Duration run);
+  /// @return whether it was a warm run.
+  bool OnRun(const WarmthEvidence& evidence, Duration run);
 
-  /// @brief Whether a run on an upstream of usual speed is a quick one.
+  /// @brief Whether a run on an upstream of the usual speed is a warm run.
   bool IsWarmRun(Duration run) const;
 
-  /// @brief Run time of a quick or of a slow run.
-  Duration RunTime(bool quick) const {
-    return quick ? quick_.value() : slow_.value();
+  /// @brief Estimated run time of a warm or of a cold run.
+  Duration RunTime(bool warm) const {
+    return warm ? warm_run_time_.value() : cold_run_time_.value();
   }
 
  private:
-  static constexpr std::size_t kRanks = 3;
-  struct Chance {
-    double quick;  ///< weighted number of quick runs, first guess included
-    double all;
+  static constexpr std::size_t kRankCount = 3;
+  struct RunCount {
+    double warm;   ///< weighted number of warm runs, initial estimate included
+    double total;  ///< weighted number of all runs
   };
 
-  Chance& ChanceOf(const WarmthEvidence& sign);
-  void Count(Chance& chance, bool quick);
+  RunCount& RunCountFor(const WarmthEvidence& evidence);
+  void AddRun(RunCount& count, bool warm);
 
   bool learns_;
-  LatencyEstimate quick_;
-  LatencyEstimate slow_;
-  Chance sent_;
-  std::array<Chance, kRanks> by_rank_;
+  LatencyEstimate warm_run_time_;
+  LatencyEstimate cold_run_time_;
+  RunCount sent_count_;
+  std::array<RunCount, kRankCount> counts_by_rank_;
 };
 
 }  // namespace pathcleat
--- a/src/pathcleat/routing/shift_table.cpp
+++ b/src/pathcleat/routing/shift_table.cpp
@@ -6,9 +6,9 @@
 namespace pathcleat {
 namespace {
 
-ShiftStatus StatusOf(const ShiftControl& gate) {
-  return {gate.plan(), gate.current_share(), gate.offered(), gate.moved(),
-          gate.last_decision()};
+ShiftStatus StatusOf(const ShiftControl& control) {
+  return {control.plan(), control.current_share(), control.offered(),
+          control.moved(), control.last_decision()};
 }
 
 }  // namespace
@@ -17,14 +17,14 @@
     : own_region_(std::move(own_region)) {}
 
 void ShiftTable::Sync(const ConfigState& config, Time now) {
-  std::erase_if(gates_, [&](const auto& entry) {
+  std::erase_if(controls_, [&](const auto& entry) {
     const auto found = config.shifts.find({entry.first, own_region_});
     return found == config.shifts.end() ||
            found->second.id != entry.second.plan().id;
   });
   for (const auto& [key, plan] : config.shifts) {
     if (plan.from_region == own_region_) {
-      gates_.try_emplace(plan.service, plan, now);
+      controls_.try_emplace(plan.service, plan, now);
     }
   }
 }
@@ -32,24 +32,24 @@
 void ShiftTable::Advance(const TargetReader& target,
                          const StepObserver& observer,
                          Time now) {
-  for (auto& [service, gate] : gates_) {
-    const RampDecision before = gate.last_decision();
-    gate.Advance(target(service, gate.plan().to_region), now);
-    if (gate.last_decision() != before) {
-      observer(StatusOf(gate));
+  for (auto& [service, control] : controls_) {
+    const RampDecision before = control.last_decision();
+    control.Advance(target(service, control.plan().to_region), now);
+    if (control.last_decision() != before) {
+      observer(StatusOf(control));
     }
   }
 }
 
 ShiftControl* ShiftTable::Find(const std::string& service) {
-  const auto found = gates_.find(service);
-  return found == gates_.end() ? nullptr : &found->second;
+  const auto found = controls_.find(service);
+  return found == controls_.end() ? nullptr : &found->second;
 }
 
 std::vector<ShiftStatus> ShiftTable::All() const {
   std::vector<ShiftStatus> all;
-  for (const auto& [service, gate] : gates_) {
-    all.push_back(StatusOf(gate));
+  for (const auto& [service, control] : controls_) {
+    all.push_back(StatusOf(control));
   }
   return all;
 }
--- a/src/pathcleat/routing/slowness_test.cpp
+++ b/src/pathcleat/routing/slowness_test.cpp
@@ -8,21 +8,21 @@
 
 const Time kStart{Duration(1'000'000)};
 
-// Before, only answers taught it: an upstream whose every request ran into its
-// time-out stayed the first choice. Checked to fail with OnNoAnswer empty.
-Test(slowness, waiting_in_vain_teaches_it) {
+// Guards against an upstream that stays the first choice while all its requests
+// time out, because only answers raise its slowness. Fails without OnNoAnswer.
+Test(slowness, missing_answers_raise_it) {
   Slowness slowness;
   for (int i = 0; i < 4; ++i) {
     slowness.OnNoAnswer(6, kStart);
   }
   cr_assert_gt(slowness.Value(kStart), 3);
-  // A shorter wait says nothing of one that is slower.
+  // A wait shorter than the estimate predicts does not lower it.
   const double before = slowness.Value(kStart);
   slowness.OnNoAnswer(1.5, kStart);
   cr_assert_eq(slowness.Value(kStart), before);
 }
 
-Test(slowness, is_forgotten_unless_confirmed) {
+Test(slowness, decays_without_new_samples) {
   Slowness slowness;
   for (int i = 0; i < 20; ++i) {
     slowness.OnRun(8, kStart);
--- a/src/pathcleat/routing/split_balancer.cpp
+++ b/src/pathcleat/routing/split_balancer.cpp
@@ -9,10 +9,10 @@
 namespace pathcleat {
 namespace {
 
-// A split may be so far over its share before keys leave it.
-constexpr double kTolerance = 0.02;
-// Requests after which old counts have faded to a third.
-constexpr double kMemory = 200;
+// Keys leave a split once it exceeds its share by this part of all requests.
+constexpr double kMaxExcessShare = 0.02;
+// Number of requests in which a count decays to about a third.
+constexpr double kDecayRequests = 200;
 
 }  // namespace
 
@@ -35,24 +35,24 @@
   const double weights = std::accumulate(
       route.splits.begin(), route.splits.end(), 0.0,
       [](double sum, const RouteSplit& s) { return sum + s.weight; });
-  // How many requests a split is ahead of its share, were it chosen now.
-  const auto ahead = [&](std::size_t i) {
+  // Requests by which a split would exceed its share if it were chosen now.
+  const auto excess = [&](std::size_t i) {
     return counts.chosen[i] + 1 -
            (counts.total + 1) * route.splits[i].weight / weights;
   };
   auto chosen = static_cast<std::size_t>(PickSplit(route, position) -
                                          route.splits.data());
-  if (ahead(chosen) > 1 + kTolerance * counts.total) {
+  if (excess(chosen) > 1 + kMaxExcessShare * counts.total) {
     for (std::size_t i = 0; i < route.splits.size(); ++i) {
-      chosen = ahead(i) < ahead(chosen) ? i : chosen;
+      chosen = excess(i) < excess(chosen) ? i : chosen;
     }
   }
   counts.chosen[chosen] += 1;
   counts.total += 1;
-  const double fade = 1 - 1 / kMemory;
-  counts.total *= fade;
+  const double decay = 1 - 1 / kDecayRequests;
+  counts.total *= decay;
   for (double& count : counts.chosen) {
-    count *= fade;
+    count *= decay;
   }
   return route.splits[chosen].service;
 }
--- a/src/pathcleat/routing/upstream_health.cpp
+++ b/src/pathcleat/routing/upstream_health.cpp
@@ -6,29 +6,30 @@
 namespace pathcleat {
 namespace {
 
-constexpr Duration kFirstPause{500'000};
-constexpr int kMostDoublings = 3;
-constexpr Duration kLeastPatience{600'000};
-constexpr int kPatienceMultiple = 3;
+constexpr Duration kInitialRetryDelay{500'000};
+constexpr int kMaxDoublings = 3;
+constexpr Duration kMinSilenceTimeout{600'000};
+constexpr int kSilenceTimeoutMultiple = 3;
 
 }  // namespace
 
 void UpstreamHealth::OnSent(Duration expected, Time now) {
-  if (under_way_++ == 0) {
-    quiet_since_ = now;
-    patience_ = kLeastPatience;
+  if (in_flight_++ == 0) {
+    silent_since_ = now;
+    silence_timeout_ = kMinSilenceTimeout;
   }
-  patience_ = std::max(patience_, expected * kPatienceMultiple);
-  trying_ = IsSuspect();
+  silence_timeout_ =
+      std::max(silence_timeout_, expected * kSilenceTimeoutMultiple);
+  probing_ = IsSuspect();
 }
 
 void UpstreamHealth::OnFailure(Time now) {
   ++failures_;
-  trying_ = false;
+  probing_ = false;
   if (IsSuspect()) {
     const int doublings =
-        std::min(failures_ - kFailuresToSuspect, kMostDoublings);
-    retry_at_ = now + kFirstPause * (1 << doublings);
+        std::min(failures_ - kFailuresToSuspect, kMaxDoublings);
+    retry_at_ = now + kInitialRetryDelay * (1 << doublings);
   }
 }
 
--- a/src/pathcleat/routing/upstream_health_test.cpp
+++ b/src/pathcleat/routing/upstream_health_test.cpp
@@ -9,9 +9,9 @@
 const Time kStart{Duration(1'000'000)};
 constexpr Duration kExpected{200'000};
 
-// An upstream that died without a word kept getting requests until the first
-// of them had timed out. Seen to fail before IsSilent.
-Test(upstream_health, silent_upstream_gets_no_more_until_it_answers) {
+// Guards against an upstream that stops without closing its connections and
+// gets requests until the first of them times out. Fails without IsSilent.
+Test(upstream_health, silent_upstream_gets_no_requests_until_it_answers) {
   UpstreamHealth health;
   health.OnSent(kExpected, kStart);
   cr_assert(health.MayTry(kStart + Duration(500'000)));
@@ -20,7 +20,7 @@
   cr_assert(health.MayTry(kStart + Duration(900'000)));
 }
 
-Test(upstream_health, slow_work_is_given_its_time) {
+Test(upstream_health, long_expected_latency_extends_the_silence_timeout) {
   UpstreamHealth health;
   health.OnSent(kExpected * 10, kStart);
   cr_assert(health.MayTry(kStart + Duration(5'000'000)));
@@ -31,12 +31,12 @@
   health.OnSent(kExpected, kStart);
   health.OnEnded();
   cr_assert(health.MayTry(kStart + Duration(60'000'000)));
-  // The time before the next request does not count against it.
+  // Idle time before the next request does not count as silence.
   health.OnSent(kExpected, kStart + Duration(60'000'000));
   cr_assert(health.MayTry(kStart + Duration(60'100'000)));
 }
 
-Test(upstream_health, suspect_is_tried_by_one_request_at_a_time) {
+Test(upstream_health, suspect_is_probed_by_one_request_at_a_time) {
   UpstreamHealth health;
   health.OnFailure(kStart);
   cr_assert(health.MayTry(kStart));
--- a/src/pathcleat/routing/upstream_limit.cpp
+++ b/src/pathcleat/routing/upstream_limit.cpp
@@ -7,48 +7,50 @@
 namespace pathcleat {
 namespace {
 
-// An answer ends a limit if its request was sent so much later than the limit
-// was last named: the ages that hosts tell each other are a little off, and an
-// upstream may leave the field out of some answers.
-constexpr Duration kEndsAfter{1'000'000};
-constexpr Duration kAskedAfter{3'000'000};
-// Without an answer a limit holds as named for so long, then is doubled each
-// time that this has passed: longer than most requests run.
-constexpr Duration kHoldsFor{10'000'000};
-constexpr Duration kDoublesEvery{5'000'000};
-// An upstream that takes nothing is asked now and then whether that still
-// holds.
-constexpr double kLeastPerSecond = 0.1;
+// An answer without a limit ends the limit only if its request was sent this
+// long after the limit was last stated: the ages in reports between hosts are
+// slightly inaccurate, and an upstream may omit the field from some answers.
+constexpr Duration kMinAgeToEnd{1'000'000};
+constexpr Duration kProbeAfter{3'000'000};
+// Without an answer a limit applies as stated for kLimitTtl, which is longer
+// than most requests run, then doubles once per kDoublingInterval.
+constexpr Duration kLimitTtl{10'000'000};
+constexpr Duration kDoublingInterval{5'000'000};
+// An upstream with a limit of 0 still gets a request now and then, to learn if
+// the limit still applies.
+constexpr double kMinPerSecond = 0.1;
 
 }  // namespace
 
-bool UpstreamLimit::Update(const LimitObservation& sign) {
-  const bool ends = sign_ && sign_->per_second && !sign.per_second;
-  if (sign_ && sign.observed_at <= sign_->observed_at +
-                                       (ends ? kEndsAfter : Duration::zero())) {
+bool UpstreamLimit::Update(const LimitObservation& update) {
+  const bool ends = latest_ && latest_->per_second && !update.per_second;
+  if (latest_ &&
+      update.observed_at <=
+          latest_->observed_at + (ends ? kMinAgeToEnd : Duration::zero())) {
     return false;
   }
-  sign_ = std::make_shared<const LimitObservation>(sign);
+  latest_ = std::make_shared<const LimitObservation>(update);
   return true;
 }
 
 double UpstreamLimit::PerSecond(Time now) const {
-  if (!sign_) {
+  if (!latest_) {
     return capacity_;
   }
-  const double named = std::max(kLeastPerSecond, sign_->per_second.value_or(0));
-  const Duration overdue = now - sign_->observed_at - kHoldsFor;
+  const double stated =
+      std::max(kMinPerSecond, latest_->per_second.value_or(0));
+  const Duration overdue = now - latest_->observed_at - kLimitTtl;
   const double doublings =
-      std::max(0.0, std::chrono::duration<double>(overdue) / kDoublesEvery);
-  return named * std::exp2(doublings);
+      std::max(0.0, std::chrono::duration<double>(overdue) / kDoublingInterval);
+  return stated * std::exp2(doublings);
 }
 
 bool UpstreamLimit::ShouldProbe(Time now) const {
-  return IsInForce(now) && now - sign_->observed_at > kAskedAfter;
+  return IsInForce(now) && now - latest_->observed_at > kProbeAfter;
 }
 
 bool UpstreamLimit::IsInForce(Time now) const {
-  return sign_ && sign_->per_second && PerSecond(now) < capacity_;
+  return latest_ && latest_->per_second && PerSecond(now) < capacity_;
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/routing/upstream_load.cpp
+++ b/src/pathcleat/routing/upstream_load.cpp
@@ -8,67 +8,74 @@
 namespace pathcleat {
 namespace {
 
-// A report tells of others' requests, which last about as long as a request
-// runs; what it differs from the usual is forgotten after that.
-constexpr double kFadeMicros = 600'000;
-// The usual load by others: learnt over this time, and forgotten over that.
-constexpr double kLearnMicros = 2'000'000;
-constexpr double kForgetMicros = 6'000'000;
-// A report tells of no longer time than this, however old the last one is.
-constexpr double kLongestReportMicros = 1'000'000;
-// Reports come in bursts; each moves the estimate this far.
+// Decay time of a report's difference from the usual load: about the run time
+// of the other hosts' requests that it counts.
+constexpr double kReportDecayMicros = 600'000;
+// Time constants of the usual load by other hosts: of its average over reports,
+// and of its decay without reports.
+constexpr double kUsualAverageMicros = 2'000'000;
+constexpr double kUsualDecayMicros = 6'000'000;
+// A report stands for at most this time, however old the previous report is.
+constexpr double kMaxReportSpanMicros = 1'000'000;
+// Reports come in bursts, so each moves the estimate by this part of the
+// difference.
 constexpr double kReportWeight = 0.6;
 
 }  // namespace
 
 void UpstreamLoad::OnReport(const LoadReport& report, Time now) {
   // The answered request itself has ended at the upstream already.
-  const int here = std::max(0, own_ - 1);
-  const double others = std::max(0, report.running + report.waiting - here);
-  const double before = ExpectedRequests(now) - own_;
+  const int own_remaining = std::max(0, own_in_flight_ - 1);
+  const double others =
+      std::max(0, report.running + report.waiting - own_remaining);
+  const double before = ExpectedRequests(now) - own_in_flight_;
   const double age = AgeMicros(now);
-  usual_ = UsualAt(now);
-  const double told = std::min(age, kLongestReportMicros);
+  usual_other_requests_ = UsualAt(now);
+  const double span = std::min(age, kMaxReportSpanMicros);
   if (remember_usual_) {
-    usual_ += (others - usual_) * (1 - std::exp(-told / kLearnMicros));
+    usual_other_requests_ += (others - usual_other_requests_) *
+                             (1 - std::exp(-span / kUsualAverageMicros));
   }
-  others_ = before + (others - before) * kReportWeight;
-  reported_ = now;
-  if (average_) {
-    average_->OnReport(others, now);
+  other_requests_ = before + (others - before) * kReportWeight;
+  reported_at_ = now;
+  if (shared_average_) {
+    shared_average_->OnReport(others, now);
   }
 }
 
 double UpstreamLoad::ExpectedRequests(Time now) const {
-  return With(UsualAt(now), now);
+  return EstimateWith(UsualAt(now), now);
 }
 
 double UpstreamLoad::ExpectedFromReports(Time now) const {
-  return With(OwnUsualAt(now), now);
+  return EstimateWith(OwnUsualAt(now), now);
 }
 
-double UpstreamLoad::With(double usual, Time now) const {
+double UpstreamLoad::EstimateWith(double usual, Time now) const {
   const double age = AgeMicros(now);
-  return own_ + usual + (others_ - usual) * std::exp(-age / kFadeMicros);
+  return own_in_flight_ + usual +
+         (other_requests_ - usual) * std::exp(-age / kReportDecayMicros);
 }
 
 double UpstreamLoad::OwnUsualAt(Time now) const {
-  return usual_ * std::exp(-AgeMicros(now) / kForgetMicros);
+  return usual_other_requests_ * std::exp(-AgeMicros(now) / kUsualDecayMicros);
 }
 
-// An upstream that was heard of lately speaks for itself.
+// The shared average counts only as the upstream's own report grows old.
 double UpstreamLoad::UsualAt(Time now) const {
   const double own = OwnUsualAt(now);
-  if (!average_) {
+  if (!shared_average_) {
     return own;
   }
-  const double silent = std::max(0.0, AgeMicros(now) - kLongestReportMicros);
-  return own + average_->Value(now) * (1 - std::exp(-silent / kForgetMicros));
+  const double unreported =
+      std::max(0.0, AgeMicros(now) - kMaxReportSpanMicros);
+  return own + shared_average_->Value(now) *
+                   (1 - std::exp(-unreported / kUsualDecayMicros));
 }
 
 double UpstreamLoad::AgeMicros(Time now) const {
-  return reported_
-             ? std::max(0.0, static_cast<double>((now - *reported_).count()))
+  return reported_at_
+             ? std::max(0.0, static_cast<double>((now - *reported_at_).count()))
              : std::numeric_limits<double>::infinity();
 }
 
--- a/src/pathcleat/routing/upstream_picker.cpp
+++ b/src/pathcleat/routing/upstream_picker.cpp
@@ -10,25 +10,24 @@
 namespace pathcleat {
 namespace {
 
-constexpr double kBytesInGigabyte = 1e9;
-// Worth of an answer that comes after its target latency.
-constexpr double kLateWorth = 0.2;
-// How sharply the worth falls around the target latency, as a share of it.
-constexpr double kSpread = 0.15;
-// Cost of one second of an upstream's slot, in worths of one answer.
+constexpr double kBytesPerGigabyte = 1e9;
+// Value of an answer after its target latency; one in time has the value 1.
+constexpr double kLateAnswerValue = 0.2;
+// Width of the fall in value around the target latency, as a share of it.
+constexpr double kLatenessSpread = 0.15;
+// Cost of one slot-second at an upstream, in values of one answer in time.
 constexpr double kSlotSecondCost = 0.3;
-// Answers at least this large stay in their region while it has an upstream.
+// Answers of at least this size stay in their region if it has an upstream.
 constexpr double kLargeAnswerBytes = 32'768;
-constexpr double kWarmEnough = 0.5;
-// A key leaves its nearest upstream only for an answer worth this much more,
-// a rank: whoever leaves for less makes the key known in more places than it
-// needs, and fills the region that is short of room. Twice as much measured
-// the same (docs/DECISIONS.md, rounds).
+constexpr double kWarmThreshold = 0.5;
+// Cost per rank: a key leaves its nearest upstream only for an answer of this
+// much more value. With a lower cost, more upstreams than necessary become warm
+// for the key, and the region that is short of slots fills up.
 constexpr double kRankCost = 0.08;
-// Ranks beyond those of a key's few upstreams cost no more than the last.
-constexpr std::size_t kRanksPriced = 2;
-constexpr Duration kFirstRoundTrip{2'000};
-constexpr double kBytesWeight = 0.05;
+// Ranks beyond those of a key's few upstreams cost no more than this rank.
+constexpr std::size_t kMaxPricedRank = 2;
+constexpr Duration kInitialRoundTrip{2'000};
+constexpr double kAnswerBytesWeight = 0.05;
 
 double Seconds(Duration duration) {
   return std::chrono::duration<double>(duration).count();
@@ -39,25 +38,27 @@
   return Duration(static_cast<Duration::rep>(seconds * kMicros));
 }
 
-double WorthAt(double expected, double target) {
+double AnswerValue(double expected, double target) {
   const double on_time =
-      1 / (1 + std::exp((expected - target) / (kSpread * target)));
-  return kLateWorth + (1 - kLateWorth) * on_time;
+      1 / (1 + std::exp((expected - target) / (kLatenessSpread * target)));
+  return kLateAnswerValue + (1 - kLateAnswerValue) * on_time;
 }
 
-// Few hosts send to a limited upstream, and their keys may seldom lead there.
-void KeepToBeAsked(std::vector<Candidate>& candidates,
-                   const PickRequest& request,
-                   Time now) {
-  const auto asked = std::find_if(
+// Keeps only an upstream whose limit is due for a probe, if there is one: few
+// hosts send to a limited upstream, and their keys may rarely select it. Only
+// first attempts of repeatable requests are used as probes.
+void KeepOnlyProbeTarget(std::vector<Candidate>& candidates,
+                         const PickRequest& request,
+                         Time now) {
+  const auto to_probe = std::find_if(
       candidates.begin(), candidates.end(), [now](const Candidate& candidate) {
         const UpstreamState& upstream = *candidate.upstream;
         return upstream.limit.ShouldProbe(now) &&
                upstream.load.ExpectedRequests(now) + 1 <= upstream.info.slots;
       });
-  if (asked != candidates.end() && request.route->repeatable &&
+  if (to_probe != candidates.end() && request.route->repeatable &&
       request.excluded.empty()) {
-    candidates = {Candidate(*asked)};
+    candidates = {Candidate(*to_probe)};
   }
 }
 
@@ -79,7 +80,7 @@
 
 Duration UpstreamPicker::RoundTrip(const UpstreamState& upstream) const {
   const auto found = latencies_.find(upstream.info.domain);
-  return found == latencies_.end() ? kFirstRoundTrip : found->second.value();
+  return found == latencies_.end() ? kInitialRoundTrip : found->second.value();
 }
 
 double UpstreamPicker::CarryingCost(const UpstreamState& upstream,
@@ -88,10 +89,11 @@
       !settings_.policy.IsEnabled(Mechanism::kCarryingCost)) {
     return 0;
   }
-  const double gigabyte = upstream.region == settings_.region
-                              ? settings_.cross_domain_cost_per_gigabyte
-                              : settings_.cross_region_cost_per_gigabyte;
-  return bytes / kBytesInGigabyte * gigabyte;
+  const double cost_per_gigabyte =
+      upstream.region == settings_.region
+          ? settings_.cross_domain_cost_per_gigabyte
+          : settings_.cross_region_cost_per_gigabyte;
+  return bytes / kBytesPerGigabyte * cost_per_gigabyte;
 }
 
 std::vector<Candidate> UpstreamPicker::Candidates(
@@ -122,36 +124,38 @@
   return candidates;
 }
 
-void UpstreamPicker::KeepRegion(std::vector<Candidate>& candidates,
-                                const std::string& region) const {
+void UpstreamPicker::KeepOnlyRegion(std::vector<Candidate>& candidates,
+                                    const std::string& region) const {
   std::erase_if(candidates, [&region](const Candidate& candidate) {
     return candidate.upstream->region != region;
   });
 }
 
-// Large answers stay in their region while it has an upstream: carrying one
-// between regions costs more than it is worth.
-void UpstreamPicker::KeepLargeNear(std::vector<Candidate>& candidates,
-                                   const PickRequest& request) {
-  const bool near = std::any_of(candidates.begin(), candidates.end(),
-                                [this](const Candidate& c) {
-                                  return c.upstream->region == settings_.region;
-                                });
-  if (near && ProfileOf(*request.route).answer_bytes >= kLargeAnswerBytes) {
-    KeepRegion(candidates, settings_.region);
+// Large answers stay in their region if it has an upstream: the transfer of one
+// between regions costs more than its value.
+void UpstreamPicker::KeepLargeAnswersLocal(std::vector<Candidate>& candidates,
+                                           const PickRequest& request) {
+  const bool has_local = std::any_of(
+      candidates.begin(), candidates.end(), [this](const Candidate& c) {
+        return c.upstream->region == settings_.region;
+      });
+  if (has_local &&
+      ProfileOf(*request.route).answer_bytes >= kLargeAnswerBytes) {
+    KeepOnlyRegion(candidates, settings_.region);
   }
 }
 
-// While a shift leads away from this region, requests leave it by the shift's
-// gate alone: those that it moves, and what the region cannot serve at all.
-PickFailure UpstreamPicker::PassShift(std::vector<Candidate>& candidates,
-                                      const PickRequest& request) {
-  ShiftControl* gate = shifts_.Find(request.service);
-  if (gate == nullptr) {
+// While a shift moves traffic away from this region, requests leave it only as
+// the shift permits: those that it moves, and those for which the region has no
+// upstream.
+PickFailure UpstreamPicker::ApplyShift(std::vector<Candidate>& candidates,
+                                       const PickRequest& request) {
+  ShiftControl* shift = shifts_.Find(request.service);
+  if (shift == nullptr) {
     return PickFailure::kNone;
   }
   if (request.excluded.empty()) {
-    gate->OnOffered();
+    shift->OnOffered();
   }
   const auto has_region = [&candidates](const std::string& region) {
     return std::any_of(candidates.begin(), candidates.end(),
@@ -159,14 +163,14 @@
                          return candidate.upstream->region == region;
                        });
   };
-  const std::string& target = gate->plan().to_region;
-  const bool moves = gate->ShouldMove(request.shift_position) &&
-                     has_region(target) && gate->TryMove();
-  if (moves) {
-    KeepRegion(candidates, target);
+  const std::string& target = shift->plan().to_region;
+  const bool should_move = shift->ShouldMove(request.shift_position) &&
+                           has_region(target) && shift->TryMove();
+  if (should_move) {
+    KeepOnlyRegion(candidates, target);
   } else if (has_region(settings_.region)) {
-    KeepRegion(candidates, settings_.region);
-  } else if (!gate->TryMove()) {
+    KeepOnlyRegion(candidates, settings_.region);
+  } else if (!shift->TryMove()) {
     return PickFailure::kShiftCap;
   }
   return PickFailure::kNone;
@@ -177,17 +181,17 @@
   const WarmthModel& warmth = ProfileOf(*request.route).warmth;
   for (std::size_t rank = 0; rank < candidates.size(); ++rank) {
     Candidate& candidate = candidates[rank];
-    // Work without a key takes as long wherever it runs.
-    const bool sent =
+    // Requests without an affinity key run equally fast on all upstreams.
+    const bool sent_recently =
         !request.sticky || candidate.upstream->keys.Contains(request.key);
-    candidate.warmth_evidence = {sent, request.sticky ? rank : 0};
+    candidate.warmth_evidence = {sent_recently, request.sticky ? rank : 0};
     candidate.warm_probability = warmth.Probability(candidate.warmth_evidence);
   }
 }
 
-UpstreamPicker::Scored UpstreamPicker::Score(const Candidate& candidate,
-                                             const PickRequest& request,
-                                             Time now) {
+UpstreamPicker::ScoredPick UpstreamPicker::Score(const Candidate& candidate,
+                                                 const PickRequest& request,
+                                                 Time now) {
   const UpstreamState& upstream = *candidate.upstream;
   const RequestProfile& profile = ProfileOf(*request.route);
   const double warm = Seconds(profile.warmth.RunTime(true));
@@ -199,35 +203,37 @@
   const auto wait_behind = [slots, run](double requests) {
     return std::max(0.0, requests + 1 - slots) / slots * run;
   };
-  // The choice goes by what each upstream told; whether the chosen one is
-  // worth waiting for, by what is usual at others as well.
-  const double told = wait_behind(upstream.load.ExpectedFromReports(now));
+  // The score uses the reports of each upstream alone; the wait that decides on
+  // admission includes the average over other upstreams.
+  const double reported_wait =
+      wait_behind(upstream.load.ExpectedFromReports(now));
   const double wait = wait_behind(upstream.load.ExpectedRequests(now));
   const double round_trip = Seconds(RoundTrip(upstream));
-  Scored scored;
+  ScoredPick scored;
   scored.pick.upstream = candidate.upstream;
   scored.pick.expected_latency = FromSeconds(round_trip + wait + run);
   scored.pick.expected_wait = FromSeconds(wait);
   scored.pick.expected_latency_if_cold = FromSeconds(round_trip + wait + cold);
-  scored.pick.warm = candidate.warm_probability >= kWarmEnough;
+  scored.pick.warm = candidate.warm_probability >= kWarmThreshold;
   scored.pick.warmth_evidence = candidate.warmth_evidence;
   scored.pick.leaves_region = upstream.region != settings_.region;
-  scored.worth =
-      WorthAt(round_trip + told + run, Seconds(request.route->target_latency)) -
+  scored.score =
+      AnswerValue(round_trip + reported_wait + run,
+                  Seconds(request.route->target_latency)) -
       CarryingCost(upstream, profile.answer_bytes) -
-      (run + told) * kSlotSecondCost -
+      (run + reported_wait) * kSlotSecondCost -
       kRankCost * static_cast<double>(
-                      std::min(candidate.warmth_evidence.rank, kRanksPriced));
+                      std::min(candidate.warmth_evidence.rank, kMaxPricedRank));
   return scored;
 }
 
-Pick UpstreamPicker::Refused(PickFailure failure,
-                             const PickRequest& request,
-                             Time now) {
-  Pick none;
-  none.failure = failure;
-  none.retry_after = RetryDelay(request, none, now);
-  return none;
+Pick UpstreamPicker::MakeRefusal(PickFailure failure,
+                                 const PickRequest& request,
+                                 Time now) {
+  Pick refusal;
+  refusal.failure = failure;
+  refusal.retry_after = RetryDelay(request, refusal, now);
+  return refusal;
 }
 
 Duration UpstreamPicker::RetryDelay(const PickRequest& request,
@@ -253,16 +259,16 @@
     ++upstream->passed_over;
   }
   if (candidates.empty()) {
-    Pick refused = Refused(PickFailure::kNoUpstream, request, now);
+    Pick refused = MakeRefusal(PickFailure::kNoUpstream, request, now);
     refused.passed_over = static_cast<int>(passed_over.size());
     return refused;
   }
-  KeepLargeNear(candidates, request);
-  const PickFailure held = PassShift(candidates, request);
-  if (held != PickFailure::kNone) {
-    return Refused(held, request, now);
+  KeepLargeAnswersLocal(candidates, request);
+  const PickFailure shift_failure = ApplyShift(candidates, request);
+  if (shift_failure != PickFailure::kNone) {
+    return MakeRefusal(shift_failure, request, now);
   }
-  KeepToBeAsked(candidates, request, now);
+  KeepOnlyProbeTarget(candidates, request, now);
   const RegionShares& shares = SharesOf(request.service, now);
   if (request.sticky && settings_.policy.IsEnabled(Mechanism::kKeyPlacement)) {
     KeepNearestToKey(candidates, request.key, shares);
@@ -270,21 +276,22 @@
     RankByKey(candidates, request.key, shares);
   }
   EstimateWarmth(candidates, request);
-  Scored best;
+  ScoredPick best;
   for (const Candidate& candidate : candidates) {
-    Scored scored = Score(candidate, request, now);
-    if (!best.pick.upstream || scored.worth > best.worth) {
+    ScoredPick scored = Score(candidate, request, now);
+    if (!best.pick.upstream || scored.score > best.score) {
       best = std::move(scored);
     }
   }
   best.pick.candidates = static_cast<int>(candidates.size());
   best.pick.passed_over = static_cast<int>(passed_over.size());
   if (request.excluded.empty()) {
-    bound_.OnPlaced(request.service,
-                    best.pick.expected_latency - best.pick.expected_wait);
+    pinned_capacity_.OnPlaced(
+        request.service, best.pick.expected_latency - best.pick.expected_wait);
   }
   RequestProfile& profile = ProfileOf(*request.route);
-  // What a queue alone makes hopeless; a run time is only guessed.
+  // Refuses requests that are too late by the queue alone; the run time is only
+  // an estimate.
   if (RoundTrip(*best.pick.upstream) + best.pick.expected_wait >
       request.time_left) {
     best.pick.failure = PickFailure::kTooLate;
@@ -308,7 +315,8 @@
   for (const UpstreamPtr& upstream : table_.ForService(service)) {
     if (upstream->region == region && table_.IsOpen(*upstream) &&
         !upstream->health.IsSuspect()) {
-      slots += upstream->UsableSlots(bound_.RunSecondsOf(service), now);
+      slots +=
+          upstream->UsableSlots(pinned_capacity_.RunSecondsOf(service), now);
       used += upstream->load.ExpectedRequests(now);
       round_trip = std::max(round_trip, RoundTrip(*upstream));
     }
@@ -331,38 +339,39 @@
                                 Duration waited,
                                 Time now) {
   if (settings_.policy.IsEnabled(Mechanism::kSlowness)) {
-    const double usual =
+    const double usual_latency =
         Seconds(pick.expected_latency) / upstream.slowness.Value(now);
-    upstream.slowness.OnNoAnswer(Seconds(waited) / usual, now);
+    upstream.slowness.OnNoAnswer(Seconds(waited) / usual_latency, now);
   }
 }
 
 void UpstreamPicker::OnAnswer(UpstreamState& upstream,
                               const PickRequest& request,
                               const Pick& pick,
-                              const AnswerMeasurements& facts,
+                              const AnswerMeasurements& measurements,
                               Time now) {
   RequestProfile& profile = ProfileOf(*request.route);
   profile.answer_bytes +=
-      (static_cast<double>(facts.bytes) - profile.answer_bytes) * kBytesWeight;
+      (static_cast<double>(measurements.bytes) - profile.answer_bytes) *
+      kAnswerBytesWeight;
   upstream.keys.Touch(request.key);
-  // A run time is learnt where nothing waited: what a queue adds is not the
-  // run's, and would make overload look like slow work.
-  if (facts.queued || pick.expected_wait > Duration::zero()) {
+  // Run times are learned only from requests that did not wait: queueing time
+  // would make an overloaded upstream look slow.
+  if (measurements.queued || pick.expected_wait > Duration::zero()) {
     return;
   }
   const Duration run =
-      std::max(Duration(1'000), facts.took - RoundTrip(upstream));
-  const Duration usual =
+      std::max(Duration(1'000), measurements.took - RoundTrip(upstream));
+  const Duration usual_run =
       FromSeconds(Seconds(run) / upstream.slowness.Value(now));
   WarmthModel& warmth = profile.warmth;
-  const bool quick = upstream.IsRateBounded(now)
-                         ? warmth.IsWarmRun(usual)
-                         : warmth.OnRun(pick.warmth_evidence, usual);
+  const bool warm = upstream.IsRateBounded(now)
+                        ? warmth.IsWarmRun(usual_run)
+                        : warmth.OnRun(pick.warmth_evidence, usual_run);
   if (!settings_.policy.IsEnabled(Mechanism::kSlowness)) {
     return;
   }
-  upstream.slowness.OnRun(Seconds(run) / Seconds(warmth.RunTime(quick)), now);
+  upstream.slowness.OnRun(Seconds(run) / Seconds(warmth.RunTime(warm)), now);
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/routing/upstream_picker_explain.cpp
+++ b/src/pathcleat/routing/upstream_picker_explain.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-// What operators are shown of a choice.
+// The picker's ranking of upstreams, for operators.
 
 #include <algorithm>
 #include <utility>
@@ -16,18 +16,19 @@
     RankByKey(candidates, request.key, SharesOf(request.service, now));
   }
   EstimateWarmth(candidates, request);
-  std::vector<Scored> scored;
+  std::vector<ScoredPick> scored;
   scored.reserve(candidates.size());
   for (const Candidate& candidate : candidates) {
     scored.push_back(Score(candidate, request, now));
   }
-  std::stable_sort(
-      scored.begin(), scored.end(),
-      [](const Scored& a, const Scored& b) { return a.worth > b.worth; });
+  std::stable_sort(scored.begin(), scored.end(),
+                   [](const ScoredPick& a, const ScoredPick& b) {
+                     return a.score > b.score;
+                   });
   std::vector<Pick> picks;
   picks.reserve(scored.size());
-  for (Scored& one : scored) {
-    picks.push_back(std::move(one.pick));
+  for (ScoredPick& entry : scored) {
+    picks.push_back(std::move(entry.pick));
   }
   return picks;
 }
--- a/src/pathcleat/routing/upstream_picker_shares.cpp
+++ b/src/pathcleat/routing/upstream_picker_shares.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-// How the picker shares keys out among regions.
+// The shares of keys that the picker gives to each region.
 
 #include <algorithm>
 #include <cmath>
@@ -9,21 +9,21 @@
 namespace pathcleat {
 namespace {
 
-// The list and the fleet change a few times a minute; shares follow within
-// this time.
-constexpr Duration kSharesPeriod{250'000};
+// Shares are updated at this interval; the list and the fleet change a few
+// times a minute.
+constexpr Duration kSharesUpdateInterval{250'000};
 
-// Told in steps, as all hosts are to place keys alike. Something is always
-// left: a region has callers of its own.
-double RoundedPart(double part) {
+// Rounds a share to steps, so that all hosts place keys alike. The result stays
+// below 1, as each region keeps slots for its own callers.
+double RoundedShare(double share) {
   constexpr double kSteps = 8;
-  constexpr double kMost = 0.875;
-  return std::min(kMost, std::round(part * kSteps) / kSteps);
+  constexpr double kMaxShare = 0.875;
+  return std::min(kMaxShare, std::round(share * kSteps) / kSteps);
 }
 
 }  // namespace
 
-// The list is walked when it has changed, not four times a second.
+// Recounts only after a change of the table, not four times a second.
 void UpstreamPicker::CountSlots(SharesEntry& entry,
                                 const std::string& service,
                                 Time now) const {
@@ -32,14 +32,14 @@
   }
   entry.revision = table_.revision();
   entry.slots.clear();
-  entry.unusable.clear();
-  const double run = bound_.RunSecondsOf(service);
+  entry.unusable_slots.clear();
+  const double run_seconds = pinned_capacity_.RunSecondsOf(service);
   for (const UpstreamPtr& upstream : table_.ForService(service)) {
     if (table_.IsOpen(*upstream)) {
       const int slots = std::max(1, upstream->info.slots);
       entry.slots[upstream->region] += slots;
-      entry.unusable[upstream->region] +=
-          slots - upstream->UsableSlots(run, now);
+      entry.unusable_slots[upstream->region] +=
+          slots - upstream->UsableSlots(run_seconds, now);
     }
   }
 }
@@ -55,7 +55,7 @@
             .first;
   }
   SharesEntry& entry = found->second;
-  if (entry.updated && now - *entry.updated < kSharesPeriod) {
+  if (entry.updated && now - *entry.updated < kSharesUpdateInterval) {
     return entry.shares;
   }
   entry.updated = now;
@@ -64,12 +64,14 @@
   for (const auto& [region, slots] : entry.slots) {
     regions[region].slots = slots;
   }
-  for (auto& [region, room] : regions) {
-    const double usable = 1 - RoundedPart(entry.unusable[region] / room.slots);
-    room.pinned_share =
-        1 - (1 - bound_.ShareOf(service, region, room.slots)) * usable;
+  for (auto& [region, capacity] : regions) {
+    const double usable_share =
+        1 - RoundedShare(entry.unusable_slots[region] / capacity.slots);
+    capacity.pinned_share =
+        1 - (1 - pinned_capacity_.ShareOf(service, region, capacity.slots)) *
+                usable_share;
   }
-  for (const auto& [region, hosts] : hosts_) {
+  for (const auto& [region, hosts] : host_counts_) {
     regions[region].hosts = hosts;
   }
   entry.shares.Update(regions);
--- a/src/pathcleat/routing/upstream_table.cpp
+++ b/src/pathcleat/routing/upstream_table.cpp
@@ -10,24 +10,24 @@
 namespace pathcleat {
 namespace {
 
-// About as many as an upstream of the users' services keeps in mind.
-constexpr std::size_t kKeysRemembered = 48;
-constexpr double kShareBurst = 1;
-// No upstream of the users answers sooner than this, seconds.
-constexpr double kShortestRun = 0.05;
-// Limits that differ by less are the same one.
-constexpr double kSameLimit = 0.01;
-// Orders reach a host within half a second of the store's answer, and so does
-// the list: twice that.
-constexpr Duration kNewVersionWait{1'000'000};
+// About as many keys as an upstream of the users' services keeps cached.
+constexpr std::size_t kRecentKeyCount = 48;
+constexpr double kRateShareBurst = 1;
+// No upstream of the users' services runs a request in less.
+constexpr double kMinRunSeconds = 0.05;
+// Limits that differ by a smaller part count as equal.
+constexpr double kLimitTolerance = 0.01;
+// Rollout orders and the upstream list each reach a host within 0.5 s of the
+// store's answer; the delay is twice that.
+constexpr Duration kNewVersionDelay{1'000'000};
 
 }  // namespace
 
 UpstreamState::UpstreamState(const UpstreamInfo& entry)
     : info(entry),
       hash(StableHash(entry.id)),
-      keys(kKeysRemembered),
-      rate_share(0, kShareBurst) {}
+      keys(kRecentKeyCount),
+      rate_share(0, kRateShareBurst) {}
 
 double UpstreamState::UsableSlots(double run_seconds, Time now) const {
   const double slots = std::max(1, info.slots);
@@ -50,72 +50,73 @@
   return upstream;
 }
 
-// The first of a version may belong to a rollout whose order has not come yet.
+// A new version may belong to a rollout whose order has not arrived yet, so its
+// upstreams open after a delay. The first version of a service opens at once.
 Time UpstreamTable::OpenFrom(const UpstreamInfo& entry, Time now) {
-  auto& versions = versions_[entry.service];
-  const bool first_of_all = versions.empty();
+  auto& versions = version_open_times_[entry.service];
+  const bool is_first_version = versions.empty();
   const auto [version, added] = versions.try_emplace(
-      entry.version, first_of_all ? Time() : now + kNewVersionWait);
+      entry.version, is_first_version ? Time() : now + kNewVersionDelay);
   return version->second;
 }
 
 bool UpstreamTable::Put(const UpstreamInfo& entry, Time now) {
-  const auto known = by_id_.find(entry.id);
-  const bool again = known != by_id_.end() &&
-                     (known->second->info.started_ms != entry.started_ms ||
-                      known->second->info.service != entry.service);
-  if (again) {
+  const auto listed = by_id_.find(entry.id);
+  const bool restarted = listed != by_id_.end() &&
+                         (listed->second->info.started_ms != entry.started_ms ||
+                          listed->second->info.service != entry.service);
+  if (restarted) {
     Remove(entry.id);
   }
   const UpstreamPtr upstream =
-      again || known == by_id_.end() ? Add(entry, now) : known->second;
+      restarted || listed == by_id_.end() ? Add(entry, now) : listed->second;
   ++revision_;
   upstream->info = entry;
-  upstream->limit.SetCapacity(std::max(1, entry.slots) / kShortestRun);
+  upstream->limit.SetCapacity(std::max(1, entry.slots) / kMinRunSeconds);
   upstream->lapse_deadline.reset();
-  lapsed_.erase(entry.id);
+  lapsed_ids_.erase(entry.id);
   upstream->region = region_of_domain_[entry.domain];
   if (policy_.IsEnabled(Mechanism::kAverageLoad)) {
     upstream->load.SetSharedAverage(AverageLoadOf(*upstream));
   }
   if (entry.cold_remaining > Duration::zero()) {
-    Watch(upstream);
+    TrackRateBound(upstream);
     upstream->cold_until =
         std::max(upstream->cold_until, now + entry.cold_remaining);
     upstream->keys.Clear();
   }
-  return again;
+  return restarted;
 }
 
-void UpstreamTable::Watch(const UpstreamPtr& upstream) {
+void UpstreamTable::TrackRateBound(const UpstreamPtr& upstream) {
   if (!upstream->may_be_rate_bounded) {
     upstream->may_be_rate_bounded = true;
-    maybe_bounded_.push_back(upstream);
+    maybe_rate_bounded_.push_back(upstream);
   }
 }
 
 LimitChange UpstreamTable::UpdateLimit(const UpstreamPtr& upstream,
-                                       const LimitObservation& sign,
+                                       const LimitObservation& update,
                                        Time now) {
   UpstreamLimit& limit = upstream->limit;
-  const bool bound = limit.IsInForce(now);
-  const double before = bound ? limit.PerSecond(now) : 0;
-  if (!limit.Update(sign)) {
+  const bool was_in_force = limit.IsInForce(now);
+  const double before = was_in_force ? limit.PerSecond(now) : 0;
+  if (!limit.Update(update)) {
     return LimitChange::kNone;
   }
-  const bool binds = limit.IsInForce(now);
-  if (binds) {
-    Watch(upstream);
+  const bool is_in_force = limit.IsInForce(now);
+  if (is_in_force) {
+    TrackRateBound(upstream);
   }
-  const double after = binds ? limit.PerSecond(now) : 0;
-  if (std::abs(after - before) <= before * kSameLimit) {
+  const double after = is_in_force ? limit.PerSecond(now) : 0;
+  if (std::abs(after - before) <= before * kLimitTolerance) {
     return LimitChange::kNone;
   }
   ++revision_;
-  if (bound && binds) {
+  if (was_in_force && is_in_force) {
     return LimitChange::kChanged;
   }
-  return binds ? LimitChange::kStarted : LimitChange::kEnded;
+  return is_in_force ? LimitChange::kStarted : LimitChange::kEnded;
 }
 
 UpstreamPtr UpstreamTable::Find(const std::string& id) const {
@@ -139,7 +140,7 @@
   }
   const UpstreamPtr upstream = found->second;
   ++revision_;
-  lapsed_.erase(id);
+  lapsed_ids_.erase(id);
   upstream->removed = true;
   std::erase(by_service_[upstream->info.service], upstream);
   by_id_.erase(found);
@@ -152,26 +153,26 @@
   }
   if (!found->second->lapse_deadline) {
     found->second->lapse_deadline = until;
-    lapsed_.insert(id);
+    lapsed_ids_.insert(id);
   }
   return true;
 }
 
 const std::vector<UpstreamPtr>& UpstreamTable::MaybeRateBounded(Time now) {
-  const std::size_t watched = maybe_bounded_.size();
-  std::erase_if(maybe_bounded_, [now](const UpstreamPtr& upstream) {
+  const std::size_t count_before = maybe_rate_bounded_.size();
+  std::erase_if(maybe_rate_bounded_, [now](const UpstreamPtr& upstream) {
     upstream->may_be_rate_bounded =
         !upstream->removed && upstream->IsRateBounded(now);
     return !upstream->may_be_rate_bounded;
   });
-  // A limit may have lapsed.
-  revision_ += maybe_bounded_.size() < watched ? 1 : 0;
-  return maybe_bounded_;
+  // A limit may have ended, which changes the usable slots.
+  revision_ += maybe_rate_bounded_.size() < count_before ? 1 : 0;
+  return maybe_rate_bounded_;
 }
 
 std::vector<UpstreamPtr> UpstreamTable::Lapsed() const {
   std::vector<UpstreamPtr> lapsed;
-  for (const std::string& id : lapsed_) {
+  for (const std::string& id : lapsed_ids_) {
     lapsed.push_back(by_id_.at(id));
   }
   return lapsed;
@@ -180,9 +181,9 @@
 void UpstreamTable::SetDomainDrained(const std::string& domain, bool drained) {
   ++revision_;
   if (drained) {
-    drained_.insert(domain);
+    drained_domains_.insert(domain);
   } else {
-    drained_.erase(domain);
+    drained_domains_.erase(domain);
   }
 }
 
@@ -222,7 +223,7 @@
 
 bool UpstreamTable::IsOpen(const UpstreamState& upstream) const {
   return !upstream.removed && !upstream.info.leaving &&
-         !drained_.contains(upstream.info.domain) &&
+         !drained_domains_.contains(upstream.info.domain) &&
          !drained_upstreams_.contains(upstream.info.id) &&
          !drained_regions_.contains(upstream.region);
 }
--- a/src/pathcleat/routing/upstream_table_test.cpp
+++ b/src/pathcleat/routing/upstream_table_test.cpp
@@ -9,7 +9,7 @@
 const Time kStart{Duration(1'000'000)};
 constexpr Duration kSecond{1'000'000};
 
-UpstreamInfo Named(int index) {
+UpstreamInfo InfoOf(int index) {
   UpstreamInfo info;
   info.id = "i-" + std::to_string(index);
   info.service = "s";
@@ -20,18 +20,19 @@
 UpstreamTable TableOf(int upstreams) {
   UpstreamTable table(std::map<std::string, std::string>{{"d", "r"}});
   for (int i = 0; i < upstreams; ++i) {
-    table.Put(Named(i), kStart);
+    table.Put(InfoOf(i), kStart);
   }
   return table;
 }
 
-// What is looked after four times a second does not grow with the list: walking
-// 10,000 entries is 0.5 ms, of the 25 ms that a tenth of a core has for it.
-Test(upstream_table, looking_after_few_does_not_grow_with_the_list) {
+// Guards against periodic work, four times a second, that grows with the list:
+// walking 10,000 entries takes 0.5 ms of the 25 ms that a tenth of a core
+// allows.
+Test(upstream_table, periodic_checks_cover_only_rate_bounded_and_lapsed) {
   for (const int upstreams : {100, 1'000}) {
     UpstreamTable table = TableOf(upstreams);
     cr_assert(table.MaybeRateBounded(kStart).empty());
-    UpstreamInfo cold = Named(3);
+    UpstreamInfo cold = InfoOf(3);
     cold.cold_remaining = kSecond;
     table.Put(cold, kStart);
     table.Put(cold, kStart);
@@ -40,14 +41,14 @@
     cr_assert(table.Lapsed().empty());
     table.Lapse("i-4", kStart);
     cr_assert_eq(table.Lapsed().size(), 1U);
-    table.Put(Named(4), kStart);
+    table.Put(InfoOf(4), kStart);
     cr_assert(table.Lapsed().empty());
   }
 }
 
-Test(upstream_table, what_is_removed_is_looked_after_no_more) {
+Test(upstream_table, removed_upstream_is_neither_rate_bounded_nor_lapsed) {
   UpstreamTable table = TableOf(2);
-  UpstreamInfo cold = Named(0);
+  UpstreamInfo cold = InfoOf(0);
   cold.cold_remaining = kSecond;
   table.Put(cold, kStart);
   table.Remove("i-0");
@@ -57,13 +58,13 @@
   cr_assert(table.Lapsed().empty());
 }
 
-// The first upstream of a version may belong to a rollout whose order has not
-// come yet.
-Test(upstream_table, version_not_seen_before_waits_for_its_order) {
+// Guards against requests to the first upstream of a version before the order
+// of its rollout has arrived.
+Test(upstream_table, new_version_opens_after_a_delay) {
   UpstreamTable table = TableOf(1);
-  UpstreamInfo fresh = Named(1);
-  fresh.version = "v2";
-  table.Put(fresh, kStart);
+  UpstreamInfo new_version = InfoOf(1);
+  new_version.version = "v2";
+  table.Put(new_version, kStart);
   cr_assert(table.ForService("s").front()->open_from <= kStart);
   cr_assert(table.ForService("s").back()->open_from > kStart);
   cr_assert(table.ForService("s").back()->open_from <= kStart + kSecond);
--- a/src/pathcleat/routing/urgency_tracker.cpp
+++ b/src/pathcleat/routing/urgency_tracker.cpp
@@ -7,46 +7,47 @@
 namespace pathcleat {
 namespace {
 
-// Longer than callers stay away (0.4 to 1 s), so that a return counts beside
-// its first try; short enough to follow a burst of 3 s.
-constexpr double kFadeSeconds = 2;
-// With fewer offered, a share says little: its spread is a tenth or more.
-constexpr double kLeastOffered = 20;
-// Less than this is as good as nothing.
-constexpr double kFaded = 0.1;
-// Kinds within this of each other are even: a share of some tens of requests
-// is no better known. The users' pages allow 5 in 100.
-constexpr double kEven = 0.04;
+// Longer than callers wait before a retry (0.4 to 1 s), so that a retry counts
+// together with its first attempt; short enough to follow a burst of 3 s.
+constexpr double kDecaySeconds = 2;
+// A share of fewer first attempts is unreliable: its spread is 0.1 or more.
+constexpr double kMinOffered = 20;
+// Kinds with a lower decayed count are dropped.
+constexpr double kMinCount = 0.1;
+// Shares that differ by no more count as equal: a share of some tens of
+// requests is no more precise. The users' requirements allow a difference of
+// 0.05.
+constexpr double kShareTolerance = 0.04;
 
 }  // namespace
 
-void UrgencyTracker::Counts::FadeTo(Time now) {
-  const double age = std::chrono::duration<double>(now - counted).count();
-  const double kept = std::exp(-std::max(0.0, age) / kFadeSeconds);
-  offered *= kept;
-  sent *= kept;
-  counted = std::max(counted, now);
+void UrgencyTracker::Counts::DecayTo(Time now) {
+  const double age = std::chrono::duration<double>(now - updated_at).count();
+  const double remaining = std::exp(-std::max(0.0, age) / kDecaySeconds);
+  offered *= remaining;
+  sent *= remaining;
+  updated_at = std::max(updated_at, now);
 }
 
 void UrgencyTracker::OnFirstAttempt(const std::string& kind,
                                     const Urgency& urgency,
                                     Time now) {
   if (!kinds_.contains(kind)) {
-    Forget(now);
+    DropDecayed(now);
   }
   Counts& counts = kinds_[kind];
-  counts.FadeTo(now);
+  counts.DecayTo(now);
   counts.urgency = urgency;
   counts.offered += 1;
 }
 
-// Routes are many, those in use few: what has faded is dropped when a new kind
-// comes.
-void UrgencyTracker::Forget(Time now) {
+// Drops decayed kinds; called when a new kind appears, as there are many routes
+// but few in use.
+void UrgencyTracker::DropDecayed(Time now) {
   std::erase_if(kinds_, [now](const auto& kind) {
-    Counts faded = kind.second;
-    faded.FadeTo(now);
-    return faded.offered < kFaded;
+    Counts decayed = kind.second;
+    decayed.DecayTo(now);
+    return decayed.offered < kMinCount;
   });
 }
 
@@ -55,16 +56,16 @@
   if (found == kinds_.end()) {
     return;
   }
-  found->second.FadeTo(now);
+  found->second.DecayTo(now);
   found->second.sent += 1;
 }
 
 double UrgencyTracker::Share(const Counts& counts, Time now) {
-  Counts at_now = counts;
-  at_now.FadeTo(now);
-  return at_now.offered < kLeastOffered
+  Counts decayed = counts;
+  decayed.DecayTo(now);
+  return decayed.offered < kMinOffered
              ? 1
-             : std::min(1.0, at_now.sent / at_now.offered);
+             : std::min(1.0, decayed.sent / decayed.offered);
 }
 
 bool UrgencyTracker::IsOverServed(const std::string& kind, Time now) const {
@@ -76,7 +77,7 @@
   const double share = Share(own->second, now);
   return std::any_of(kinds_.begin(), kinds_.end(), [&](const auto& other) {
     return other.second.urgency < urgency &&
-           Share(other.second, now) < share - kEven;
+           Share(other.second, now) < share - kShareTolerance;
   });
 }
 
--- a/src/pathcleat/routing/usual_deadline_test.cpp
+++ b/src/pathcleat/routing/usual_deadline_test.cpp
@@ -10,7 +10,7 @@
 
 constexpr Duration kUsual{2'500'000};
 
-Test(usual_deadline, time_since_the_first_try_is_what_a_return_lacks) {
+Test(usual_deadline, retry_has_less_left_by_the_time_since_the_first_attempt) {
   UsualDeadline deadline;
   deadline.OnRequest(kUsual);
   cr_assert_eq(deadline.SinceFirstTry(kUsual).count(), 0);
@@ -19,10 +19,11 @@
   cr_assert_eq(deadline.SinceFirstTry(std::chrono::hours(9)).count(), 0);
 }
 
-// Checked to fail with the longest deadline taken for the usual one, and with
-// kVotesFor = 1.
-Test(usual_deadline, odd_deadlines_and_returns_do_not_move_it) {
-  cr_assert(Holds("one first try in four keeps the usual deadline", [] {
+// Guards against a usual deadline that unusual deadlines or retries change.
+// Fails with the longest deadline taken as the usual one, and with
+// kVotesPerMatch = 1.
+Test(usual_deadline, unusual_deadlines_and_retries_do_not_change_it) {
+  cr_assert(Holds("one first attempt in four keeps the usual deadline", [] {
     const auto others = *rc::gen::container<std::vector<int>>(
         99, rc::gen::inRange(1, 1'000'000'000));
     UsualDeadline deadline;
--- a/src/pathcleat/routing/version_filter.cpp
+++ b/src/pathcleat/routing/version_filter.cpp
@@ -10,37 +10,37 @@
 namespace pathcleat {
 namespace {
 
-// The part of each region's candidates, one at least, that ranks first by hash.
-void KeepFirstOfRegions(std::vector<Candidate>& candidates, double part) {
-  std::map<std::string, std::size_t> left;
+// Keeps a share of each region's candidates, at least one, lowest hash first.
+void KeepFirstPerRegion(std::vector<Candidate>& candidates, double share) {
+  std::map<std::string, std::size_t> remaining;
   for (const Candidate& candidate : candidates) {
-    ++left[candidate.upstream->region];
+    ++remaining[candidate.upstream->region];
   }
-  for (auto& [region, count] : left) {
+  for (auto& [region, count] : remaining) {
     count =
-        static_cast<std::size_t>(std::ceil(part * static_cast<double>(count)));
+        static_cast<std::size_t>(std::ceil(share * static_cast<double>(count)));
   }
   std::sort(candidates.begin(), candidates.end(),
             [](const Candidate& a, const Candidate& b) {
               return a.upstream->hash < b.upstream->hash;
             });
-  std::erase_if(candidates, [&left](const Candidate& candidate) {
-    std::size_t& places = left[candidate.upstream->region];
-    return places == 0 || places-- == 0;
+  std::erase_if(candidates, [&remaining](const Candidate& candidate) {
+    std::size_t& free_places = remaining[candidate.upstream->region];
+    return free_places == 0 || free_places-- == 0;
   });
 }
 
 }  // namespace
 
-// Of a version that is being tried, the few that rank first in each region get
-// all that goes there, so that they are as busy as the others.
+// In a trial of a version, the first upstreams of each region get all of its
+// requests, so that they are as busy as the upstreams of other versions.
 void FilterByVersion(std::vector<Candidate>& candidates,
                      const VersionRule& rule) {
   std::erase_if(candidates, [&rule](const Candidate& candidate) {
     return !rule.Allows(candidate.upstream->info.version);
   });
   if (!rule.required_version.empty()) {
-    KeepFirstOfRegions(candidates, rule.upstream_share);
+    KeepFirstPerRegion(candidates, rule.upstream_share);
   }
 }
 
--- a/src/pathcleat/routing/version_filter_test.cpp
+++ b/src/pathcleat/routing/version_filter_test.cpp
@@ -21,28 +21,28 @@
   return candidates;
 }
 
-VersionRule NoneOf(const std::string& version) {
+VersionRule RuleExcluding(const std::string& version) {
   VersionRule rule;
   rule.excluded_versions = {version};
   return rule;
 }
 
-// Promise: a version that was taken back gets nothing more, also while all the
-// others are out of reach, or were tried by this request. Seen to fail while a
-// rule that left nothing was passed over.
-Test(promise, avoided_version_gets_nothing_where_no_other_is_left) {
+// A version that was rolled back gets no requests, even while all other
+// versions are unreachable or were already tried by the request. Fails if a
+// rule that leaves no candidate is ignored.
+Test(promise, excluded_version_gets_nothing_where_no_other_is_left) {
   std::vector<Candidate> candidates = CandidatesOf({"v2", "v2"});
-  FilterByVersion(candidates, NoneOf("v2"));
+  FilterByVersion(candidates, RuleExcluding("v2"));
   cr_assert(candidates.empty());
 }
 
-Test(version_filter, others_are_left_as_they_are) {
+Test(version_filter, other_versions_are_kept) {
   std::vector<Candidate> candidates = CandidatesOf({"v1", "v2", "v1"});
-  FilterByVersion(candidates, NoneOf("v2"));
+  FilterByVersion(candidates, RuleExcluding("v2"));
   cr_assert_eq(candidates.size(), 2U);
 }
 
-Test(version_filter, trial_goes_to_its_part_of_the_version) {
+Test(version_filter, trial_uses_a_share_of_the_upstreams_of_its_version) {
   std::vector<Candidate> candidates =
       CandidatesOf({"v1", "v2", "v2", "v2", "v2"});
   VersionRule trial;
--- a/src/pathcleat/routing/warmth.cpp
+++ b/src/pathcleat/routing/warmth.cpp
@@ -6,70 +6,76 @@
 namespace pathcleat {
 namespace {
 
-// First guesses weigh as much as so many runs; older runs fade to keep their
-// sum below the second figure, so that a changed fleet shows within as many.
-constexpr double kGuessRuns = 6;
-constexpr double kMostRuns = 60;
-constexpr double kGuessSent = 0.95;
-constexpr std::array<double, 3> kGuessByRank = {0.8, 0.2, 0.1};
-// A run this many times as long as quick ones is a slow one. Run times of one
-// kind vary by 15% here and there, slow ones are three times as long.
-constexpr double kSlowMultiple = 1.7;
+// Initial estimates weigh as much as kInitialRuns runs. Older runs decay to
+// keep the total near kMaxRuns, so that a changed fleet shows within as many
+// runs.
+constexpr double kInitialRuns = 6;
+constexpr double kMaxRuns = 60;
+constexpr double kInitialSent = 0.95;
+constexpr std::array<double, 3> kInitialByRank = {0.8, 0.2, 0.1};
+// A run that takes at least this many times as long as a warm run is cold. Run
+// times of one kind vary by 15%; cold runs take about three times as long.
+constexpr double kColdRunMultiple = 1.7;
 
 }  // namespace
 
 WarmthModel::WarmthModel(Duration target_latency, bool learns)
     : learns_(learns),
-      quick_(target_latency * 2 / 5),
-      slow_(target_latency * 6 / 5),
-      sent_{kGuessSent * kGuessRuns, kGuessRuns},
-      by_rank_{} {
-  for (std::size_t rank = 0; rank < kRanks; ++rank) {
-    by_rank_.at(rank) = {kGuessByRank.at(rank) * kGuessRuns, kGuessRuns};
+      warm_run_time_(target_latency * 2 / 5),
+      cold_run_time_(target_latency * 6 / 5),
+      sent_count_{kInitialSent * kInitialRuns, kInitialRuns},
+      counts_by_rank_{} {
+  for (std::size_t rank = 0; rank < kRankCount; ++rank) {
+    counts_by_rank_.at(rank) = {kInitialByRank.at(rank) * kInitialRuns,
+                                kInitialRuns};
   }
 }
 
-WarmthModel::Chance& WarmthModel::ChanceOf(const WarmthEvidence& sign) {
-  return sign.sent_recently ? sent_
-                            : by_rank_.at(std::min(sign.rank, kRanks - 1));
+WarmthModel::RunCount& WarmthModel::RunCountFor(
+    const WarmthEvidence& evidence) {
+  return evidence.sent_recently
+             ? sent_count_
+             : counts_by_rank_.at(std::min(evidence.rank, kRankCount - 1));
 }
 
-double WarmthModel::Probability(const WarmthEvidence& sign) const {
-  const Chance& chance =
-      sign.sent_recently ? sent_ : by_rank_.at(std::min(sign.rank, kRanks - 1));
-  return chance.quick / chance.all;
+double WarmthModel::Probability(const WarmthEvidence& evidence) const {
+  const RunCount& count =
+      evidence.sent_recently
+          ? sent_count_
+          : counts_by_rank_.at(std::min(evidence.rank, kRankCount - 1));
+  return count.warm / count.total;
 }
 
 bool WarmthModel::IsWarmRun(Duration run) const {
-  const auto quick = static_cast<double>(quick_.value().count());
-  return static_cast<double>(run.count()) < quick * kSlowMultiple;
+  const auto warm = static_cast<double>(warm_run_time_.value().count());
+  return static_cast<double>(run.count()) < warm * kColdRunMultiple;
 }
 
-void WarmthModel::Count(Chance& chance, bool quick) {
-  if (chance.all >= kMostRuns) {
-    chance.quick *= kMostRuns / (kMostRuns + 1);
-    chance.all *= kMostRuns / (kMostRuns + 1);
+void WarmthModel::AddRun(RunCount& count, bool warm) {
+  if (count.total >= kMaxRuns) {
+    count.warm *= kMaxRuns / (kMaxRuns + 1);
+    count.total *= kMaxRuns / (kMaxRuns + 1);
   }
-  chance.quick += quick ? 1 : 0;
-  chance.all += 1;
+  count.warm += warm ? 1 : 0;
+  count.total += 1;
 }
 
-// Runs of keys that this host has sent before set the quick run time, however
-// long they take, if not all at once: a first guess that is too short would
-// else take every run for a slow one.
-bool WarmthModel::OnRun(const WarmthEvidence& sign, Duration run) {
-  const bool quick = IsWarmRun(run);
+// Runs of keys that this host has sent recently count towards the warm run time
+// even if they are long, capped at the cold threshold: otherwise an initial
+// estimate that is too short would classify every run as cold.
+bool WarmthModel::OnRun(const WarmthEvidence& evidence, Duration run) {
+  const bool warm = IsWarmRun(run);
   if (learns_) {
-    Count(ChanceOf(sign), quick);
+    AddRun(RunCountFor(evidence), warm);
   }
-  if (quick || sign.sent_recently) {
-    const auto longest = static_cast<Duration::rep>(
-        static_cast<double>(quick_.value().count()) * kSlowMultiple);
-    quick_.Add(std::min(run, Duration(longest)));
+  if (warm || evidence.sent_recently) {
+    const auto max_micros = static_cast<Duration::rep>(
+        static_cast<double>(warm_run_time_.value().count()) * kColdRunMultiple);
+    warm_run_time_.Add(std::min(run, Duration(max_micros)));
   } else {
-    slow_.Add(run);
+    cold_run_time_.Add(run);
   }
-  return quick;
+  return warm;
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/routing/warmth_test.cpp
+++ b/src/pathcleat/routing/warmth_test.cpp
@@ -11,8 +11,8 @@
 constexpr WarmthEvidence kFirst{false, 0};
 constexpr WarmthEvidence kThird{false, 2};
 
-// Checked to fail with Count taken out of OnRun.
-Test(warmth, chances_are_learned_by_rank) {
+// Fails without AddRun in OnRun.
+Test(warmth, probabilities_are_learned_by_rank) {
   WarmthModel warmth(kTarget);
   for (int i = 0; i < 100; ++i) {
     warmth.OnRun(kFirst, Duration(150'000));
@@ -20,16 +20,16 @@
   }
   cr_assert_gt(warmth.Probability(kFirst), 0.95);
   cr_assert_lt(warmth.Probability(kThird), 0.05);
-  // A changed fleet shows.
+  // A change in the fleet shows within 100 runs.
   for (int i = 0; i < 100; ++i) {
     warmth.OnRun(kFirst, Duration(480'000));
   }
   cr_assert_lt(warmth.Probability(kFirst), 0.4);
 }
 
-// Others' sends make an upstream quick at keys that this host never sent
-// there: such runs must not pass for slow ones.
-Test(warmth, quick_runs_of_others_keys_leave_the_slow_run_time) {
+// Requests of other hosts warm an upstream for keys that this host never sent
+// there. Guards against counting such runs as cold.
+Test(warmth, warm_runs_of_other_hosts_keys_leave_the_cold_run_time) {
   WarmthModel warmth(kTarget);
   for (int i = 0; i < 50; ++i) {
     warmth.OnRun(kSent, Duration(150'000));
@@ -41,8 +41,8 @@
   cr_assert_gt(warmth.RunTime(false).count(), 450'000);
 }
 
-Test(warmth, run_times_are_found_from_any_first_guess) {
-  cr_assert(Holds("the quick run time is found", [] {
+Test(warmth, run_times_converge_from_any_initial_estimate) {
+  cr_assert(Holds("the warm run time converges", [] {
     const auto run = Duration(*rc::gen::inRange(5'000, 3'000'000));
     WarmthModel warmth(kTarget);
     for (int i = 0; i < 400; ++i) {
@@ -54,7 +54,7 @@
   }));
 }
 
-Test(warmth, switched_off_the_first_guesses_stay) {
+Test(warmth, initial_probabilities_stay_without_learning) {
   WarmthModel warmth(kTarget, false);
   const double before = warmth.Probability(kFirst);
   for (int i = 0; i < 100; ++i) {
