--- a/include/pathcleat/store/fleet_change.hpp
+++ b/include/pathcleat/store/fleet_change.hpp
@@ -10,34 +10,35 @@
 
 namespace pathcleat {
 
-/// @brief An upstream's entry is gone.
+/// @brief An upstream's entry was removed from the list.
 /// @ingroup store
 struct UpstreamGone {
   std::string id;
 };
 
-/// @brief An operator wants nothing more sent to a failure domain, or again.
+/// @brief An operator drained a failure domain, or ended its drain.
 /// @ingroup store
 struct DomainDrain {
   std::string domain;
   bool drained = false;
 };
 
-/// @brief An operator wants no rollout of a service any more.
+/// @brief An operator withdrew the rollout of a service.
 /// @ingroup store
 struct RolloutWithdrawn {
   std::string service;
 };
 
-/// @brief A row that could not be understood. An operator's is passed over, so
-/// that what it said before stays; an upstream's names no upstream to use.
+/// @brief A row that could not be decoded. An operator's row is ignored, so
+/// that its previous value stays in force; the upstream of an upstream's row is
+/// not used.
 /// @ingroup store
 struct UnreadableRow {
   std::string key;
   std::string reason;
 };
 
-/// @brief One thing that the platform's service told.
+/// @brief One change reported by the platform's store.
 /// @ingroup store
 using FleetChange = std::variant<RoutingConfig,
                                  DomainDrain,
--- a/include/pathcleat/store/fleet_source.hpp
+++ b/include/pathcleat/store/fleet_source.hpp
@@ -14,7 +14,7 @@
 
 namespace pathcleat {
 
-/// @brief What a source tells of.
+/// @brief Topics that a source reports.
 /// @ingroup store
 enum class SourceTopic {
   kOrders,     ///< routing configuration and drains
@@ -32,41 +32,44 @@
 struct SourceAnswer {
   StoreOutcome outcome = StoreOutcome::kNotDone;
   std::vector<FleetChange> changes;
-  std::uint64_t version = 0;  ///< watch from here on
-  std::uint64_t newest_change_version =
-      0;                  ///< version of the newest change told, or 0
-  std::string next_page;  ///< for a read: the rest begins here, if any
-  bool is_full = false;   ///< to a watch: the changes are all there is
-  bool relayed = false;   ///< another host answered, not the store
-  bool removals_uncertain = false;  ///< what is gone may have lapsed by itself
-  Transfer transfer;                ///< how it came here
+  std::uint64_t version = 0;  ///< version from which to watch
+  /// Version of the newest change in the answer, or 0.
+  std::uint64_t newest_change_version = 0;
+  std::string next_page;  ///< of a read: start of the next page; empty: none
+  bool is_full = false;   ///< of a watch: `changes` is the complete state
+  bool relayed = false;   ///< answered by another host instead of the store
+  /// Missing entries may have expired instead of having been removed.
+  bool removals_uncertain = false;
+  Transfer transfer;  ///< size, origin and times of the answer
 };
 
-/// @brief Where a host learns the configuration, the drains and the list of
-/// upstreams. Calls are asynchronous; each callback comes once.
+/// @brief Source from which a host reads the configuration, the drains and the
+/// list of upstreams. Calls are asynchronous; each callback is called once.
 /// @ingroup store
 class FleetSource {
  public:
   using Callback = std::function<void(SourceAnswer)>;
   virtual ~FleetSource() = default;
 
-  /// @brief One page of everything there is.
-  /// @param from empty for the first page, else the last answer's next.
+  /// @brief Reads one page of the complete state of a topic.
+  /// @param from empty for the first page, else next_page of the last answer.
   virtual void Read(SourceTopic topic,
                     const std::string& from,
                     Callback callback) = 0;
 
-  /// @brief What has changed after a version, as soon as anything has.
+  /// @brief Waits for changes after a version and reports them at once.
+  /// @param wait time after which the watch is answered without changes.
   virtual void Watch(SourceTopic topic,
                      std::uint64_t after,
                      Duration wait,
                      Callback callback) = 0;
 
-  /// @brief Gives the watch of a topic up, if one is under way and can be: its
-  /// callback does not come, and no more of its answer is taken.
+  /// @brief Cancels the watch of a topic, if one is in flight and the source
+  /// supports it: its callback is not called, and the rest of its answer is
+  /// discarded.
   virtual void StopWatch(SourceTopic /*topic*/) {}
 
-  /// @brief When bytes of a watch's answer last came, if any have.
+  /// @brief When bytes of a watch's answer were last received; empty if never.
   virtual std::optional<Time> WatchLastReceived(SourceTopic /*topic*/) const {
     return std::nullopt;
   }
--- a/include/pathcleat/store/read_row.hpp
+++ b/include/pathcleat/store/read_row.hpp
@@ -8,14 +8,14 @@
 
 namespace pathcleat {
 
-/// @brief Answer to reading one row; its version is 0 if there is none.
+/// @brief Answer to a read of one row; row.version is 0 if there is no row.
 /// @ingroup store
 struct RowReadResult {
   StoreOutcome outcome = StoreOutcome::kNotDone;
   TableRow row;
 };
 
-/// @brief Reads one row.
+/// @brief Reads one row; `callback` is called once.
 /// @ingroup store
 void ReadRow(TableStore& store,
              const std::string& key,
--- a/include/pathcleat/store/rollout_status.hpp
+++ b/include/pathcleat/store/rollout_status.hpp
@@ -10,30 +10,30 @@
 
 namespace pathcleat {
 
-/// @brief What operators are told of a service's rollout.
+/// @brief State of a service's rollout, as reported to operators.
 /// @ingroup store
 enum class RolloutOutcome { kRunning, kCompleted, kRolledBack };
 
-/// @brief A service's status as it is to stand in the store.
+/// @brief Rollout status of a service, as stored.
 /// @ingroup store
 struct RolloutStatus {
   std::string service;
-  std::string version;  ///< that the order asks for
+  std::string version;  ///< requested by the rollout order
   RolloutOutcome outcome = RolloutOutcome::kRunning;
 
   bool operator==(const RolloutStatus&) const = default;
 };
 
-/// @brief What stands there; its version is 0 if there is nothing.
+/// @brief Answer to a read of a status; version is 0 if there is no row.
 /// @ingroup store
 struct RolloutStatusReadResult {
   StoreOutcome outcome = StoreOutcome::kNotDone;
   std::uint64_t version = 0;  ///< of the row
-  RolloutStatus status;       ///< without a service: not readable
+  RolloutStatus status;       ///< empty service: the row could not be decoded
 };
 
-/// @brief Where operators read what became of their rollouts. Calls are
-/// asynchronous; each callback comes once.
+/// @brief Stores the rollout statuses that operators read. Calls are
+/// asynchronous; each callback is called once.
 /// @ingroup store
 class RolloutStatusStore {
  public:
@@ -42,7 +42,7 @@
   virtual void Read(const std::string& service,
                     std::function<void(RolloutStatusReadResult)> callback) = 0;
 
-  /// @brief Writes if the row is at the expected version (0: is not there).
+  /// @brief Writes if the row has the expected version (0: there is no row).
   virtual void Write(const RolloutStatus& status,
                      std::uint64_t expected_version,
                      std::function<void(TableWriteResult)> callback) = 0;
--- a/include/pathcleat/store/store_call_stats.hpp
+++ b/include/pathcleat/store/store_call_stats.hpp
@@ -11,22 +11,23 @@
 
 namespace pathcleat {
 
-/// @brief What a host's calls to the platform's store came to.
+/// @brief Statistics of a host's calls to the platform's store.
 /// @ingroup store
 struct StoreCallStats {
-  /// Calls by what was called and how they ended.
+  /// Number of calls by verb and outcome.
   std::map<std::pair<std::string, StoreOutcome>, std::uint64_t> calls;
-  Histogram latency;  ///< of calls that do not wait for changes
-  std::uint64_t silent_connections = 0;  ///< given up, as nothing came
+  Histogram latency;                     ///< of calls other than watches
+  std::uint64_t silent_connections = 0;  ///< closed as no bytes arrived
 
-  /// @param waits whether the call waits for a change.
+  /// @brief Counts a completed call.
+  /// @param is_watch whether the call waits for changes.
   void Record(const std::string& verb,
               StoreOutcome outcome,
-              Duration took,
-              bool waits) {
+              Duration duration,
+              bool is_watch) {
     ++calls[{verb, outcome}];
-    if (!waits) {
-      latency.Add(took);
+    if (!is_watch) {
+      latency.Add(duration);
     }
   }
 };
--- a/include/pathcleat/store/table_store.hpp
+++ b/include/pathcleat/store/table_store.hpp
@@ -14,16 +14,16 @@
 /// @ingroup store
 struct TableRow {
   std::string key;
-  std::uint64_t version = 0;  ///< 0: there is no such row
+  std::uint64_t version = 0;  ///< 0: there is no row
   std::string value;
 };
 
-/// @brief Answer to a scan; rows in order of their keys.
+/// @brief Answer to a scan; rows are sorted by key.
 /// @ingroup store
 struct TableScanResult {
   StoreOutcome outcome = StoreOutcome::kNotDone;
   std::vector<TableRow> rows;
-  bool has_more = false;  ///< the rest follows the last row
+  bool has_more = false;  ///< more rows follow the last one
 };
 
 /// @brief Answer to a write.
@@ -33,32 +33,32 @@
   std::uint64_t version = 0;  ///< of the row, for kDone
 };
 
-/// @brief The platform's transactional table service, as this project needs
-/// it: rows with versions, written on condition. Calls are asynchronous; each
-/// callback comes once, in the calling thread.
+/// @brief The platform's transactional table service, reduced to the operations
+/// in use: rows with versions and conditional writes. Calls are asynchronous;
+/// each callback is called once, in the calling thread.
 /// @ingroup store
 class TableStore {
  public:
   virtual ~TableStore() = default;
 
-  /// @brief Rows whose keys are at least from, and less than until.
+  /// @brief Reads up to `max_rows` rows with keys in [from, until).
   virtual void Scan(const std::string& from,
                     const std::string& until,
-                    int most,
+                    int max_rows,
                     std::function<void(TableScanResult)> callback) = 0;
 
-  /// @brief Writes if the row is at the expected version (0: is not there).
+  /// @brief Writes if the row has the expected version (0: there is no row).
   virtual void Write(const std::string& key,
                      std::uint64_t expected_version,
                      const std::string& value,
                      std::function<void(TableWriteResult)> callback) = 0;
 
-  /// @brief Writes whatever is there.
+  /// @brief Writes without a condition on the version.
   virtual void Overwrite(const std::string& key,
                          const std::string& value,
                          std::function<void(TableWriteResult)> callback) = 0;
 
-  /// @brief Deletes if the row is at the expected version.
+  /// @brief Deletes if the row has the expected version.
   virtual void Delete(const std::string& key,
                       std::uint64_t expected_version,
                       std::function<void(TableWriteResult)> callback) = 0;
--- a/src/pathcleat/store/read_row.cpp
+++ b/src/pathcleat/store/read_row.cpp
@@ -9,16 +9,16 @@
              const std::string& key,
              std::function<void(RowReadResult)> callback) {
   constexpr int kOneRow = 1;
-  const std::string after = key + '\1';
+  const std::string next_key = key + '\1';
   store.Scan(
-      key, after, kOneRow,
+      key, next_key, kOneRow,
       [key, callback = std::move(callback)](const TableScanResult& scan) {
-        RowReadResult read;
-        read.outcome = scan.outcome;
+        RowReadResult result;
+        result.outcome = scan.outcome;
         if (!scan.rows.empty() && scan.rows.front().key == key) {
-          read.row = scan.rows.front();
+          result.row = scan.rows.front();
         }
-        callback(read);
+        callback(result);
       });
 }
 
