--- a/include/pathcleat/routing/upstream_limit.hpp
+++ b/include/pathcleat/routing/upstream_limit.hpp
@@ -14,9 +14,11 @@
 /// @ingroup routing
 struct LimitObservation {
   std::optional<double> per_second;  ///< empty: the answer stated no limit
-  Time observed_at;                  ///< when this was certain to hold
-  std::string host;                  ///< that received the answer
-  std::string domain;                ///< failure domain of that host
+  /// When this held for certain: the receipt of an answer with a limit, or the
+  /// sending of a request whose answer stated none.
+  Time observed_at;
+  std::string host;    ///< that received the answer
+  std::string domain;  ///< failure domain of that host
 };
 
 /// @brief Effect of a LimitObservation on the limit in force.
--- a/include/pathcleat/routing/upstream_table.hpp
+++ b/include/pathcleat/routing/upstream_table.hpp
@@ -99,7 +99,7 @@
   std::vector<UpstreamPtr> maybe_rate_bounded_;
   std::set<std::string> lapsed_ids_;  ///< ids of upstreams with lapsed entries
   std::uint64_t revision_ = 0;
-  std::set<std::string> drained_domains_;  ///< failure domains
+  std::set<std::string> drained_domains_;
   std::set<std::string> drained_upstreams_;
   std::set<std::string> drained_regions_;
 };
--- a/src/pathcleat/routing/upstream_picker_test.cpp
+++ b/src/pathcleat/routing/upstream_picker_test.cpp
@@ -23,7 +23,9 @@
 }
 
 // Guards against keys that spread over all upstreams under overload: they are
-// cold everywhere, which adds to the load. Fails without KeepNearestToKey.
+// cold everywhere, which adds to the load. Fails with RankByKey in place of
+// KeepNearestToKey if TryAdmit is left out too; with it, requests are refused
+// before the key spreads.
 Test(upstream_picker, key_stays_with_few_upstreams_under_any_load) {
   PickerFixture fixture;
   std::set<std::string> used;
@@ -79,9 +81,9 @@
       upstream->load.OnEnded();
     }
   }
-  const Pick again = fixture.Choose(7);
-  cr_assert(again.upstream != nullptr);
-  cr_assert_gt(again.expected_wait.count(), 0);
+  const Pick retry = fixture.Choose(7);
+  cr_assert(retry.upstream != nullptr);
+  cr_assert_gt(retry.expected_wait.count(), 0);
 }
 
 // Guards against one caller's very long deadline that makes all later requests
@@ -119,20 +121,20 @@
   };
   PickRequest first = fixture.Request(7);
   first.caller_timeout = Duration(3'000'000);
-  const PickRequest again = fixture.Request(7);
+  const PickRequest retry = fixture.Request(7);
   fill(1);
   cr_assert(fixture.picker().Choose(first, kStart).upstream == nullptr);
-  cr_assert(fixture.picker().Choose(again, kStart).failure ==
+  cr_assert(fixture.picker().Choose(retry, kStart).failure ==
             PickFailure::kOverloaded);
   // This host's own retry of a request at another upstream is still sent.
-  PickRequest retry_elsewhere = again;
+  PickRequest retry_elsewhere = retry;
   retry_elsewhere.excluded.insert("none of these");
   cr_assert(fixture.picker().Choose(retry_elsewhere, kStart).upstream !=
             nullptr);
   fill(-1);
-  cr_assert(fixture.picker().Choose(again, kStart).upstream != nullptr);
+  cr_assert(fixture.picker().Choose(retry, kStart).upstream != nullptr);
   fill(1);
-  cr_assert(fixture.picker().Choose(again, kStart).upstream == nullptr);
+  cr_assert(fixture.picker().Choose(retry, kStart).upstream == nullptr);
 }
 
 Test(upstream_picker, allowed_regions_and_drains_are_respected) {
