--- a/include/pathcleat/fleet/domain_report.hpp
+++ b/include/pathcleat/fleet/domain_report.hpp
@@ -14,38 +14,41 @@
 
 namespace pathcleat {
 
-/// @brief Names one incarnation of a host in few bytes.
+/// @brief A hash of a host's name and incarnation: identifies one incarnation
+/// of a host in 8 bytes.
 /// @ingroup fleet
 std::uint64_t IncarnationId(const HostInfo& host);
 
-/// @brief That a host was heard.
+/// @brief A statement by one failure domain that it received a heartbeat of one
+/// of its hosts.
 /// @ingroup fleet
 struct MemberObservation {
   std::uint64_t id = 0;      ///< IncarnationId
-  std::uint16_t age_ms = 0;  ///< since its last heartbeat; 32,767 at most
+  std::uint16_t age_ms = 0;  ///< of its last heartbeat; at most 32,767
   bool leaving = false;
 
-  // The age and the flag share two bytes: each byte is told to each host.
+  // The age and the flag share two bytes, as every byte of an observation is
+  // sent to every host of the fleet.
   template <class Archive>
   void save(Archive& archive) const {  // NOLINT: named by cereal
-    const unsigned flag = leaving ? kLeaving : 0U;
-    archive(id, static_cast<std::uint16_t>((age_ms & kMostAge) | flag));
+    const unsigned flag = leaving ? kLeavingFlag : 0U;
+    archive(id, static_cast<std::uint16_t>((age_ms & kMaxAgeMs) | flag));
   }
   template <class Archive>
   void load(Archive& archive) {  // NOLINT: named by cereal
     std::uint16_t age_and_flag = 0;
     archive(id, age_and_flag);
-    age_ms = age_and_flag & kMostAge;
-    leaving = (age_and_flag & kLeaving) != 0;
+    age_ms = age_and_flag & kMaxAgeMs;
+    leaving = (age_and_flag & kLeavingFlag) != 0;
   }
 
  private:
-  static constexpr unsigned kLeaving = 0x8000;
-  static constexpr unsigned kMostAge = 0x7fff;
+  static constexpr unsigned kLeavingFlag = 0x8000;
+  static constexpr unsigned kMaxAgeMs = 0x7fff;
 };
 
-/// @brief Hosts that have come equally far. The age of their configuration is
-/// that of the one that has had it longest.
+/// @brief Hosts of a failure domain that have the same versions in force.
+/// `versions.config_age_ms` is the largest configuration age among them.
 /// @ingroup fleet
 struct MemberGroup {
   HostVersions versions;
@@ -57,18 +60,19 @@
   }
 };
 
-/// @brief What one failure domain tells another of its hosts: who was heard
-/// and how long ago. A host that is not named is not said to be gone: it falls
-/// silent when nobody names it any more.
+/// @brief What one failure domain reports to another about its hosts: from
+/// which of them heartbeats arrived and how long ago. A host that is missing in
+/// a report is not declared dead: it times out once no report lists it any
+/// more.
 /// @ingroup fleet
 struct DomainReport {
-  std::string domain;  ///< whose hosts these are
+  std::string domain;  ///< domain of the reported hosts
   HybridTime time;
-  bool forward_to_domain = false;  ///< the receiver is to tell its own domain
+  bool forward_to_domain = false;  ///< receiver forwards it to its domain
   std::vector<MemberGroup> groups;
-  std::vector<HostInfo> host_infos;  ///< a few hosts in full
-  RolloutTallies
-      rollout_tallies;  ///< of all its hosts; in the round's first report
+  std::vector<HostInfo> host_infos;  ///< complete records of a few hosts
+  RolloutTallies rollout_tallies;  ///< of all hosts of the domain; in the first
+                                   ///< report of a round
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -77,11 +81,11 @@
   }
 };
 
-/// @brief A report's bytes (cereal, portable binary).
+/// @brief Encodes a report (cereal, portable binary).
 /// @ingroup fleet
 std::string EncodeDomainReport(const DomainReport& report);
 
-/// @brief Reads a report; nothing if the bytes are none.
+/// @brief Decodes a report; `std::nullopt` if the bytes are not a report.
 /// @ingroup fleet
 std::optional<DomainReport> DecodeDomainReport(std::string_view bytes);
 
--- a/include/pathcleat/fleet/domain_reporter.hpp
+++ b/include/pathcleat/fleet/domain_reporter.hpp
@@ -12,12 +12,14 @@
 
 namespace pathcleat {
 
-/// @brief Decides which hosts tell other failure domains about their own, what
-/// they tell and whom. In each domain the few living hosts that rank first do,
-/// so that what hosts exchange grows with the domains and not with the square
-/// of the hosts: heartbeats from each to each were 230 bytes a pair of hosts
-/// and second. Each report goes to one host of each other domain, which passes
-/// it on to its own. Not thread-safe.
+/// @brief Decides which hosts report on their own failure domain to the other
+/// domains, what the reports contain and who receives them.
+///
+/// In each domain the few highest-ranked living hosts report, so that traffic
+/// grows with the number of domains and not with the square of the number of
+/// hosts: heartbeats from every host to every other cost 230 bytes per second
+/// for each pair of hosts. Each report goes to one host of each other domain,
+/// which forwards it within its own domain. Not thread-safe.
 /// @ingroup fleet
 class DomainReporter {
  public:
@@ -25,32 +27,33 @@
   explicit DomainReporter(const HostTable& hosts, Time started)
       : hosts_(hosts), started_(started) {}
 
-  /// @brief Whether this host reports for its domain now. Two do, so that the
-  /// loss of one leaves no gap; more than two do for a moment where hosts
-  /// disagree on who lives, which does no harm.
+  /// @brief Whether this host reports for its domain now. Two hosts do, so
+  /// that the loss of one leaves no gap. For a moment more than two may report
+  /// while hosts disagree on which hosts are alive; receivers accept that.
   bool IsReporter(Time now) const;
 
-  /// @brief What this host knows of its domain, in reports that fit a datagram:
-  /// the next round.
-  /// @param versions how far this host itself has come.
+  /// @brief Starts the next round: what this host has on the hosts of its
+  /// domain, split into reports that each fit a datagram.
+  /// @param versions the versions that this host itself has in force.
   std::vector<DomainReport> MakeReports(const HostVersions& versions, Time now);
 
-  /// @brief Addresses of the hosts that get the round's reports: one of each
-  /// other domain, each time another one, so that a host that is cut off or
-  /// passes nothing on does no lasting harm.
+  /// @brief Peer addresses of the hosts that receive the reports of this
+  /// round: one host of each other domain. The choice changes from round to
+  /// round, so that a host that is cut off or does not forward reports keeps
+  /// them from its domain for that round only.
   std::vector<std::string> Receivers(Time now);
 
  private:
-  std::vector<HostInfo> Introduced(Time now);
-  std::vector<DomainReport> Introduce(const DomainReport& head,
-                                      DomainReport& beside,
-                                      Time now);
+  std::vector<HostInfo> ChooseHostInfos(Time now);
+  std::vector<DomainReport> AddHostInfos(const DomainReport& head,
+                                         DomainReport& with_members,
+                                         Time now);
 
   const HostTable& hosts_;
   Time started_;
   std::uint64_t round_ = 0;
-  std::size_t next_fresh_ = 0;  ///< turns of those that are new
-  std::size_t next_known_ = 0;  ///< and of the others
+  std::size_t next_new_ = 0;    ///< round-robin position among new hosts
+  std::size_t next_other_ = 0;  ///< round-robin position among the others
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/fleet/heartbeat.hpp
+++ b/include/pathcleat/fleet/heartbeat.hpp
@@ -13,14 +13,15 @@
 
 namespace pathcleat {
 
-/// @brief A host's regular sign of life.
+/// @brief The message that a host sends at regular intervals to show that it
+/// is alive.
 /// @ingroup fleet
 struct Heartbeat {
   HostInfo host;
   HybridTime time;
   HostVersions versions;
-  bool wants_reply = false;        ///< the receiver is to answer at once
-  RolloutTallies rollout_tallies;  ///< what this host saw of those under way
+  bool wants_reply = false;        ///< the receiver replies at once
+  RolloutTallies rollout_tallies;  ///< this host's figures on active rollouts
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -28,11 +29,12 @@
   }
 };
 
-/// @brief A heartbeat's bytes (cereal, portable binary).
+/// @brief Encodes a heartbeat (cereal, portable binary).
 /// @ingroup fleet
 std::string EncodeHeartbeat(const Heartbeat& heartbeat);
 
-/// @brief Reads a datagram; nothing if it is no heartbeat.
+/// @brief Decodes a heartbeat; `std::nullopt` if the bytes are not a
+/// heartbeat.
 /// @ingroup fleet
 std::optional<Heartbeat> DecodeHeartbeat(std::string_view bytes);
 
--- a/include/pathcleat/fleet/heartbeat_plan.hpp
+++ b/include/pathcleat/fleet/heartbeat_plan.hpp
@@ -10,42 +10,44 @@
 namespace pathcleat {
 
 /// @brief Decides which hosts of its failure domain a host sends its regular
-/// heartbeats to, so that what it sends does not grow with the domain.
+/// heartbeats to, so that its traffic does not grow with the domain.
 ///
-/// In a small domain that is each of them. In a large one it is the few that
-/// rank first: those that report for the domain (DomainReporter), and as many
-/// that would stand in for them. They tell the domain who lives. Where no such
-/// report has come for a round and a half, heartbeats go to all again, so that
-/// the loss of all reporters hides nobody. Not thread-safe.
+/// In a small domain all hosts receive them. In a large one only the few
+/// highest-ranked hosts do: the reporters of the domain (DomainReporter) and as
+/// many substitutes. The reporters send the rest of the domain the list of
+/// living hosts. If no such report has arrived for one and a half rounds,
+/// heartbeats go to all hosts again, so that living hosts stay visible after
+/// the loss of all reporters. Not thread-safe.
 /// @ingroup fleet
 class HeartbeatPlan {
  public:
   /// @param hosts must outlive this.
   explicit HeartbeatPlan(const HostTable& hosts) : hosts_(hosts) {}
 
-  /// @brief A report on the own failure domain has come, or this host makes
-  /// them itself.
-  void OnOwnDomainReport(Time now) { told_ = now; }
+  /// @brief Records that a report on the own failure domain has arrived, or
+  /// that this host sends these reports itself.
+  void OnOwnDomainReport(Time now) { own_domain_report_at_ = now; }
 
-  /// @brief Peer addresses for this round.
+  /// @brief Peer addresses of the hosts that receive this round's heartbeats.
   std::vector<std::string> Receivers(Time now) const;
 
-  /// @brief Peer addresses of the living hosts that a reporter tells of their
-  /// own domain: none in a small one.
+  /// @brief Peer addresses of the living hosts of the own domain to which a
+  /// reporter sends its reports on that domain; empty in a small domain, where
+  /// all hosts exchange heartbeats.
   std::vector<std::string> OwnReportReceivers(Time now) const;
 
-  /// @brief Peer addresses of all other hosts of the domain that are known.
+  /// @brief Peer addresses of all other hosts of the domain in the host table.
   std::vector<std::string> AllInDomain() const;
 
-  /// @brief Of these, of the ones that are alive.
+  /// @brief Peer addresses of the other hosts of the domain that are alive.
   std::vector<std::string> AliveInDomain(Time now) const;
 
  private:
   bool IsLarge(Time now) const;
-  std::vector<const KnownHost*> Domain() const;
+  std::vector<const KnownHost*> OtherHostsInDomain() const;
 
   const HostTable& hosts_;
-  Time told_;
+  Time own_domain_report_at_;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/fleet/host_info.hpp
+++ b/include/pathcleat/fleet/host_info.hpp
@@ -6,7 +6,8 @@
 
 namespace pathcleat {
 
-/// @brief What a host tells of itself.
+/// @brief A host's description of itself, sent to other hosts and stored in
+/// the host's row.
 /// @ingroup fleet
 struct HostInfo {
   std::string name;
@@ -16,7 +17,7 @@
   std::string caller_address;  ///< IP number and port
   std::string peer_address;    ///< IP number and port, UDP
   bool leaving = false;
-  double link_mbps = 0;  ///< what its link carries, Mbit/s
+  double link_mbps = 0;  ///< capacity of the host's link, Mbit/s
 
   template <class Archive>
   void serialize(Archive& archive) {
--- a/include/pathcleat/fleet/host_rank.hpp
+++ b/include/pathcleat/fleet/host_rank.hpp
@@ -8,14 +8,15 @@
 
 namespace pathcleat {
 
-/// @brief Whether a host ranks ahead of another one for work that serves many:
-/// the widest links first, then by a hash that all hosts reckon alike.
+/// @brief Whether host `a` ranks ahead of host `b` for work done on behalf of
+/// other hosts: by link capacity, then by a hash of the name, which every host
+/// computes with the same result.
 /// @ingroup fleet
 bool RanksAhead(const HostInfo& a, const HostInfo& b);
 
-/// @brief How many other hosts of a host's failure domain rank ahead of it and
-/// are not leaving.
-/// @param counts whether a host is to be counted.
+/// @brief Number of hosts in the table that are in the failure domain of
+/// `ranked`, rank ahead of it and are not leaving.
+/// @param counts predicate: whether to include a host.
 /// @ingroup fleet
 int CountHigherRanked(const HostTable& hosts,
                       const HostInfo& ranked,
--- a/include/pathcleat/fleet/host_table.hpp
+++ b/include/pathcleat/fleet/host_table.hpp
@@ -15,111 +15,118 @@
 
 namespace pathcleat {
 
-/// @brief Another host as this one knows it.
+/// @brief What this host has on another host.
 /// @ingroup fleet
 struct KnownHost {
   HostInfo info;
-  Time last_seen;    ///< its last sign of life, or when a row named it
-  Time alive_since;  ///< first sign of life of this incarnation
+  Time last_seen;    ///< last heartbeat, or when its record arrived
+  Time alive_since;  ///< first heartbeat or record of this incarnation
   bool alive_at_last_check = false;
-  bool has_heartbeat = false;  ///< false: known from the store's row alone
+  bool has_heartbeat = false;  ///< false: only its record came, no heartbeat
   HostVersions versions;
 };
 
-/// @brief The hosts of the fleet: known from the store and from heartbeats,
-/// alive by their heartbeats alone. Not thread-safe.
+/// @brief The hosts of the fleet. Hosts are listed from rows of the store and
+/// from heartbeats; only heartbeats make a host count as alive. Not
+/// thread-safe.
 /// @ingroup fleet
 class HostTable {
  public:
-  /// @param silence a host unheard for longer counts as dead.
-  explicit HostTable(HostInfo self, Duration silence);
+  /// @param heartbeat_timeout time without a heartbeat after which a host
+  /// counts as dead.
+  explicit HostTable(HostInfo self, Duration heartbeat_timeout);
 
   const HostInfo& self() const { return self_; }
   void SetLeaving() { self_.leaving = true; }
 
-  /// @brief This host runs at this moment. To be told a few times a second,
-  /// and before anything is decided by who lives. A machine that was suspended
-  /// or stood still has heard nobody meanwhile: that time is no silence of the
-  /// others.
+  /// @brief Detects that this host was stalled since the last call. Call this
+  /// a few times a second, and before any decision that depends on which hosts
+  /// are alive. A machine that was suspended or stalled received no heartbeats
+  /// meanwhile, so that time does not count towards the timeout of others.
   void CheckForStall(Time now);
 
-  /// @brief For how long this host stood still, if that was not asked since.
-  Duration TakeStallDuration() { return std::exchange(untold_still_, {}); }
+  /// @brief Duration of the last stall of this host, and resets it: zero if
+  /// there was no stall since the last call.
+  Duration TakeStallDuration() { return std::exchange(unreported_stall_, {}); }
 
-  /// @brief A row of the store names a host.
+  /// @brief Adds the host of a store row, or replaces an older incarnation.
   void OnStoreRow(const HostInfo& host, Time now);
 
-  /// @brief A host's own message arrived.
-  /// @return whether it was dead or unknown before.
+  /// @brief Records a heartbeat that the host itself sent.
+  /// @return whether the host was dead or not listed before.
   bool OnHeartbeat(const HostInfo& host,
                    const HostVersions& versions,
                    Time now);
 
-  /// @brief Another failure domain names one of its hosts in full. That alone
-  /// is no sign of life.
+  /// @brief Records a complete host record that another failure domain sent
+  /// about one of its hosts. The record alone does not make the host alive.
   void OnInfoReported(const HostInfo& host, Time now);
 
-  /// @brief Another failure domain tells of a host that it has heard. One that
-  /// was not introduced is passed over.
-  /// @return the host if it was dead or unheard before; else null.
+  /// @brief Records a heartbeat that another failure domain received from one
+  /// of its hosts. Ignored if this host has no record of that incarnation.
+  /// @return the host if it was dead or had no heartbeat before; else null.
   const KnownHost* OnMemberReported(const MemberObservation& member,
                                     const HostVersions& versions,
                                     Time now);
 
   bool IsAlive(const KnownHost& host, Time now) const;
 
-  /// @brief Whether a host counts where limits are shared among all hosts:
-  /// longer than it counts as alive, and also if only a row names it, as a host
-  /// that has just started has not heard all others yet. Who counts too few
-  /// takes more than its share.
+  /// @brief Whether a host is counted where limits are divided among all hosts.
+  /// It is counted for longer than it counts as alive, and also if only a store
+  /// row lists it, as a host that has just started has not received all
+  /// heartbeats yet. A host that counts too few others uses more than its share
+  /// of a limit.
   bool SharesLimits(const KnownHost& host, Time now) const;
 
-  /// @brief Names of the hosts that have fallen silent since the last call.
+  /// @brief Names of the hosts whose heartbeats timed out since the last call.
   std::vector<std::string> NewlySilent(Time now);
 
-  /// @brief Whether the last that was heard of a host is its planned stop.
+  /// @brief Whether a host's last message announced its planned stop.
   bool IsLeaving(const std::string& name) const;
 
-  /// @brief All other hosts that are known.
+  /// @brief All other hosts in the table, dead ones included.
   std::vector<const KnownHost*> Others() const;
 
-  /// @brief Hosts that share a region's limits, this one included; never less
-  /// than one, as the sharing divides by it.
+  /// @brief Number of hosts that share a region's limits, this host included
+  /// if it is in the region; at least one, as limits are divided by it.
   int LimitSharerCountIn(const std::string& region, Time now) const;
 
-  /// @brief Hosts that share, by region, this one included.
+  /// @brief Number of hosts that share limits, by region, this host included.
   std::map<std::string, int> LimitSharerCountsByRegion(Time now) const;
 
-  /// @brief Hosts that share, this one included.
+  /// @brief Number of hosts that share limits, this host included.
   int LimitSharerCount(Time now) const;
 
-  /// @brief Hosts alive now, this one included.
+  /// @brief Number of hosts alive now, this host included.
   int AliveCount(Time now) const;
 
-  /// @brief Whether another host that takes callers has this configuration, or
-  /// a newer one, in force.
+  /// @brief Whether another living host that accepts callers has this
+  /// configuration version, or a newer one, in force.
   bool OtherHasConfig(std::uint64_t version, Time now) const;
 
   /// @brief Addresses that a caller should use: hosts of its failure domain;
-  /// where those are fewer than wanted, its region's too; else any.
+  /// if these are fewer than two, also hosts of its region; if these are still
+  /// too few, also hosts of other regions.
+  /// @param most maximum number of addresses.
   std::vector<std::string> Locate(const std::string& region,
                                   const std::string& domain,
                                   std::size_t most,
                                   Time now) const;
 
  private:
-  Duration SilenceOf(const KnownHost& host, Time now) const;
-  void Keep(const KnownHost& host);
-  std::vector<HostInfo> Serving(Time now) const;
+  Duration TimeSinceSeen(const KnownHost& host, Time now) const;
+  void Store(const KnownHost& host);
+  std::vector<HostInfo> HostsAcceptingCallers(Time now) const;
 
   HostInfo self_;
-  Duration silence_;
-  Time awake_;        ///< when this host last ran, as far as was told
-  Time still_until_;  ///< end of its last standstill
-  Duration still_for_{0};
-  Duration untold_still_{0};
+  Duration heartbeat_timeout_;
+  Time last_check_;  ///< time of the last CheckForStall
+  Time stall_end_;   ///< end of the last stall of this host
+  Duration stall_duration_{0};
+  Duration unreported_stall_{0};
   std::map<std::string, KnownHost> others_;
-  std::map<std::uint64_t, std::string> names_;  ///< by IncarnationId
+  std::map<std::uint64_t, std::string>
+      names_by_incarnation_;  ///< IncarnationId
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/fleet/host_versions.hpp
+++ b/include/pathcleat/fleet/host_versions.hpp
@@ -7,7 +7,7 @@
 
 namespace pathcleat {
 
-/// @brief How far a host has come with what all hosts follow.
+/// @brief The versions of the fleet's shared data that a host has.
 /// @ingroup fleet
 struct HostVersions {
   std::uint64_t config = 0;     ///< routing configuration in force
@@ -15,7 +15,7 @@
   std::uint64_t orders = 0;     ///< newest change of the orders seen
   std::uint64_t upstreams = 0;  ///< newest change of the upstreams seen
   StoreAccess store_access = StoreAccess::kFollowingPeer;
-  std::uint32_t config_age_ms = 0;  ///< since that configuration came there
+  std::uint32_t config_age_ms = 0;  ///< since the host received that one
 
   template <class Archive>
   void serialize(Archive& archive) {
--- a/include/pathcleat/fleet/peer_datagram.hpp
+++ b/include/pathcleat/fleet/peer_datagram.hpp
@@ -8,31 +8,33 @@
 
 namespace pathcleat {
 
-/// @brief What a datagram between hosts holds, and in which form: a changed
-/// form gets a new number. The first byte under the seal.
+/// @brief Message type and format version of a datagram between hosts: a
+/// changed format gets a new number. It is the first byte of the authenticated
+/// payload.
 /// @ingroup fleet
 enum class DatagramKind : std::uint8_t {
   kHeartbeat = 0x21,
   kDomainReport = 0x22,
-  kUsage = 0x13,    ///< of client accounts' limits
-  kCrashes = 0x14,  ///< of requests that crash upstreams
-  kLimits = 0x15,   ///< that upstreams name in their answers
+  kUsage = 0x13,    ///< usage of client accounts' limits
+  kCrashes = 0x14,  ///< requests that crash upstreams
+  kLimits = 0x15,   ///< rate limits from upstreams' answers
 };
 
-/// @brief A datagram whose seal is this fleet's.
+/// @brief A datagram that carries a valid MAC of this fleet.
 /// @ingroup fleet
 struct Datagram {
-  DatagramKind kind;         ///< may be one that this version does not know
-  std::string_view message;  ///< part of the bytes that were opened
+  DatagramKind kind;         ///< may be a kind unknown to this version
+  std::string_view message;  ///< view into the bytes given to OpenDatagram
 };
 
-/// @brief The bytes to send.
+/// @brief Encodes a datagram: kind, message and a MAC with the fleet's key.
 /// @ingroup fleet
 std::string SealDatagram(DatagramKind kind,
                          const std::string& message,
                          const std::string& key);
 
-/// @brief Reads a datagram; nothing if it is not of this fleet.
+/// @brief Verifies and decodes a datagram; `std::nullopt` if the MAC is not
+/// valid for the key or the payload is empty.
 /// @ingroup fleet
 std::optional<Datagram> OpenDatagram(std::string_view bytes,
                                      const std::string& key);
--- a/include/pathcleat/fleet/peer_link.hpp
+++ b/include/pathcleat/fleet/peer_link.hpp
@@ -24,54 +24,59 @@
 
 namespace pathcleat {
 
-/// @brief Who decides what hosts tell each other beside signs of life.
+/// @brief The objects that decide what hosts send each other besides the
+/// state of hosts.
 /// @ingroup fleet
 struct PeerPublishers {
   UsagePublisher& usage;    ///< of client accounts, in messages of their own
-  TallyPublisher& tallies;  ///< of rollouts, in heartbeats and reports
-  CrashPublisher& crashes;  ///< of requests that crash upstreams, as usage
-  LimitPublisher& limits;   ///< that upstreams name, as usage
+  TallyPublisher& tallies;  ///< of rollouts, in heartbeats and domain reports
+  CrashPublisher& crashes;  ///< of upstreams by requests, in separate messages
+  LimitPublisher& limits;   ///< that upstreams report, in separate messages
 };
 
-/// @brief Sends this host's heartbeats to the others of its failure domain,
-/// takes theirs, and exchanges reports with the other domains.
+/// @brief Exchanges heartbeats with the other hosts of the failure domain and
+/// reports with the other domains.
 /// @ingroup fleet
 class PeerLink {
  public:
-  /// @param traffic where the bytes are counted.
-  /// @param versions tells how far this host has come.
-  /// @param on_versions told how far others have come, each time that they
-  /// are heard or reported, with the name of the host or failure domain.
+  /// @param traffic counts the bytes sent and received.
+  /// @param versions returns the versions that this host has.
+  /// @param on_versions called for each heartbeat and each group of a report,
+  /// with the name of the sending host or failure domain and the versions that
+  /// its hosts have.
   PeerLink(
       boost::asio::io_context& loop,
       HostTable& hosts,
       EventLog& events,
       PeerTraffic& traffic,
-      const PeerPublishers& tellers,
+      const PeerPublishers& publishers,
       std::function<HostVersions()> versions,
       std::function<void(const std::string&, const HostVersions&)> on_versions);
 
   Result<void> Open(const std::string& address, std::uint16_t port);
 
-  /// @brief The key that seals messages. Without it none is sent or taken.
+  /// @brief Sets the key that authenticates messages. Without a key no message
+  /// is sent or accepted.
   void SetKey(const std::string& key) { key_ = key; }
 
-  /// @brief Sends to the own domain now, asking for a reply, and to a host of
-  /// each other domain: after a start.
+  /// @brief Sends a heartbeat that requests a reply to all hosts of the own
+  /// domain and to one host of each other domain. Called after a start.
   void Announce();
 
-  /// @brief Sends to the own domain now: after a change that it should know.
-  /// Other domains are told by the next report.
+  /// @brief Sends a heartbeat to all hosts of the own domain at once, after a
+  /// change of this host's state. Other domains get the change with the next
+  /// report.
   void PublishHeartbeat();
 
-  /// @brief Tells now what this host takes of client accounts' limits, and, if
-  /// it reports for its domain, what the domain takes.
+  /// @brief Sends this host's usage of client accounts' limits to its domain
+  /// and, if this host reports for its domain, the domain's usage to the other
+  /// domains.
   void PublishUsage();
 
-  /// @brief Tells what has just become known of requests that crash upstreams.
+  /// @brief Sends new observations of requests that crash upstreams.
   void PublishCrashes();
 
-  /// @brief Tells what answers have told of late of upstreams' limits.
+  /// @brief Sends recent observations of upstreams' rate limits.
   void PublishLimits();
 
  private:
@@ -80,20 +85,22 @@
   void OnDatagram(std::size_t size);
   void OnHeartbeat(const Heartbeat& heartbeat);
   void OnDomainReport(const DomainReport& report);
-  void TakeMembers(const DomainReport& report, Time now);
-  void PassOn(DomainReport report);
-  void Beat(const std::vector<std::string>& receivers, bool wants_reply);
+  void ApplyMembers(const DomainReport& report, Time now);
+  void ForwardToDomain(DomainReport report);
+  void SendHeartbeats(const std::vector<std::string>& receivers,
+                      bool wants_reply);
   void SendReports();
-  void SendRound(const std::vector<DomainReport>& reports,
-                 const std::vector<std::string>& receivers);
+  void SendReportsTo(const std::vector<DomainReport>& reports,
+                     const std::vector<std::string>& receivers);
   std::string SealHeartbeat(bool wants_reply);
-  void SendSealed(const std::string& address, const std::string& heartbeat);
+  void SendSealedHeartbeat(const std::string& address,
+                           const std::string& heartbeat);
   void SendHeartbeat(const std::string& address, bool wants_reply);
   void SendReport(const std::string& address, const std::string& sealed);
   void OnUsageReport(const UsageReport& report);
   void SendOwnUsage(Time now);
   void SendDomainUsage(Time now);
-  void SendKnownUsage(const std::string& address);
+  void SendUsageSnapshot(const std::string& address);
   std::string SealUsage(UsageReport report);
   void SendUsage(const std::string& address, const std::string& sealed);
   void OnCrashReport(const CrashReport& report);
@@ -109,11 +116,11 @@
   HeartbeatPlan plan_;
   EventLog& events_;
   PeerTraffic& traffic_;
-  PeerPublishers tellers_;
+  PeerPublishers publishers_;
   std::function<HostVersions()> versions_;
   std::function<void(const std::string&, const HostVersions&)> on_versions_;
   std::string key_;
-  bool told_usage_ = false;  ///< the last report on accounts named some
+  bool last_usage_had_entries_ = false;  ///< the last usage report had entries
   boost::asio::ip::udp::socket socket_;
   boost::asio::steady_timer timer_;
   boost::asio::ip::udp::endpoint sender_;
--- a/include/pathcleat/fleet/peer_traffic.hpp
+++ b/include/pathcleat/fleet/peer_traffic.hpp
@@ -7,19 +7,19 @@
 
 namespace pathcleat {
 
-/// @brief What hosts send each other.
+/// @brief Kinds of messages between hosts, for counting.
 /// @ingroup fleet
 enum class PeerMessageKind : std::uint8_t {
   kHeartbeat,
-  kDomainReport,  ///< of a failure domain
-  kUsage,         ///< of client accounts' limits
-  kCrashes,       ///< of requests that crash upstreams
-  kLimits,        ///< that upstreams name in their answers
+  kDomainReport,  ///< on the hosts of a failure domain
+  kUsage,         ///< usage of client accounts' limits
+  kCrashes,       ///< requests that crash upstreams
+  kLimits,        ///< rate limits from upstreams' answers
   kOrders,
   kUpstreams,
 };
 
-/// @brief All kinds, in the order of their numbers.
+/// @brief All kinds, in the order of their values.
 /// @ingroup fleet
 constexpr std::array kPeerMessageKinds = {
     PeerMessageKind::kHeartbeat, PeerMessageKind::kDomainReport,
@@ -27,13 +27,13 @@
     PeerMessageKind::kLimits,    PeerMessageKind::kOrders,
     PeerMessageKind::kUpstreams};
 
-/// @brief A kind's name on the page of figures.
+/// @brief A kind's name on the metrics page.
 /// @ingroup fleet
 const char* ToString(PeerMessageKind kind);
 
-/// @brief Bytes that this host has exchanged with other hosts, by kind, and
-/// the transfers under way. Headers of HTTP, TCP and IP are not counted. Not
-/// thread-safe.
+/// @brief Counts the bytes that this host has exchanged with other hosts, by
+/// message kind, and the fetches in flight. Headers of HTTP, TCP and IP are not
+/// counted. Not thread-safe.
 /// @ingroup fleet
 class PeerTraffic {
  public:
@@ -44,20 +44,23 @@
     received_.at(static_cast<std::size_t>(kind)) += bytes;
   }
 
-  /// @brief Another host was asked; OnEnded follows.
-  void OnFetchStarted() { ++asked_; }
-  void OnFetchEnded(bool failed_fetches) {
-    --asked_;
-    given_up_ += failed_fetches ? 1 : 0;
+  /// @brief Counts the start of a fetch from another host; OnFetchEnded must
+  /// follow.
+  void OnFetchStarted() { ++fetches_in_flight_; }
+  void OnFetchEnded(bool failed) {
+    --fetches_in_flight_;
+    failed_fetches_ += failed ? 1 : 0;
   }
 
-  /// @brief A connection to another host was given up: open, but nothing came.
-  void OnSilentConnection() { ++silent_; }
-  std::uint64_t silent_connections() const { return silent_; }
+  /// @brief Counts a connection to another host that was given up because it
+  /// was open but nothing arrived on it.
+  void OnSilentConnection() { ++silent_connections_; }
+  std::uint64_t silent_connections() const { return silent_connections_; }
 
-  /// @brief A host of this fleet sent a datagram of a form not known here.
-  void OnUnknownFormat() { ++unknown_forms_; }
-  std::uint64_t unknown_formats() const { return unknown_forms_; }
+  /// @brief Counts an authentic datagram whose format is unknown to this
+  /// version.
+  void OnUnknownFormat() { ++unknown_formats_; }
+  std::uint64_t unknown_formats() const { return unknown_formats_; }
 
   std::uint64_t bytes_sent(PeerMessageKind kind) const {
     return sent_.at(static_cast<std::size_t>(kind));
@@ -66,21 +69,21 @@
     return received_.at(static_cast<std::size_t>(kind));
   }
 
-  /// @brief Questions to other hosts that are not answered yet.
-  int fetches_in_flight() const { return asked_; }
+  /// @brief Number of fetches that have not ended yet.
+  int fetches_in_flight() const { return fetches_in_flight_; }
 
-  /// @brief Questions that ended without an answer that could be used.
-  std::uint64_t failed_fetches() const { return given_up_; }
+  /// @brief Number of fetches that ended without a usable answer.
+  std::uint64_t failed_fetches() const { return failed_fetches_; }
 
  private:
   using Counts = std::array<std::uint64_t, kPeerMessageKinds.size()>;
 
   Counts sent_{};
   Counts received_{};
-  int asked_ = 0;
-  std::uint64_t given_up_ = 0;
-  std::uint64_t silent_ = 0;
-  std::uint64_t unknown_forms_ = 0;
+  int fetches_in_flight_ = 0;
+  std::uint64_t failed_fetches_ = 0;
+  std::uint64_t silent_connections_ = 0;
+  std::uint64_t unknown_formats_ = 0;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/fleet/relay_choice.hpp
+++ b/include/pathcleat/fleet/relay_choice.hpp
@@ -9,41 +9,45 @@
 
 namespace pathcleat {
 
-/// @brief What decides whom a host asks for changes, beside the other hosts.
+/// @brief Criteria, besides the host table, for the choice of the source from
+/// which a host gets changes.
 /// @ingroup fleet
 struct RelayCriteria {
-  int domain_count = 1;       ///< failure domains of the fleet
-  bool store_failed = false;  ///< the store has not answered this host
-  std::set<std::string> avoided_peers;  ///< peer addresses that have failed it
+  int domain_count = 1;                 ///< failure domains of the fleet
+  bool store_failed = false;            ///< the store did not answer this host
+  std::set<std::string> avoided_peers;  ///< addresses of peers that failed
 };
 
-/// @brief What decides whether a host reads a table of the store whole.
+/// @brief Criteria, besides the host table, for whether a host reads a whole
+/// table from the store.
 /// @ingroup fleet
 struct StoreReadCriteria {
   int domain_count = 1;  ///< failure domains of the fleet
-  Duration waited{0};    ///< for another host of its domain to have read it
+  Duration waited{0};    ///< for a host of its domain to read the table
 };
 
-/// @brief Whether a host should read a table whole from the store now. Where
-/// hundreds of hosts start at one moment, all of them would: at 986 hosts and
-/// 10,002 upstreams that is 3 GB. So in each failure domain the few that rank
-/// first do, by the hosts that are alive or that rows have just named; the
-/// others take what these know, and if that does not come, go to the store by
-/// turns.
+/// @brief Whether this host should read a whole table from the store now.
+///
+/// If hundreds of hosts started at one moment and each read the table, the
+/// store would send 3 GB for 986 hosts and 10,002 upstreams. So in each failure
+/// domain only the few highest-ranked hosts read the table, ranked among the
+/// hosts that are alive or were just listed by store rows. The other hosts get
+/// its contents from these, and if none arrive in time, they read the store
+/// too, a few hosts per second.
 /// @ingroup fleet
 bool ShouldReadStore(const HostTable& hosts,
-                     const StoreReadCriteria& need,
+                     const StoreReadCriteria& criteria,
                      Time now);
 
-/// @brief Whom a host asks for changes of the store's tables.
+/// @brief The source from which a host gets changes of the store's tables.
 /// @ingroup fleet
 enum class RelayKind {
   kStore,  ///< the store itself
   kPeer,   ///< a host that watches the store
-  kNone,   ///< nobody for a while: others of its domain try the store first
+  kNone,   ///< none for now: other hosts of its domain try the store first
 };
 
-/// @brief The choice; address and name are given for kPeer.
+/// @brief The chosen source; address and name are set for kPeer only.
 /// @ingroup fleet
 struct RelayChoice {
   RelayKind kind = RelayKind::kStore;
@@ -51,14 +55,15 @@
   std::string peer_name;
 };
 
-/// @brief Chooses whom to ask. In each failure domain the few living hosts
-/// that rank first watch the store, so that its calls grow with the domains
-/// and not with the hosts; the others follow one of them. A host that the
-/// store does not answer follows any host that it does answer, near ones
-/// first.
+/// @brief Chooses the source from which this host gets changes.
+///
+/// In each failure domain the few highest-ranked living hosts watch the store,
+/// so that calls to the store grow with the number of domains and not of hosts;
+/// the other hosts follow one of them. A host that gets no answer from the
+/// store follows any host that does, near hosts first.
 /// @ingroup fleet
 RelayChoice ChooseRelay(const HostTable& hosts,
-                        const RelayCriteria& need,
+                        const RelayCriteria& criteria,
                         Time now);
 
 }  // namespace pathcleat
--- a/include/pathcleat/fleet/store_access.hpp
+++ b/include/pathcleat/fleet/store_access.hpp
@@ -5,12 +5,12 @@
 
 namespace pathcleat {
 
-/// @brief How a host learns what changes in the store.
+/// @brief How a host receives changes of the store's tables.
 /// @ingroup fleet
 enum class StoreAccess : std::uint8_t {
   kFollowingPeer,  ///< from another host
-  kWatching,       ///< from the store itself, which answers
-  kFailing,        ///< it has asked the store of late and got no answer
+  kWatching,       ///< from the store, which answers
+  kFailing,        ///< a recent call to the store got no answer
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/fleet/up_to_date_host.hpp
+++ b/include/pathcleat/fleet/up_to_date_host.hpp
@@ -9,16 +9,17 @@
 
 namespace pathcleat {
 
-/// @brief Whom a host asks for what it lacks, of all living hosts that know
-/// it: the nearest, of these the one with the widest link.
-/// @param knows whether a host that has come so far knows it.
-/// @param salt spreads the choice among equals, also from one question to the
-/// next, so that a host that does not answer is not asked for ever.
-/// @return null if none knows it.
+/// @brief Chooses the host from which this host fetches missing data, among all
+/// living hosts that have the data: the nearest host, and among equally near
+/// ones the host with the widest link.
+/// @param has_data predicate: whether a host with these versions has the data.
+/// @param salt spreads the choice among equal hosts. Use another salt for each
+/// fetch, so that a host that does not answer is not chosen every time.
+/// @return null if no living host has the data.
 /// @ingroup fleet
 const KnownHost* ChooseUpToDateHost(
     const HostTable& hosts,
-    const std::function<bool(const HostVersions&)>& knows,
+    const std::function<bool(const HostVersions&)>& has_data,
     std::uint64_t salt,
     Time now);
 
--- a/src/pathcleat/fleet/domain_reporter.cpp
+++ b/src/pathcleat/fleet/domain_reporter.cpp
@@ -11,32 +11,34 @@
 namespace pathcleat {
 namespace {
 
-constexpr int kReporters = 2;
-// A reporter that missed two heartbeats (0.5 s apart) is stood in for: other
-// domains hear of this one again before its hosts count as silent there, 2.5 s
-// after they were heard last.
-constexpr Duration kReporterSilence{1'100'000};
-// So many hosts fit a datagram of 1,472 bytes, at 10 bytes each, with three
-// groups of 45; more groups are rare, and cost a second packet.
-constexpr std::size_t kMostMembers = 125;
-// With so many hosts at most there is room for three introductions of 150
-// bytes.
-constexpr std::size_t kMembersBeside = 52;
-constexpr std::size_t kIntroducedBeside = 3;
-// In a datagram without members.
-constexpr std::size_t kIntroducedAlone = 6;
-// In one round. A domain of 33 hosts that start at one moment, each of which
-// has read the rows of few others, is introduced in two rounds of a reporter;
-// 295 hosts that started so knew each other within 3 s.
-constexpr std::size_t kMostIntroduced = 21;
-// A new host is introduced for this long, so that a lost datagram or two do
-// not hide it.
-constexpr Duration kNewFor{3'000'000};
-// Beside new ones one host is introduced every so many rounds, by turns, to
-// those who have missed it: a domain of 33 hosts once in 66 s by each reporter.
-constexpr std::uint64_t kIntroductionRounds = 4;
-
-// What two hosts must share to be named in one group.
+constexpr int kReporterCount = 2;
+// A reporter that missed two heartbeats (0.5 s apart) is replaced. Other
+// domains then get reports on this domain again before its hosts time out
+// there, 2.5 s after their last heartbeat.
+constexpr Duration kReporterTimeout{1'100'000};
+// At 10 bytes a host and 45 bytes a group, this many hosts in three groups fit
+// a datagram of 1,472 bytes. More groups are rare and cost a second packet.
+constexpr std::size_t kMaxMembersPerReport = 125;
+// Up to this many members leave space for three host records of 150 bytes in
+// the same datagram.
+constexpr std::size_t kMaxMembersWithHostInfos = 52;
+constexpr std::size_t kMaxHostInfosWithMembers = 3;
+// Host records in a datagram without members.
+constexpr std::size_t kMaxHostInfosAlone = 6;
+// New hosts whose records are sent in one round. If 33 hosts of a domain start
+// at the same moment and each has read the rows of few others, a reporter sends
+// all their records in two rounds; 295 hosts that started so had all records
+// within 3 s.
+constexpr std::size_t kMaxNewHostInfosPerRound = 21;
+// For this long after its start the record of a new host is sent repeatedly, so
+// that other domains get it even if one or two datagrams are lost.
+constexpr Duration kNewHostWindow{3'000'000};
+// Every so many rounds the record of one host that is not new is sent too, in
+// turn, for hosts that missed it before: each reporter covers a domain of 33
+// hosts once in 66 s.
+constexpr std::uint64_t kRoundsPerOtherHostInfo = 4;
+
+// The versions that must be equal for two hosts to be in one group.
 using GroupKey = std::tuple<std::uint64_t,
                             std::uint64_t,
                             std::uint64_t,
@@ -53,16 +55,16 @@
       std::chrono::duration_cast<std::chrono::milliseconds>(duration).count());
 }
 
-// Puts hosts into reports and, there, into groups.
+// Distributes hosts over reports and, within a report, over groups.
 class ReportPacker {
  public:
   explicit ReportPacker(DomainReport head) : head_(std::move(head)) {}
 
   void Add(const MemberObservation& member, const HostVersions& versions) {
-    if (reports_.empty() || named_ == kMostMembers) {
-      Begin();
+    if (reports_.empty() || member_count_ == kMaxMembersPerReport) {
+      StartReport();
     }
-    ++named_;
+    ++member_count_;
     const auto [place, added] =
         groups_.try_emplace(KeyOf(versions), reports_.back().groups.size());
     if (added) {
@@ -77,33 +79,35 @@
   std::vector<DomainReport> Take() { return std::move(reports_); }
 
  private:
-  void Begin() {
+  void StartReport() {
     reports_.push_back(head_);
     groups_.clear();
-    named_ = 0;
+    member_count_ = 0;
   }
 
   DomainReport head_;
   std::vector<DomainReport> reports_;
-  std::map<GroupKey, std::size_t> groups_;  ///< places in the last report
-  std::size_t named_ = 0;                   ///< hosts in the last report
+  std::map<GroupKey, std::size_t> groups_;  ///< index in the last report
+  std::size_t member_count_ = 0;            ///< hosts in the last report
 };
 
 }  // namespace
 
 bool DomainReporter::IsReporter(Time now) const {
-  const auto heard_of_late = [now](const KnownHost& host) {
-    return host.has_heartbeat && now - host.last_seen <= kReporterSilence;
+  const auto has_recent_heartbeat = [now](const KnownHost& host) {
+    return host.has_heartbeat && now - host.last_seen <= kReporterTimeout;
   };
-  return CountHigherRanked(hosts_, hosts_.self(), heard_of_late) < kReporters;
+  return CountHigherRanked(hosts_, hosts_.self(), has_recent_heartbeat) <
+         kReporterCount;
 }
 
-// New hosts, and now and then another one, both by turns.
-std::vector<HostInfo> DomainReporter::Introduced(Time now) {
-  std::vector<HostInfo> fresh;
-  std::vector<HostInfo> known;
+// Chooses the hosts whose records are sent in this round: new hosts in turn
+// and, every few rounds, one other host in turn.
+std::vector<HostInfo> DomainReporter::ChooseHostInfos(Time now) {
+  std::vector<HostInfo> new_hosts;
+  std::vector<HostInfo> other_hosts;
   const auto place = [&](const HostInfo& host, Time since) {
-    (now - since <= kNewFor ? fresh : known).push_back(host);
+    (now - since <= kNewHostWindow ? new_hosts : other_hosts).push_back(host);
   };
   place(hosts_.self(), started_);
   for (const KnownHost* host : hosts_.Others()) {
@@ -112,38 +116,43 @@
       place(host->info, host->alive_since);
     }
   }
-  std::vector<HostInfo> introduced;
-  const std::size_t count = std::min(fresh.size(), kMostIntroduced);
+  std::vector<HostInfo> chosen_hosts;
+  const std::size_t count =
+      std::min(new_hosts.size(), kMaxNewHostInfosPerRound);
   for (std::size_t i = 0; i < count; ++i) {
-    introduced.push_back(fresh[next_fresh_++ % fresh.size()]);
+    chosen_hosts.push_back(new_hosts[next_new_++ % new_hosts.size()]);
   }
-  if (round_ % kIntroductionRounds == 0 && !known.empty()) {
-    introduced.push_back(known[next_known_++ % known.size()]);
+  if (round_ % kRoundsPerOtherHostInfo == 0 && !other_hosts.empty()) {
+    chosen_hosts.push_back(other_hosts[next_other_++ % other_hosts.size()]);
   }
-  return introduced;
+  return chosen_hosts;
 }
 
-// Introductions come first: a host that is not known is passed over.
-std::vector<DomainReport> DomainReporter::Introduce(const DomainReport& head,
-                                                    DomainReport& beside,
-                                                    Time now) {
-  std::vector<DomainReport> alone;
+// Adds host records to the report with members while they fit, and returns
+// reports for the rest. These are sent first, as receivers ignore members whose
+// record they do not have.
+std::vector<DomainReport> DomainReporter::AddHostInfos(
+    const DomainReport& head,
+    DomainReport& with_members,
+    Time now) {
+  std::vector<DomainReport> without_members;
   std::size_t members = 0;
-  for (const MemberGroup& group : beside.groups) {
+  for (const MemberGroup& group : with_members.groups) {
     members += group.members.size();
   }
-  for (HostInfo& host : Introduced(now)) {
-    if (members <= kMembersBeside &&
-        beside.host_infos.size() < kIntroducedBeside) {
-      beside.host_infos.push_back(std::move(host));
+  for (HostInfo& host : ChooseHostInfos(now)) {
+    if (members <= kMaxMembersWithHostInfos &&
+        with_members.host_infos.size() < kMaxHostInfosWithMembers) {
+      with_members.host_infos.push_back(std::move(host));
       continue;
     }
-    if (alone.empty() || alone.back().host_infos.size() == kIntroducedAlone) {
-      alone.push_back(head);
+    if (without_members.empty() ||
+        without_members.back().host_infos.size() == kMaxHostInfosAlone) {
+      without_members.push_back(head);
     }
-    alone.back().host_infos.push_back(std::move(host));
+    without_members.back().host_infos.push_back(std::move(host));
   }
-  return alone;
+  return without_members;
 }
 
 std::vector<DomainReport> DomainReporter::MakeReports(
@@ -167,9 +176,10 @@
                 host->info.leaving},
                aged);
   }
-  std::vector<DomainReport> named = packer.Take();
-  std::vector<DomainReport> reports = Introduce(head, named.front(), now);
-  reports.insert(reports.end(), named.begin(), named.end());
+  std::vector<DomainReport> member_reports = packer.Take();
+  std::vector<DomainReport> reports =
+      AddHostInfos(head, member_reports.front(), now);
+  reports.insert(reports.end(), member_reports.begin(), member_reports.end());
   return reports;
 }
 
@@ -189,7 +199,8 @@
     const Best candidate{host, alive,
                          MixHashes(salt, StableHash(host->info.name))};
     const auto [place, added] = best.try_emplace(host->info.domain, candidate);
-    // Where none is alive by what is known, any may be back.
+    // If no host of the domain counts as alive here, any of them may be
+    // reachable again, so dead hosts are candidates too.
     if (!added && std::tie(candidate.alive, candidate.draw) >
                       std::tie(place->second.alive, place->second.draw)) {
       place->second = candidate;
--- a/src/pathcleat/fleet/domain_reporter_test.cpp
+++ b/src/pathcleat/fleet/domain_reporter_test.cpp
@@ -9,8 +9,9 @@
 namespace pathcleat {
 namespace {
 
-// Checked to fail with the reports off: each host then knows its domain alone.
-Test(domain_reporter, all_hosts_are_known_a_second_after_the_start) {
+// Guards against hosts that have only their own domain in the table. Fails
+// with reports between domains switched off.
+Test(domain_reporter, all_hosts_are_alive_everywhere_a_second_after_start) {
   HeartbeatFleet fleet(9, 12);
   fleet.Run(Duration(1'100'000));
   for (const HeartbeatNode& node : fleet.nodes) {
@@ -18,8 +19,9 @@
   }
 }
 
-// Both hosts that report for a domain die at one moment. Checked to fail with
-// kReporterSilence at 2.5 s: the domain's living hosts were silent elsewhere.
+// Both reporters of a domain die at the same moment: the living hosts of the
+// domain must not time out elsewhere before other hosts report. Fails with
+// kReporterTimeout at 2.5 s.
 Test(domain_reporter, loss_of_the_reporters_hides_no_living_host) {
   cr_assert(Holds(
       "living hosts are never silent",
@@ -48,7 +50,7 @@
       40));
 }
 
-Test(domain_reporter, dead_host_is_silent_everywhere_in_the_same_time) {
+Test(domain_reporter, dead_host_times_out_everywhere_at_the_same_time) {
   HeartbeatFleet fleet(4, 6);
   fleet.Run(Duration(2'000'000));
   fleet.nodes[8].is_running = false;
@@ -59,7 +61,8 @@
   }
 }
 
-// One datagram in twenty is lost. Checked to fail with one reporter a domain.
+// One datagram in twenty is lost. Guards against living hosts that time out
+// elsewhere. Fails with one reporter per domain.
 Test(domain_reporter, lost_datagrams_hide_no_living_host) {
   cr_assert(Holds(
       "living hosts are never silent",
@@ -77,8 +80,9 @@
       20));
 }
 
-// Checked to fail with introductions off.
-Test(domain_reporter, new_host_and_new_incarnation_are_introduced) {
+// Guards against reported members that are ignored for lack of a host record.
+// Fails with host records in reports switched off.
+Test(domain_reporter, records_of_new_host_and_new_incarnation_are_sent) {
   HeartbeatFleet fleet(4, 6);
   fleet.Run(Duration(2'000'000));
   fleet.nodes[3].is_running = false;
@@ -90,11 +94,11 @@
   }
 }
 
-// Hosts that start at one moment: each has read the rows of those alone that
-// wrote theirs before. Half of 295 hosts knew 113 to 170 others ten seconds
-// after the start, and took their limits' shares by that. Seen to fail with
-// the same three new hosts introduced in each round.
-Test(domain_reporter, hosts_that_start_at_one_moment_know_each_other_soon) {
+// Hosts that start at the same moment have each read only the rows that were
+// written before. Half of 295 hosts then had records of 113 to 170 others 10 s
+// after the start and took too large shares of limits. Fails with the records
+// of the same three new hosts sent in each round.
+Test(domain_reporter, hosts_that_start_together_are_alive_to_each_other_soon) {
   constexpr int kDomains = 4;
   constexpr int kHosts = 33;
   HeartbeatFleet fleet(0, 0);
@@ -104,7 +108,7 @@
       fleet.ListAllHosts(node);
     }
   }
-  // Those that are listed are greeted, and answer.
+  // Each host announces its start to the hosts in its table, which reply.
   for (HeartbeatNode& node : fleet.nodes) {
     fleet.AnnounceStart(node);
   }
@@ -114,9 +118,10 @@
   }
 }
 
-// Domains that were cut off from each other. Checked to fail with Receivers
+// After a partition between domains, all their hosts count as dead to each
+// other, and reports must be sent to them nevertheless. Fails with Receivers
 // limited to hosts that are alive.
-Test(domain_reporter, domains_find_each_other_after_a_cut) {
+Test(domain_reporter, domains_exchange_reports_again_after_a_partition) {
   HeartbeatFleet fleet(3, 4);
   fleet.Run(Duration(2'000'000));
   std::vector<HeartbeatNode> away;
@@ -134,11 +139,11 @@
   }
 }
 
-// Limits are shared by what each host knows: at a start of all, and while
-// hosts die, the parts that they take together never exceed the whole.
-// Checked to fail with rows left out of HostTable::Shares: at a start each
-// host then takes the share of a far smaller fleet.
-Test(domain_reporter, shares_taken_never_exceed_the_whole) {
+// Each host computes its share of a limit from its own host table: the sum of
+// all shares must not exceed the limit while all hosts start or some die. Fails
+// with store rows left out of HostTable::SharesLimits: at a start each host
+// then takes the share of a far smaller fleet.
+Test(domain_reporter, sum_of_shares_never_exceeds_the_limit) {
   cr_assert(Holds(
       "the sum of all shares is one at most",
       [] {
@@ -156,23 +161,25 @@
       30));
 }
 
-// Checked to fail with Receivers naming all hosts of a domain.
-Test(domain_reporter, talk_between_domains_grows_with_the_domains_alone) {
-  const auto talk = [](int domains, int per_domain) {
+// Guards against traffic between domains that grows with the number of hosts.
+// Fails with Receivers returning all hosts of a domain.
+Test(domain_reporter, traffic_between_domains_grows_with_domains_only) {
+  const auto count_reports = [](int domains, int per_domain) {
     HeartbeatFleet fleet(domains, per_domain);
-    // Until nobody is new: introductions take datagrams of their own.
+    // Until no host is new: records of new hosts take extra datagrams.
     fleet.Run(Duration(4'000'000));
     fleet.reports_between_domains = 0;
     fleet.Run(Duration(2'000'000));
     return fleet.reports_between_domains;
   };
-  const std::size_t small = talk(4, 4);
-  cr_assert_eq(talk(4, 16), small);
-  // Two reporters a domain, two rounds a second, one datagram a domain.
+  const std::size_t small = count_reports(4, 4);
+  cr_assert_eq(count_reports(4, 16), small);
+  // Four domains, each with two reporters that send one datagram to each of
+  // three other domains per round: four rounds in 2 s.
   cr_assert_eq(small, 4U * 3 * 2 * 4);
 }
 
-Test(domain_reporter, hosts_that_have_come_equally_far_are_one_group) {
+Test(domain_reporter, hosts_with_equal_versions_are_one_group) {
   HostTable table(MakeHostInfo(0, 0), kHeartbeatTimeout);
   HostVersions early;
   early.config = 4;
@@ -182,7 +189,7 @@
   HostVersions other;
   other.config = 3;
   DomainReporter reporter(table, kStart);
-  // Two seconds apart, so that nobody is new at the end.
+  // Two heartbeats 2 s apart, so that no host is new at the end.
   const Time heard = kStart + 2 * Duration(2'000'000);
   for (Time at = kStart; at <= heard; at += Duration(2'000'000)) {
     table.OnHeartbeat(MakeHostInfo(0, 1), early, at);
@@ -195,12 +202,12 @@
   cr_assert_eq(reports.front().groups.size(), 2U);
   const MemberGroup& group = reports.front().groups.front();
   cr_assert_eq(group.members.size(), 3U);
-  // Who has had it longest says how long others are behind.
+  // The group has the largest configuration age of its members, as of now.
   cr_assert_eq(group.versions.config_age_ms, 950U);
 }
 
-Test(domain_report, large_domain_is_told_in_datagrams_that_fit) {
-  constexpr std::size_t kPacket = 1'472;
+Test(domain_report, reports_of_a_large_domain_fit_datagrams) {
+  constexpr std::size_t kMaxDatagramBytes = 1'472;
   HostTable table(MakeHostInfo(0, 0), kHeartbeatTimeout);
   for (int i = 1; i < 120; ++i) {
     table.OnHeartbeat(MakeHostInfo(0, i), {}, kStart);
@@ -208,7 +215,7 @@
   DomainReporter reporter(table, kStart);
   std::size_t members = 0;
   for (const DomainReport& report : reporter.MakeReports({}, kStart)) {
-    cr_assert_lt(EncodeDomainReport(report).size(), kPacket);
+    cr_assert_lt(EncodeDomainReport(report).size(), kMaxDatagramBytes);
     for (const MemberGroup& group : report.groups) {
       members += group.members.size();
     }
@@ -216,8 +223,8 @@
   cr_assert_eq(members, 120U);
 }
 
-Test(domain_report, any_bytes_are_read_or_refused) {
-  cr_assert(Holds("no bytes do harm", [] {
+Test(domain_report, any_bytes_are_decoded_or_rejected) {
+  cr_assert(Holds("decoding arbitrary bytes never crashes", [] {
     const auto bytes =
         *rc::gen::container<std::string>(rc::gen::inRange<char>(-128, 127));
     DecodeDomainReport(bytes);
--- a/src/pathcleat/fleet/heartbeat_plan.cpp
+++ b/src/pathcleat/fleet/heartbeat_plan.cpp
@@ -8,15 +8,18 @@
 namespace pathcleat {
 namespace {
 
-// Up to here heartbeats go to all: 78 datagrams a second each way, and news of
-// a host is half a second younger than by way of a report.
-constexpr std::size_t kMostDirect = 40;
-// Two report; two more know as much the moment that both are gone.
-constexpr std::size_t kReceivers = 4;
-// A round of reports and a half. What other domains hear of a host whose
-// reporters have died is then 2.4 s old at most (a heartbeat, this, a round of
-// heartbeats and one of reports), and it is silent to them after 2.5 s.
-constexpr Duration kReportSilence{700'000};
+// In a domain with fewer other hosts than this, heartbeats go to all of them:
+// at most 78 datagrams per second each way, and the state of a host arrives
+// half a second earlier than by a report.
+constexpr std::size_t kLargeDomainThreshold = 40;
+// The two reporters, and two more hosts that have the same data at the moment
+// both reporters are lost.
+constexpr std::size_t kReceiverCount = 4;
+// One and a half rounds of reports. If all reporters of a domain die, the last
+// heartbeat of a living host that other domains have is then at most 2.4 s old
+// (one heartbeat interval, this timeout, one round of heartbeats and one of
+// reports), and hosts time out there after 2.5 s.
+constexpr Duration kReportTimeout{700'000};
 
 std::vector<std::string> AddressesOf(
     const std::vector<const KnownHost*>& hosts) {
@@ -30,7 +33,7 @@
 
 }  // namespace
 
-std::vector<const KnownHost*> HeartbeatPlan::Domain() const {
+std::vector<const KnownHost*> HeartbeatPlan::OtherHostsInDomain() const {
   std::vector<const KnownHost*> domain = hosts_.Others();
   std::erase_if(domain, [this](const KnownHost* host) {
     return host->info.domain != hosts_.self().domain;
@@ -39,16 +42,16 @@
 }
 
 bool HeartbeatPlan::IsLarge(Time now) const {
-  const auto domain = Domain();
-  const auto living = std::count_if(
+  const auto domain = OtherHostsInDomain();
+  const auto alive = std::count_if(
       domain.begin(), domain.end(),
       [&](const KnownHost* host) { return hosts_.SharesLimits(*host, now); });
-  return static_cast<std::size_t>(living) >= kMostDirect;
+  return static_cast<std::size_t>(alive) >= kLargeDomainThreshold;
 }
 
 std::vector<std::string> HeartbeatPlan::Receivers(Time now) const {
-  std::vector<const KnownHost*> receivers = Domain();
-  if (IsLarge(now) && now - told_ <= kReportSilence) {
+  std::vector<const KnownHost*> receivers = OtherHostsInDomain();
+  if (IsLarge(now) && now - own_domain_report_at_ <= kReportTimeout) {
     std::erase_if(receivers, [&](const KnownHost* host) {
       return host->info.leaving || !hosts_.IsAlive(*host, now);
     });
@@ -56,7 +59,7 @@
               [](const KnownHost* a, const KnownHost* b) {
                 return RanksAhead(a->info, b->info);
               });
-    receivers.resize(std::min(receivers.size(), kReceivers));
+    receivers.resize(std::min(receivers.size(), kReceiverCount));
   }
   return AddressesOf(receivers);
 }
@@ -66,15 +69,15 @@
 }
 
 std::vector<std::string> HeartbeatPlan::AllInDomain() const {
-  return AddressesOf(Domain());
+  return AddressesOf(OtherHostsInDomain());
 }
 
 std::vector<std::string> HeartbeatPlan::AliveInDomain(Time now) const {
-  std::vector<const KnownHost*> living = Domain();
-  std::erase_if(living, [&](const KnownHost* host) {
+  std::vector<const KnownHost*> alive = OtherHostsInDomain();
+  std::erase_if(alive, [&](const KnownHost* host) {
     return !hosts_.IsAlive(*host, now);
   });
-  return AddressesOf(living);
+  return AddressesOf(alive);
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/fleet/heartbeat_plan_test.cpp
+++ b/src/pathcleat/fleet/heartbeat_plan_test.cpp
@@ -9,11 +9,11 @@
 namespace pathcleat {
 namespace {
 
-// Datagrams that the middle host of a domain takes in a second.
-int TakenASecond(int per_domain) {
+// Datagrams per second that the middle host of a domain receives.
+int ReceivedPerSecond(int per_domain) {
   constexpr int kSeconds = 4;
   HeartbeatFleet fleet(1, per_domain);
-  // Until nobody is new.
+  // Until no host is new.
   fleet.Run(Duration(5'000'000));
   for (HeartbeatNode& node : fleet.nodes) {
     node.received = 0;
@@ -23,27 +23,28 @@
          kSeconds;
 }
 
-// Heartbeats to all were 218 datagrams a second each way in a domain of 109
-// hosts, and twice that in one of twice the size.
-// Checked to fail with HeartbeatPlan::IsLarge always false.
-Test(heartbeat_plan, talk_in_a_large_domain_does_not_grow_with_it) {
-  constexpr int kMost = 12;
-  cr_assert_leq(TakenASecond(109), kMost);
-  cr_assert_leq(TakenASecond(218), kMost);
-  cr_assert_geq(TakenASecond(30), 58);
+// Guards against heartbeat traffic that grows with the domain: heartbeats to
+// all hosts were 218 datagrams per second each way in a domain of 109 hosts,
+// and twice that in one of twice the size. Fails with HeartbeatPlan::IsLarge
+// always false.
+Test(heartbeat_plan, traffic_in_a_large_domain_does_not_grow_with_it) {
+  constexpr int kMaxPerSecond = 12;
+  cr_assert_leq(ReceivedPerSecond(109), kMaxPerSecond);
+  cr_assert_leq(ReceivedPerSecond(218), kMaxPerSecond);
+  cr_assert_geq(ReceivedPerSecond(30), 58);
 }
 
-// All hosts that hear the others directly die at one moment.
-// Checked to fail with heartbeats going to the first of the domain alone where
-// no report comes.
-Test(heartbeat_plan, loss_of_all_that_hear_a_large_domain_hides_nobody) {
+// All hosts that receive the heartbeats of a large domain die at the same
+// moment; the living hosts must not time out. Fails with heartbeats sent only
+// to the highest-ranked hosts of the domain when no report arrives.
+Test(heartbeat_plan, loss_of_all_heartbeat_receivers_hides_no_living_host) {
   constexpr int kHosts = 60;
   HeartbeatFleet fleet(2, kHosts);
   fleet.Run(Duration(5'000'000));
   const HeartbeatNode& last = fleet.nodes[kHosts - 1];
-  const auto heard_by = last.plan->Receivers(fleet.now);
-  cr_assert_eq(heard_by.size(), 4U);
-  for (const std::string& address : heard_by) {
+  const auto receivers = last.plan->Receivers(fleet.now);
+  cr_assert_eq(receivers.size(), 4U);
+  for (const std::string& address : receivers) {
     fleet.Find(address)->is_running = false;
   }
   fleet.Run(Duration(6'000'000), [&] {
@@ -58,8 +59,8 @@
   }
 }
 
-// One datagram in twenty is lost.
-Test(heartbeat_plan, lost_datagrams_hide_nobody_in_a_large_domain) {
+// One datagram in twenty is lost. Guards against living hosts that time out.
+Test(heartbeat_plan, lost_datagrams_hide_no_host_of_a_large_domain) {
   std::uint64_t draws = 1;
   HeartbeatFleet fleet(1, 60);
   fleet.is_lost = [&draws] { return MixHashes(++draws, 7) % 20 == 0; };
--- a/src/pathcleat/fleet/host_table.cpp
+++ b/src/pathcleat/fleet/host_table.cpp
@@ -7,48 +7,52 @@
 namespace pathcleat {
 namespace {
 
-// A caller that knows one host alone loses it with that host.
-constexpr std::size_t kFewestHosts = 2;
-// A host counts where limits are shared for so long after it was heard, or
-// named by a row. That is 1.5 s more than until it is silent: where half of all
-// hosts die at once, reports of the others come late by a round or two, and a
-// host taken for dead too early gives its share away while it uses it. Hosts
-// that start at one moment have introduced each other within 3 s.
-constexpr Duration kShareTime{4'000'000};
-
-// Far beyond the time between two calls of OnAwake, also on a machine with a
-// tenth of a core; below the silence after which a host counts as dead.
-constexpr Duration kStandstill{1'000'000};
+// A caller that has the address of a single host cannot reach the fleet once
+// that host fails.
+constexpr std::size_t kMinLocatedHosts = 2;
+// For how long after its last heartbeat, or after a row listed it, a host is
+// counted where limits are shared. This is 1.5 s longer than until it counts as
+// dead: if half of all hosts die at once, reports on the others are late by a
+// round or two, and the share of a host taken for dead too early would be used
+// by others while that host still uses it. Hosts that start at the same moment
+// have exchanged their records within 3 s.
+constexpr Duration kLimitShareWindow{4'000'000};
+
+// Far longer than the time between two calls of CheckForStall, even on a
+// machine with a tenth of a core, and shorter than the time after which a host
+// counts as dead.
+constexpr Duration kStallThreshold{1'000'000};
 
 }  // namespace
 
-HostTable::HostTable(HostInfo self, Duration silence)
-    : self_(std::move(self)), silence_(silence) {}
+HostTable::HostTable(HostInfo self, Duration heartbeat_timeout)
+    : self_(std::move(self)), heartbeat_timeout_(heartbeat_timeout) {}
 
 void HostTable::CheckForStall(Time now) {
-  const Time last = std::exchange(awake_, now);
-  const Duration still = now - last;
-  if (last == Time() || still < kStandstill) {
+  const Time last = std::exchange(last_check_, now);
+  const Duration stall = now - last;
+  if (last == Time() || stall < kStallThreshold) {
     return;
   }
-  still_until_ = now;
-  still_for_ = still;
-  untold_still_ = still;
+  stall_end_ = now;
+  stall_duration_ = stall;
+  unreported_stall_ = stall;
 }
 
-// What others are told keeps the true age: this host knows nothing of who died
-// while it stood still.
-Duration HostTable::SilenceOf(const KnownHost& host, Time now) const {
+// Time since the last sign of a host, without the time of the own stall.
+// Reports to other hosts keep the true age: this host has no information on
+// which hosts died during its stall.
+Duration HostTable::TimeSinceSeen(const KnownHost& host, Time now) const {
   const Duration silence = now - host.last_seen;
-  return host.last_seen < still_until_ ? silence - still_for_ : silence;
+  return host.last_seen < stall_end_ ? silence - stall_duration_ : silence;
 }
 
-void HostTable::Keep(const KnownHost& host) {
+void HostTable::Store(const KnownHost& host) {
   KnownHost& kept = others_[host.info.name];
   if (!kept.info.name.empty()) {
-    names_.erase(IncarnationId(kept.info));
+    names_by_incarnation_.erase(IncarnationId(kept.info));
   }
-  names_[IncarnationId(host.info)] = host.info.name;
+  names_by_incarnation_[IncarnationId(host.info)] = host.info.name;
   kept = host;
 }
 
@@ -59,7 +63,7 @@
   const auto known = others_.find(host.name);
   if (known == others_.end() ||
       known->second.info.incarnation < host.incarnation) {
-    Keep({host, now, now, false, false, {}});
+    Store({host, now, now, false, false, {}});
   }
 }
 
@@ -71,15 +75,16 @@
   }
   const auto known = others_.find(host.name);
   const bool was_alive = known != others_.end() && IsAlive(known->second, now);
-  // Incarnations follow the time of day, which may have been set back: one
-  // that has fallen silent is believed to be gone, whatever its number.
+  // Incarnation numbers are taken from the time of day, which may have been set
+  // back: once an incarnation has timed out, any other one replaces it, also
+  // one with a lower number.
   if (was_alive && host.incarnation < known->second.info.incarnation) {
     return false;
   }
   const bool same =
       was_alive && host.incarnation == known->second.info.incarnation;
-  Keep({host, now, same ? known->second.alive_since : now, true, true,
-        versions});
+  Store({host, now, same ? known->second.alive_since : now, true, true,
+         versions});
   return !was_alive;
 }
 
@@ -87,7 +92,7 @@
   const auto known = others_.find(host.name);
   if (known != others_.end() && !IsAlive(known->second, now) &&
       known->second.info.incarnation > host.incarnation) {
-    Keep({host, now, now, false, known->second.alive_at_last_check, {}});
+    Store({host, now, now, false, known->second.alive_at_last_check, {}});
     return;
   }
   OnStoreRow(host, now);
@@ -96,14 +101,14 @@
 const KnownHost* HostTable::OnMemberReported(const MemberObservation& member,
                                              const HostVersions& versions,
                                              Time now) {
-  const auto name = names_.find(member.id);
-  if (name == names_.end()) {
+  const auto name = names_by_incarnation_.find(member.id);
+  if (name == names_by_incarnation_.end()) {
     return nullptr;
   }
   KnownHost& host = others_.at(name->second);
   const Time heard = now - std::chrono::milliseconds(member.age_ms);
   const bool was_alive = IsAlive(host, now);
-  // What was heard of the host itself, or by a shorter way, is newer.
+  // A heartbeat from the host itself or from a faster report is newer.
   if (host.has_heartbeat && heard <= host.last_seen) {
     return nullptr;
   }
@@ -118,11 +123,11 @@
 }
 
 bool HostTable::SharesLimits(const KnownHost& host, Time now) const {
-  return SilenceOf(host, now) <= kShareTime;
+  return TimeSinceSeen(host, now) <= kLimitShareWindow;
 }
 
 bool HostTable::IsAlive(const KnownHost& host, Time now) const {
-  return host.has_heartbeat && SilenceOf(host, now) <= silence_;
+  return host.has_heartbeat && TimeSinceSeen(host, now) <= heartbeat_timeout_;
 }
 
 std::vector<std::string> HostTable::NewlySilent(Time now) {
@@ -193,38 +198,38 @@
                      });
 }
 
-std::vector<HostInfo> HostTable::Serving(Time now) const {
-  std::vector<HostInfo> serving;
+std::vector<HostInfo> HostTable::HostsAcceptingCallers(Time now) const {
+  std::vector<HostInfo> accepting;
   if (!self_.leaving) {
-    serving.push_back(self_);
+    accepting.push_back(self_);
   }
   for (const auto& [name, host] : others_) {
     if (!host.info.leaving && IsAlive(host, now)) {
-      serving.push_back(host.info);
+      accepting.push_back(host.info);
     }
   }
-  return serving;
+  return accepting;
 }
 
 std::vector<std::string> HostTable::Locate(const std::string& region,
                                            const std::string& domain,
                                            std::size_t most,
                                            Time now) const {
-  std::vector<HostInfo> serving = Serving(now);
+  std::vector<HostInfo> accepting = HostsAcceptingCallers(now);
   const auto distance = [&](const HostInfo& host) {
     if (host.domain == domain) {
       return 0;
     }
     return host.region == region ? 1 : 2;
   };
-  std::stable_sort(serving.begin(), serving.end(),
+  std::stable_sort(accepting.begin(), accepting.end(),
                    [&](const HostInfo& a, const HostInfo& b) {
                      return distance(a) < distance(b);
                    });
   std::vector<std::string> addresses;
   int farthest = 0;
-  for (const HostInfo& host : serving) {
-    const bool enough = addresses.size() >= kFewestHosts;
+  for (const HostInfo& host : accepting) {
+    const bool enough = addresses.size() >= kMinLocatedHosts;
     if (addresses.size() == most || (enough && distance(host) > farthest)) {
       break;
     }
--- a/src/pathcleat/fleet/host_table_test.cpp
+++ b/src/pathcleat/fleet/host_table_test.cpp
@@ -11,11 +11,11 @@
 namespace {
 
 const Time kStart{Duration(1'000'000)};
-constexpr Duration kSilence{2'500'000};
+constexpr Duration kHeartbeatTimeout{2'500'000};
 
-HostInfo HostAt(const std::string& name,
-                const std::string& domain,
-                const std::string& region) {
+HostInfo MakeHost(const std::string& name,
+                  const std::string& domain,
+                  const std::string& region) {
   HostInfo host;
   host.name = name;
   host.incarnation = 1;
@@ -25,130 +25,134 @@
   return host;
 }
 
-bool Has(const std::vector<std::string>& names, const std::string& name) {
+bool Contains(const std::vector<std::string>& names, const std::string& name) {
   return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-Test(host_table, near_hosts_first_dead_and_leaving_ones_never) {
-  HostTable table(HostAt("self", "n1", "north"), kSilence);
-  table.OnHeartbeat(HostAt("near", "n1", "north"), {}, kStart);
-  table.OnHeartbeat(HostAt("beside", "n2", "north"), {}, kStart);
-  table.OnHeartbeat(HostAt("far", "s1", "south"), {}, kStart);
-  table.OnStoreRow(HostAt("listed", "n1", "north"), kStart);
+Test(host_table, near_hosts_come_first_dead_and_leaving_hosts_never) {
+  HostTable table(MakeHost("self", "n1", "north"), kHeartbeatTimeout);
+  table.OnHeartbeat(MakeHost("near", "n1", "north"), {}, kStart);
+  table.OnHeartbeat(MakeHost("beside", "n2", "north"), {}, kStart);
+  table.OnHeartbeat(MakeHost("far", "s1", "south"), {}, kStart);
+  table.OnStoreRow(MakeHost("listed", "n1", "north"), kStart);
   auto found = table.Locate("north", "n1", 16, kStart);
   cr_assert_eq(found.size(), 2U);
-  cr_assert(Has(found, "self") && Has(found, "near"));
-  // A domain with one host is helped by its region, a region by the others.
+  cr_assert(Contains(found, "self") && Contains(found, "near"));
+  // Addresses for a domain with one host include hosts of its region, and those
+  // for a region with one host include hosts of other regions.
   found = table.Locate("north", "n2", 16, kStart);
   cr_assert_str_eq(found.front().c_str(), "beside");
   cr_assert_eq(found.size(), 3U);
   found = table.Locate("south", "s1", 16, kStart);
   cr_assert_str_eq(found.front().c_str(), "far");
   cr_assert_gt(found.size(), 1U);
-  HostInfo leaving = HostAt("near", "n1", "north");
+  HostInfo leaving = MakeHost("near", "n1", "north");
   leaving.leaving = true;
   table.OnHeartbeat(leaving, {}, kStart);
-  cr_assert_not(Has(table.Locate("north", "n1", 16, kStart), "near"));
-  const Time later = kStart + kSilence + Duration(1);
+  cr_assert_not(Contains(table.Locate("north", "n1", 16, kStart), "near"));
+  const Time later = kStart + kHeartbeatTimeout + Duration(1);
   found = table.Locate("north", "n1", 16, later);
   cr_assert_eq(found.size(), 1U);
   cr_assert_str_eq(found.front().c_str(), "self");
 }
 
-// Guards against a host that takes all others for dead on waking, and with that
-// the whole of what they share for itself.
-Test(host_table, standstill_of_this_host_is_no_silence_of_others) {
-  constexpr Duration kPeriod{250'000};
-  HostTable table(HostAt("self", "n1", "north"), kSilence);
+// Guards against a host that takes all others for dead after it was suspended,
+// and then takes the shares of all limits for itself.
+Test(host_table, stall_of_this_host_does_not_time_out_others) {
+  constexpr Duration kCheckInterval{250'000};
+  HostTable table(MakeHost("self", "n1", "north"), kHeartbeatTimeout);
   table.CheckForStall(kStart);
-  table.OnHeartbeat(HostAt("near", "n1", "north"), {}, kStart);
-  table.CheckForStall(kStart + kPeriod);
+  table.OnHeartbeat(MakeHost("near", "n1", "north"), {}, kStart);
+  table.CheckForStall(kStart + kCheckInterval);
   cr_assert_eq(table.TakeStallDuration().count(), 0);
-  const Time woken = kStart + kPeriod + std::chrono::seconds(60);
-  table.CheckForStall(woken);
+  const Time stall_end = kStart + kCheckInterval + std::chrono::seconds(60);
+  table.CheckForStall(stall_end);
   cr_assert_eq(table.TakeStallDuration().count(), Duration(60'000'000).count());
   cr_assert_eq(table.TakeStallDuration().count(), 0);
-  cr_assert_eq(table.AliveCount(woken), 2);
-  cr_assert_eq(table.LimitSharerCount(woken), 2);
-  cr_assert(table.NewlySilent(woken).empty());
-  // From now on it is heard, or falls silent, as ever.
-  Time now = woken;
-  for (; now < woken + kSilence; now += kPeriod) {
+  cr_assert_eq(table.AliveCount(stall_end), 2);
+  cr_assert_eq(table.LimitSharerCount(stall_end), 2);
+  cr_assert(table.NewlySilent(stall_end).empty());
+  // After the stall, the heartbeat timeout applies as before.
+  Time now = stall_end;
+  for (; now < stall_end + kHeartbeatTimeout; now += kCheckInterval) {
     table.CheckForStall(now);
   }
   cr_assert_eq(table.AliveCount(now), 1);
 }
 
-Test(host_table, configuration_counts_at_hosts_that_take_callers) {
-  HostTable table(HostAt("self", "n1", "north"), kSilence);
+Test(host_table, configuration_counts_at_hosts_that_accept_callers) {
+  HostTable table(MakeHost("self", "n1", "north"), kHeartbeatTimeout);
   HostVersions versions;
   versions.config = 4;
-  HostInfo other = HostAt("other", "n1", "north");
+  HostInfo other = MakeHost("other", "n1", "north");
   table.OnHeartbeat(other, versions, kStart);
   cr_assert(table.OtherHasConfig(4, kStart));
   cr_assert_not(table.OtherHasConfig(5, kStart));
-  cr_assert_not(table.OtherHasConfig(4, kStart + kSilence + Duration(1)));
+  cr_assert_not(
+      table.OtherHasConfig(4, kStart + kHeartbeatTimeout + Duration(1)));
   other.leaving = true;
   table.OnHeartbeat(other, versions, kStart);
   cr_assert_not(table.OtherHasConfig(4, kStart));
 }
 
-Test(host_table, older_incarnation_is_not_believed) {
-  HostTable table(HostAt("self", "n1", "north"), kSilence);
-  HostInfo restarted = HostAt("other", "n1", "north");
+Test(host_table, older_incarnation_is_ignored) {
+  HostTable table(MakeHost("self", "n1", "north"), kHeartbeatTimeout);
+  HostInfo restarted = MakeHost("other", "n1", "north");
   restarted.incarnation = 5;
   table.OnHeartbeat(restarted, {}, kStart);
-  HostInfo old = HostAt("other", "n1", "north");
+  HostInfo old = MakeHost("other", "n1", "north");
   old.leaving = true;
   table.OnHeartbeat(old, {}, kStart);
   cr_assert_eq(table.Locate("north", "n1", 16, kStart).size(), 2U);
 }
 
-// A host restarted after its time of day was set back has a lower number.
-// Seen to fail while older incarnations were never believed.
-Test(host_table, restart_after_a_clock_step_is_heard_once_the_old_is_silent) {
-  HostTable table(HostAt("self", "n1", "north"), kSilence);
-  HostInfo before = HostAt("other", "n1", "north");
+// A host that is restarted after its clock was set back has a lower incarnation
+// number. Fails if lower incarnation numbers are always ignored.
+Test(host_table, restart_after_clock_step_counts_once_old_one_timed_out) {
+  HostTable table(MakeHost("self", "n1", "north"), kHeartbeatTimeout);
+  HostInfo before = MakeHost("other", "n1", "north");
   before.incarnation = 5;
   table.OnHeartbeat(before, {}, kStart);
-  const Time later = kStart + kSilence + Duration(1);
-  cr_assert(table.OnHeartbeat(HostAt("other", "n1", "north"), {}, later));
+  const Time later = kStart + kHeartbeatTimeout + Duration(1);
+  cr_assert(table.OnHeartbeat(MakeHost("other", "n1", "north"), {}, later));
   cr_assert_eq(table.Locate("north", "n1", 16, later).size(), 2U);
 }
 
-MemberObservation SignOf(const HostInfo& host, int age_ms) {
+MemberObservation MakeObservation(const HostInfo& host, int age_ms) {
   return {IncarnationId(host), static_cast<std::uint16_t>(age_ms), false};
 }
 
-Test(host_table, report_counts_from_when_the_host_was_heard) {
-  HostTable table(HostAt("self", "n1", "north"), kSilence);
-  const HostInfo far = HostAt("far", "s1", "south");
-  cr_assert_null(table.OnMemberReported(SignOf(far, 500), {}, kStart));
+Test(host_table, reported_host_is_alive_from_the_time_of_its_heartbeat) {
+  HostTable table(MakeHost("self", "n1", "north"), kHeartbeatTimeout);
+  const HostInfo far = MakeHost("far", "s1", "south");
+  cr_assert_null(table.OnMemberReported(MakeObservation(far, 500), {}, kStart));
   table.OnInfoReported(far, kStart);
   cr_assert_eq(table.AliveCount(kStart), 1);
-  cr_assert_not_null(table.OnMemberReported(SignOf(far, 500), {}, kStart));
+  cr_assert_not_null(
+      table.OnMemberReported(MakeObservation(far, 500), {}, kStart));
   cr_assert_eq(table.AliveCount(kStart + Duration(2'000'000)), 2);
-  // An older report, by a longer way, changes nothing.
-  table.OnMemberReported(SignOf(far, 900), {}, kStart);
+  // An observation of an earlier heartbeat changes nothing.
+  table.OnMemberReported(MakeObservation(far, 900), {}, kStart);
   cr_assert_eq(table.AliveCount(kStart + Duration(2'000'000)), 2);
   cr_assert_eq(table.AliveCount(kStart + Duration(2'001'000)), 1);
 }
 
-Test(host_table, report_of_a_gone_incarnation_revives_nobody) {
-  HostTable table(HostAt("self", "n1", "north"), kSilence);
-  HostInfo restarted = HostAt("far", "s1", "south");
+Test(host_table, report_of_an_old_incarnation_makes_no_host_alive) {
+  HostTable table(MakeHost("self", "n1", "north"), kHeartbeatTimeout);
+  HostInfo restarted = MakeHost("far", "s1", "south");
   restarted.incarnation = 2;
   table.OnInfoReported(restarted, kStart);
-  table.OnMemberReported(SignOf(HostAt("far", "s1", "south"), 0), {}, kStart);
+  table.OnMemberReported(MakeObservation(MakeHost("far", "s1", "south"), 0), {},
+                         kStart);
   cr_assert_eq(table.AliveCount(kStart), 1);
-  table.OnMemberReported(SignOf(restarted, 0), {}, kStart);
+  table.OnMemberReported(MakeObservation(restarted, 0), {}, kStart);
   cr_assert_eq(table.AliveCount(kStart), 2);
 }
 
-Test(heartbeat, sealed_heartbeats_are_read_and_changed_ones_are_not) {
-  cr_assert(Holds("any bit that is turned is noticed", [] {
+Test(heartbeat, authentic_heartbeats_are_decoded_changed_ones_rejected) {
+  cr_assert(Holds("every flipped bit is detected", [] {
     Heartbeat heartbeat;
-    heartbeat.host = HostAt("host", "domain", "region");
+    heartbeat.host = MakeHost("host", "domain", "region");
     heartbeat.versions.config = 7;
     const std::string sealed = AppendMac(EncodeHeartbeat(heartbeat), "key");
     const auto message = VerifyMac(sealed, "key");
@@ -162,8 +166,8 @@
   }));
 }
 
-Test(heartbeat, any_bytes_are_read_or_refused) {
-  cr_assert(Holds("no bytes do harm", [] {
+Test(heartbeat, any_bytes_are_decoded_or_rejected) {
+  cr_assert(Holds("decoding arbitrary bytes never crashes", [] {
     const auto bytes =
         *rc::gen::container<std::string>(rc::gen::inRange<char>(-128, 127));
     DecodeHeartbeat(bytes);
--- a/src/pathcleat/fleet/peer_datagram_test.cpp
+++ b/src/pathcleat/fleet/peer_datagram_test.cpp
@@ -19,25 +19,25 @@
   cr_assert_not(OpenDatagram(sealed, "other key"));
 }
 
-// A newer form of a heartbeat is one of a kind that is not known here.
-Test(peer_datagram, unknown_kind_is_told_and_empty_one_refused) {
+// A host of a newer version may send a heartbeat in a format with a new number.
+Test(peer_datagram, unknown_kind_is_returned_and_empty_payload_rejected) {
   constexpr auto kNewer = static_cast<DatagramKind>(0x21);
   const auto datagram = OpenDatagram(SealDatagram(kNewer, "?", kKey), kKey);
   cr_assert(datagram && datagram->kind == kNewer);
   cr_assert_not(OpenDatagram(AppendMac("", kKey), kKey));
 }
 
-// Hosts of the last version sent heartbeats without a kind. Those begin with
-// cereal's mark of its byte order, which no kind is.
-Test(peer_datagram, heartbeat_of_the_form_before_is_no_known_kind) {
+// Hosts of the previous version sent heartbeats without a kind. These begin
+// with the byte order mark of cereal, which must not be the value of a kind.
+Test(peer_datagram, heartbeat_in_the_previous_format_has_no_known_kind) {
   const auto datagram =
       OpenDatagram(AppendMac(EncodeHeartbeat(Heartbeat()), kKey), kKey);
   cr_assert(datagram && datagram->kind != DatagramKind::kHeartbeat &&
             datagram->kind != DatagramKind::kDomainReport);
 }
 
-Test(peer_datagram, any_bytes_are_read_or_refused) {
-  cr_assert(Holds("no bytes do harm", [] {
+Test(peer_datagram, any_bytes_are_decoded_or_rejected) {
+  cr_assert(Holds("decoding arbitrary bytes never crashes", [] {
     const auto bytes =
         *rc::gen::container<std::string>(rc::gen::inRange<char>(-128, 127));
     OpenDatagram(bytes, kKey);
--- a/src/pathcleat/fleet/peer_link.cpp
+++ b/src/pathcleat/fleet/peer_link.cpp
@@ -16,7 +16,7 @@
 using boost::asio::ip::udp;
 using boost::system::error_code;
 
-constexpr std::chrono::milliseconds kHeartbeatPeriod{500};
+constexpr std::chrono::milliseconds kHeartbeatInterval{500};
 
 }  // namespace
 
@@ -25,7 +25,7 @@
     HostTable& hosts,
     EventLog& events,
     PeerTraffic& traffic,
-    const PeerPublishers& tellers,
+    const PeerPublishers& publishers,
     std::function<HostVersions()> versions,
     std::function<void(const std::string&, const HostVersions&)> on_versions)
     : hosts_(hosts),
@@ -33,7 +33,7 @@
       plan_(hosts),
       events_(events),
       traffic_(traffic),
-      tellers_(tellers),
+      publishers_(publishers),
       versions_(std::move(versions)),
       on_versions_(std::move(on_versions)),
       socket_(loop),
@@ -62,26 +62,26 @@
 }
 
 void PeerLink::Announce() {
-  Beat(plan_.AllInDomain(), true);
+  SendHeartbeats(plan_.AllInDomain(), true);
   for (const std::string& address : reporter_.Receivers(BootClock::now())) {
     SendHeartbeat(address, true);
   }
 }
 
 void PeerLink::PublishHeartbeat() {
-  Beat(plan_.AllInDomain(), false);
+  SendHeartbeats(plan_.AllInDomain(), false);
 }
 
 void PeerLink::Tick() {
   const Time now = BootClock::now();
-  Beat(plan_.Receivers(now), false);
+  SendHeartbeats(plan_.Receivers(now), false);
   if (reporter_.IsReporter(now)) {
     SendReports();
   }
   PublishUsage();
   PublishCrashes();
   PublishLimits();
-  timer_.expires_after(kHeartbeatPeriod);
+  timer_.expires_after(kHeartbeatInterval);
   timer_.async_wait([this](const error_code& error) {
     if (!error) {
       Tick();
@@ -89,14 +89,14 @@
   });
 }
 
-void PeerLink::Beat(const std::vector<std::string>& receivers,
-                    bool wants_reply) {
+void PeerLink::SendHeartbeats(const std::vector<std::string>& receivers,
+                              bool wants_reply) {
   if (receivers.empty()) {
     return;
   }
   const std::string sealed = SealHeartbeat(wants_reply);
   for (const std::string& address : receivers) {
-    SendSealed(address, sealed);
+    SendSealedHeartbeat(address, sealed);
   }
 }
 
@@ -104,16 +104,16 @@
   const Time now = BootClock::now();
   plan_.OnOwnDomainReport(now);
   std::vector<DomainReport> reports = reporter_.MakeReports(versions_(), now);
-  reports.front().rollout_tallies = tellers_.tallies.DomainTallies(now);
-  SendRound(reports, reporter_.Receivers(now));
+  reports.front().rollout_tallies = publishers_.tallies.DomainTallies(now);
+  SendReportsTo(reports, reporter_.Receivers(now));
   for (DomainReport& report : reports) {
     report.forward_to_domain = false;
   }
-  SendRound(reports, plan_.OwnReportReceivers(now));
+  SendReportsTo(reports, plan_.OwnReportReceivers(now));
 }
 
-void PeerLink::SendRound(const std::vector<DomainReport>& reports,
-                         const std::vector<std::string>& receivers) {
+void PeerLink::SendReportsTo(const std::vector<DomainReport>& reports,
+                             const std::vector<std::string>& receivers) {
   if (receivers.empty()) {
     return;
   }
@@ -136,19 +136,19 @@
   heartbeat.time = events_.clock().Tick(WallMicros());
   heartbeat.versions = versions_();
   heartbeat.wants_reply = wants_reply;
-  heartbeat.rollout_tallies = tellers_.tallies.OwnTallies();
+  heartbeat.rollout_tallies = publishers_.tallies.OwnTallies();
   return SealDatagram(DatagramKind::kHeartbeat, EncodeHeartbeat(heartbeat),
                       key_);
 }
 
-void PeerLink::SendSealed(const std::string& address,
-                          const std::string& heartbeat) {
+void PeerLink::SendSealedHeartbeat(const std::string& address,
+                                   const std::string& heartbeat) {
   traffic_.OnSent(PeerMessageKind::kHeartbeat, heartbeat.size());
   Send(address, heartbeat);
 }
 
 void PeerLink::SendHeartbeat(const std::string& address, bool wants_reply) {
-  SendSealed(address, SealHeartbeat(wants_reply));
+  SendSealedHeartbeat(address, SealHeartbeat(wants_reply));
 }
 
 void PeerLink::SendReport(const std::string& address,
@@ -162,11 +162,12 @@
   if (!endpoint || key_.empty()) {
     return;
   }
-  // A datagram that cannot be sent now is lost, as others are on the way.
-  error_code lost;
+  // A datagram that cannot be sent now is dropped. The protocol copes with lost
+  // datagrams anyway.
+  error_code ignored_error;
   socket_.send_to(boost::asio::buffer(sealed),
                   udp::endpoint(endpoint->address(), endpoint->port()), 0,
-                  lost);
+                  ignored_error);
 }
 
 void PeerLink::Receive() {
@@ -221,12 +222,13 @@
       return;
     }
   } else if (datagram) {
-    // Hosts of another version may run beside this one.
+    // During an upgrade, hosts of another version may send formats that are
+    // unknown here.
     traffic_.OnUnknownFormat();
     return;
   }
   events_.Record(EventCode::kPeerRejected, sender_.address().to_string(),
-                 "a datagram that is no message of this fleet");
+                 "datagram is malformed or has no valid MAC of this fleet");
 }
 
 void PeerLink::OnHeartbeat(const Heartbeat& heartbeat) {
@@ -238,35 +240,37 @@
   }
   on_versions_(heartbeat.host.name, heartbeat.versions);
   if (heartbeat.host.domain == hosts_.self().domain) {
-    tellers_.tallies.OnHostTallies(IncarnationId(heartbeat.host),
-                                   heartbeat.rollout_tallies, BootClock::now());
+    publishers_.tallies.OnHostTallies(IncarnationId(heartbeat.host),
+                                      heartbeat.rollout_tallies,
+                                      BootClock::now());
   }
   if (heartbeat.wants_reply) {
     SendHeartbeat(heartbeat.host.peer_address, false);
-    SendKnownUsage(heartbeat.host.peer_address);
+    SendUsageSnapshot(heartbeat.host.peer_address);
     SendCrashes({heartbeat.host.peer_address},
-                tellers_.crashes.CrashSnapshot(BootClock::now()));
+                publishers_.crashes.CrashSnapshot(BootClock::now()));
     SendLimits({heartbeat.host.peer_address},
-               tellers_.limits.LimitSnapshot(BootClock::now()));
+               publishers_.limits.LimitSnapshot(BootClock::now()));
   }
 }
 
 void PeerLink::OnDomainReport(const DomainReport& report) {
   const Time now = BootClock::now();
   events_.clock().Observe(report.time, WallMicros());
-  TakeMembers(report, now);
+  ApplyMembers(report, now);
   for (const MemberGroup& group : report.groups) {
     on_versions_(report.domain, group.versions);
   }
-  tellers_.tallies.OnDomainTallies(report.domain, report.rollout_tallies, now);
+  publishers_.tallies.OnDomainTallies(report.domain, report.rollout_tallies,
+                                      now);
   if (report.domain == hosts_.self().domain) {
     plan_.OnOwnDomainReport(now);
   } else if (report.forward_to_domain) {
-    PassOn(report);
+    ForwardToDomain(report);
   }
 }
 
-void PeerLink::TakeMembers(const DomainReport& report, Time now) {
+void PeerLink::ApplyMembers(const DomainReport& report, Time now) {
   for (const HostInfo& host : report.host_infos) {
     if (host.domain == report.domain) {
       hosts_.OnInfoReported(host, now);
@@ -283,7 +287,7 @@
   }
 }
 
-void PeerLink::PassOn(DomainReport report) {
+void PeerLink::ForwardToDomain(DomainReport report) {
   report.forward_to_domain = false;
   const std::string sealed = SealDatagram(DatagramKind::kDomainReport,
                                           EncodeDomainReport(report), key_);
--- a/src/pathcleat/fleet/peer_link_publishers.cpp
+++ b/src/pathcleat/fleet/peer_link_publishers.cpp
@@ -1,6 +1,6 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-// What a host exchanges with others beside signs of life: the use of client
-// accounts' limits, requests that crash upstreams, limits that upstreams name.
+// The parts of PeerLink that exchange usage of client accounts' limits,
+// requests that crash upstreams and rate limits of upstreams.
 
 #include <string>
 #include <utility>
@@ -33,14 +33,14 @@
   Send(address, sealed);
 }
 
-// A report that names nothing is sent once, to take the last one back.
+// An empty report is sent once after a report with entries, to revoke that one.
 void PeerLink::SendOwnUsage(Time now) {
-  const UsageReport report = tellers_.usage.OwnUsage(now);
-  const bool tells = !report.entries.empty();
-  if (!tells && !std::exchange(told_usage_, tells)) {
+  const UsageReport report = publishers_.usage.OwnUsage(now);
+  const bool has_entries = !report.entries.empty();
+  if (!has_entries && !std::exchange(last_usage_had_entries_, has_entries)) {
     return;
   }
-  told_usage_ = tells;
+  last_usage_had_entries_ = has_entries;
   const std::string sealed = SealUsage(report);
   for (const std::string& address : plan_.AllInDomain()) {
     SendUsage(address, sealed);
@@ -48,7 +48,7 @@
 }
 
 void PeerLink::SendDomainUsage(Time now) {
-  const UsageReport report = tellers_.usage.DomainUsage(now);
+  const UsageReport report = publishers_.usage.DomainUsage(now);
   if (report.entries.empty()) {
     return;
   }
@@ -58,23 +58,23 @@
   }
 }
 
-// A host that has just started would else know of other domains' usage a round
-// of reports later.
-void PeerLink::SendKnownUsage(const std::string& address) {
-  for (const UsageReport& report : tellers_.usage.UsageSnapshot()) {
+// Sends the usage of all domains to a host that has just started, which would
+// otherwise get it one round of reports later.
+void PeerLink::SendUsageSnapshot(const std::string& address) {
+  for (const UsageReport& report : publishers_.usage.UsageSnapshot()) {
     SendUsage(address, SealUsage(report));
   }
 }
 
 void PeerLink::OnUsageReport(const UsageReport& report) {
   events_.clock().Observe(report.time, WallMicros());
-  tellers_.usage.OnUsageReport(report, BootClock::now());
+  publishers_.usage.OnUsageReport(report, BootClock::now());
   if (!report.forward_to_domain) {
     return;
   }
-  UsageReport passed = report;
-  passed.forward_to_domain = false;
-  const std::string sealed = SealUsage(passed);
+  UsageReport forwarded = report;
+  forwarded.forward_to_domain = false;
+  const std::string sealed = SealUsage(forwarded);
   for (const std::string& address : plan_.AliveInDomain(BootClock::now())) {
     SendUsage(address, sealed);
   }
@@ -83,9 +83,11 @@
 void PeerLink::PublishCrashes() {
   const Time now = BootClock::now();
   const bool reports = reporter_.IsReporter(now);
-  SendCrashes(plan_.AllInDomain(), tellers_.crashes.OwnCrashes(reports, now));
+  SendCrashes(plan_.AllInDomain(),
+              publishers_.crashes.OwnCrashes(reports, now));
   if (reports) {
-    SendCrashes(reporter_.Receivers(now), tellers_.crashes.DomainCrashes(now));
+    SendCrashes(reporter_.Receivers(now),
+                publishers_.crashes.DomainCrashes(now));
   }
 }
 
@@ -104,24 +106,24 @@
 
 void PeerLink::OnCrashReport(const CrashReport& report) {
   const Time now = BootClock::now();
-  const bool news = tellers_.crashes.OnCrashReport(report, now);
+  const bool has_updates = publishers_.crashes.OnCrashReport(report, now);
   if (report.forward_to_domain) {
-    CrashReport passed = report;
-    passed.forward_to_domain = false;
-    SendCrashes(plan_.AliveInDomain(now), passed);
+    CrashReport forwarded = report;
+    forwarded.forward_to_domain = false;
+    SendCrashes(plan_.AliveInDomain(now), forwarded);
   }
-  if (news) {
+  if (has_updates) {
     PublishCrashes();
   }
 }
 
 void PeerLink::PublishLimits() {
   const Time now = BootClock::now();
-  SendLimits(plan_.Receivers(now), tellers_.limits.OwnLimits(now));
+  SendLimits(plan_.Receivers(now), publishers_.limits.OwnLimits(now));
   if (!reporter_.IsReporter(now)) {
     return;
   }
-  LimitReport report = tellers_.limits.DomainLimits(now);
+  LimitReport report = publishers_.limits.DomainLimits(now);
   SendLimits(reporter_.Receivers(now), report);
   report.forward_to_domain = false;
   SendLimits(plan_.OwnReportReceivers(now), report);
@@ -142,11 +144,11 @@
 
 void PeerLink::OnLimitReport(const LimitReport& report) {
   const Time now = BootClock::now();
-  tellers_.limits.OnLimitReport(report, now);
+  publishers_.limits.OnLimitReport(report, now);
   if (report.forward_to_domain) {
-    LimitReport passed = report;
-    passed.forward_to_domain = false;
-    SendLimits(plan_.AliveInDomain(now), passed);
+    LimitReport forwarded = report;
+    forwarded.forward_to_domain = false;
+    SendLimits(plan_.AliveInDomain(now), forwarded);
   }
 }
 
--- a/src/pathcleat/fleet/relay_choice.cpp
+++ b/src/pathcleat/fleet/relay_choice.cpp
@@ -11,26 +11,28 @@
 namespace pathcleat {
 namespace {
 
-// So many hosts watch the store at least, whatever the number of domains:
-// a small fleet loses most of its hosts at once.
-constexpr int kFewestWatchers = 8;
+// Minimum number of hosts in the fleet that watch the store, whatever the
+// number of domains: in a small fleet, most hosts may fail at once.
+constexpr int kMinWatchers = 8;
 
-// The first have read the table and passed it on after 1 s, also where they
-// start at the same moment. Then so many hosts a second go to the store.
-constexpr Duration kReadingPatience{1'000'000};
-constexpr int kReadersASecond = 8;
-// Rows of hosts that are gone for good may all rank ahead.
-constexpr Duration kLongestPatience{3'000'000};
+// Within 1 s the highest-ranked hosts have read the table and forwarded it,
+// also if all hosts start at the same moment. After that kReadersPerSecond
+// further hosts of a domain read the store each second.
+constexpr Duration kStoreReadDelay{1'000'000};
+constexpr int kReadersPerSecond = 8;
+// Upper bound of the wait, as all hosts that rank ahead may be gone for good
+// and be listed by their rows only.
+constexpr Duration kMaxStoreReadDelay{3'000'000};
 
 int WatchersOfDomain(int domains) {
-  const int shared = std::max(1, domains);
-  return (kFewestWatchers + shared - 1) / shared;
+  const int domain_count = std::max(1, domains);
+  return (kMinWatchers + domain_count - 1) / domain_count;
 }
 
-// Which hosts count when the hosts of a domain are ranked.
+// Which hosts are included when the hosts of a domain are ranked.
 struct RankRule {
   int domains = 1;
-  bool past_failing = false;
+  bool skip_failing = false;
   bool self_failing = false;
 };
 
@@ -43,33 +45,34 @@
   return host.region == self.region ? Distance::kRegion : Distance::kFar;
 }
 
-// Whether a host ranks among those of its domain that watch the store.
-// Hosts that the store does not answer are passed over, if so wanted.
-bool RanksFirst(const HostTable& hosts,
-                const HostInfo& ranked,
-                const RankRule& rule,
-                Time now) {
+// Whether a host ranks among the hosts of its domain that watch the store.
+// Skips hosts that get no answer from the store if the rule says so.
+bool RanksAmongWatchers(const HostTable& hosts,
+                        const HostInfo& ranked,
+                        const RankRule& rule,
+                        Time now) {
   const HostInfo& self = hosts.self();
   const bool self_ahead = self.domain == ranked.domain && !self.leaving &&
-                          !(rule.past_failing && rule.self_failing) &&
+                          !(rule.skip_failing && rule.self_failing) &&
                           RanksAhead(self, ranked);
   const auto counts = [&](const KnownHost& host) {
     const bool failing = host.versions.store_access == StoreAccess::kFailing;
-    return hosts.IsAlive(host, now) && !(rule.past_failing && failing);
+    return hosts.IsAlive(host, now) && !(rule.skip_failing && failing);
   };
   const int ahead =
       CountHigherRanked(hosts, ranked, counts) + (self_ahead ? 1 : 0);
   return ahead < WatchersOfDomain(rule.domains);
 }
 
-// Followers spread over the relays at the same distance.
+// The nearest host that a follower can get changes from. Followers are spread
+// over the relays at the same distance by a hash of the names.
 const KnownHost* NearestRelay(const HostTable& hosts,
-                              const RelayCriteria& need,
+                              const RelayCriteria& criteria,
                               Distance farthest,
                               Time now) {
   const HostInfo& self = hosts.self();
   const std::uint64_t own_hash = StableHash(self.name);
-  const RankRule rule{need.domain_count, true, need.store_failed};
+  const RankRule rule{criteria.domain_count, true, criteria.store_failed};
   const KnownHost* best = nullptr;
   const auto precedes = [&](const KnownHost& a, const KnownHost& b) {
     const Distance to_a = DistanceOf(self, a.info);
@@ -79,11 +82,12 @@
                               MixHashes(own_hash, StableHash(b.info.name));
   };
   for (const KnownHost* host : hosts.Others()) {
-    const bool relays = host->versions.store_access == StoreAccess::kWatching &&
-                        !host->info.leaving && hosts.IsAlive(*host, now) &&
-                        !need.avoided_peers.contains(host->info.peer_address);
+    const bool relays =
+        host->versions.store_access == StoreAccess::kWatching &&
+        !host->info.leaving && hosts.IsAlive(*host, now) &&
+        !criteria.avoided_peers.contains(host->info.peer_address);
     if (relays && DistanceOf(self, host->info) <= farthest &&
-        RanksFirst(hosts, host->info, rule, now) &&
+        RanksAmongWatchers(hosts, host->info, rule, now) &&
         (best == nullptr || precedes(*host, *best))) {
       best = host;
     }
@@ -94,39 +98,42 @@
 }  // namespace
 
 bool ShouldReadStore(const HostTable& hosts,
-                     const StoreReadCriteria& need,
+                     const StoreReadCriteria& criteria,
                      Time now) {
   const auto counts = [&hosts, now](const KnownHost& host) {
     return hosts.SharesLimits(host, now);
   };
   const int ahead = CountHigherRanked(hosts, hosts.self(), counts);
-  const int behind = ahead - WatchersOfDomain(need.domain_count);
+  const int behind = ahead - WatchersOfDomain(criteria.domain_count);
   if (behind < 0) {
     return true;
   }
   constexpr Duration kSecond{1'000'000};
-  const Duration patience =
-      kReadingPatience + kSecond * (behind / kReadersASecond);
-  return need.waited >= std::min(patience, kLongestPatience);
+  const Duration delay =
+      kStoreReadDelay + kSecond * (behind / kReadersPerSecond);
+  return criteria.waited >= std::min(delay, kMaxStoreReadDelay);
 }
 
 RelayChoice ChooseRelay(const HostTable& hosts,
-                        const RelayCriteria& need,
+                        const RelayCriteria& criteria,
                         Time now) {
-  const RankRule past_failing{need.domain_count, true, need.store_failed};
-  if (!need.store_failed &&
-      RanksFirst(hosts, hosts.self(), past_failing, now)) {
+  const RankRule skip_failing{criteria.domain_count, true,
+                              criteria.store_failed};
+  if (!criteria.store_failed &&
+      RanksAmongWatchers(hosts, hosts.self(), skip_failing, now)) {
     return {};
   }
   const Distance farthest =
-      need.store_failed ? Distance::kFar : Distance::kDomain;
-  const KnownHost* relay = NearestRelay(hosts, need, farthest, now);
+      criteria.store_failed ? Distance::kFar : Distance::kDomain;
+  const KnownHost* relay = NearestRelay(hosts, criteria, farthest, now);
   if (relay != nullptr) {
     return {RelayKind::kPeer, relay->info.peer_address, relay->info.name};
   }
-  const RankRule all{need.domain_count, false, need.store_failed};
+  const RankRule with_failing{criteria.domain_count, false,
+                              criteria.store_failed};
   const bool others_first =
-      need.store_failed && !RanksFirst(hosts, hosts.self(), all, now);
+      criteria.store_failed &&
+      !RanksAmongWatchers(hosts, hosts.self(), with_failing, now);
   return {others_first ? RelayKind::kNone : RelayKind::kStore, "", ""};
 }
 
--- a/src/pathcleat/fleet/relay_choice_test.cpp
+++ b/src/pathcleat/fleet/relay_choice_test.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 const Time kStart{Duration(1'000'000)};
-constexpr Duration kSilence{2'500'000};
+constexpr Duration kHeartbeatTimeout{2'500'000};
 
-HostInfo HostAt(int domain, int index) {
+HostInfo MakeHost(int domain, int index) {
   HostInfo host;
   host.name = "host-" + std::to_string(domain) + "-" + std::to_string(index);
   host.incarnation = 1;
@@ -22,12 +22,12 @@
   return host;
 }
 
-// A fleet in which every host has heard every other.
-struct Fleet {
-  Fleet(int domain_count, int per_domain) : domains(domain_count) {
+// A fleet with a host table for each host; SendHeartbeatsToAll fills them.
+struct RelayFleet {
+  RelayFleet(int domain_count, int per_domain) : domains(domain_count) {
     for (int d = 0; d < domain_count; ++d) {
       for (int i = 0; i < per_domain; ++i) {
-        infos.push_back(HostAt(d, i));
+        infos.push_back(MakeHost(d, i));
       }
     }
     RebuildTables();
@@ -37,11 +37,11 @@
   void RebuildTables() {
     tables.clear();
     for (const HostInfo& info : infos) {
-      tables.push_back(std::make_unique<HostTable>(info, kSilence));
+      tables.push_back(std::make_unique<HostTable>(info, kHeartbeatTimeout));
     }
   }
 
-  void TellAll(const std::set<std::size_t>& dead = {}) {
+  void SendHeartbeatsToAll(const std::set<std::size_t>& dead = {}) {
     for (const auto& table : tables) {
       for (std::size_t i = 0; i < infos.size(); ++i) {
         HostVersions versions;
@@ -53,7 +53,8 @@
     }
   }
 
-  RelayChoice ChoiceOf(std::size_t host, bool store_failed = false) const {
+  RelayChoice ChooseRelayFor(std::size_t host,
+                             bool store_failed = false) const {
     return ChooseRelay(*tables[host], {domains, store_failed, {}}, kStart);
   }
 
@@ -63,51 +64,51 @@
   std::vector<StoreAccess> access;
 };
 
-// With each of 80 hosts at the store, its calls cost 0.16 to 0.50 of a day.
+// Guards against store calls that grow with the number of hosts: with each of
+// 80 hosts watching the store, its calls cost 0.16 to 0.50 of a day's worth.
 Test(relay_choice, few_hosts_of_a_large_fleet_watch_the_store) {
-  Fleet fleet(9, 9);
-  fleet.TellAll();
-  int at_store = 0;
+  RelayFleet fleet(9, 9);
+  fleet.SendHeartbeatsToAll();
+  int watching = 0;
   for (std::size_t i = 0; i < fleet.infos.size(); ++i) {
     if (ChooseRelay(*fleet.tables[i], {9, false, {}}, kStart).kind ==
         RelayKind::kStore) {
       fleet.access[i] = StoreAccess::kWatching;
     }
   }
-  fleet.TellAll();
+  fleet.SendHeartbeatsToAll();
   for (std::size_t i = 0; i < fleet.infos.size(); ++i) {
-    at_store += fleet.ChoiceOf(i).kind == RelayKind::kStore ? 1 : 0;
+    watching += fleet.ChooseRelayFor(i).kind == RelayKind::kStore ? 1 : 0;
   }
-  cr_assert_eq(at_store, 9);
+  cr_assert_eq(watching, 9);
 }
 
-// Hosts that all began at the store followed each other in circles, and each
-// change reached them late (CONFIG on grown race results, fresh-dfb4).
-Test(relay_choice, nobody_follows_a_host_that_will_itself_follow) {
-  Fleet fleet(6, 14);
+// Hosts that all watched the store at first came to follow each other in
+// circles, so that every change reached them late.
+Test(relay_choice, no_host_follows_a_host_that_will_itself_follow) {
+  RelayFleet fleet(6, 14);
   fleet.access.assign(fleet.infos.size(), StoreAccess::kWatching);
-  fleet.TellAll();
+  fleet.SendHeartbeatsToAll();
   std::set<std::string> followed;
-  std::set<std::string> at_store;
+  std::set<std::string> watching;
   for (std::size_t i = 0; i < fleet.infos.size(); ++i) {
-    const RelayChoice choice = fleet.ChoiceOf(i);
+    const RelayChoice choice = fleet.ChooseRelayFor(i);
     if (choice.kind == RelayKind::kPeer) {
       followed.insert(choice.peer_address);
     } else {
-      at_store.insert(fleet.infos[i].peer_address);
+      watching.insert(fleet.infos[i].peer_address);
     }
   }
-  cr_assert_eq(at_store.size(), 12U);
+  cr_assert_eq(watching.size(), 12U);
   for (const std::string& relay : followed) {
-    cr_assert(at_store.contains(relay));
+    cr_assert(watching.contains(relay));
   }
 }
 
-// Ranked by hash alone, all relays of a fleet were hosts on 10 Mbit/s, beside
-// others with twenty times that (issue 22). Checked to fail with the links'
-// comparison out of IsAheadOf.
+// Ranked by hash alone, all relays of a fleet had links of 10 Mbit/s although
+// other hosts had 200 Mbit/s. Fails without the link comparison in RanksAhead.
 Test(relay_choice, hosts_with_the_widest_links_watch_for_their_domain) {
-  Fleet fleet(4, 8);
+  RelayFleet fleet(4, 8);
   constexpr std::size_t kPerDomain = 8;
   const auto is_wide = [](std::size_t host) { return host % kPerDomain < 2; };
   for (std::size_t i = 0; i < fleet.infos.size(); ++i) {
@@ -115,32 +116,32 @@
   }
   fleet.RebuildTables();
   fleet.access.assign(fleet.infos.size(), StoreAccess::kWatching);
-  fleet.TellAll();
+  fleet.SendHeartbeatsToAll();
   for (std::size_t i = 0; i < fleet.infos.size(); ++i) {
-    const bool watches = fleet.ChoiceOf(i).kind == RelayKind::kStore;
+    const bool watches = fleet.ChooseRelayFor(i).kind == RelayKind::kStore;
     cr_assert_eq(watches, is_wide(i), "host %zu", i);
     fleet.access[i] =
         watches ? StoreAccess::kWatching : StoreAccess::kFollowingPeer;
   }
-  fleet.TellAll();
+  fleet.SendHeartbeatsToAll();
   for (std::size_t i = 0; i < fleet.infos.size(); ++i) {
-    const RelayChoice choice = fleet.ChoiceOf(i);
+    const RelayChoice choice = fleet.ChooseRelayFor(i);
     cr_assert(is_wide(i) || choice.kind == RelayKind::kPeer);
   }
 }
 
 Test(relay_choice, every_host_of_a_small_fleet_watches_the_store) {
-  Fleet fleet(4, 2);
+  RelayFleet fleet(4, 2);
   fleet.access.assign(fleet.infos.size(), StoreAccess::kWatching);
-  fleet.TellAll();
+  fleet.SendHeartbeatsToAll();
   for (std::size_t i = 0; i < fleet.infos.size(); ++i) {
-    cr_assert(fleet.ChoiceOf(i).kind == RelayKind::kStore);
+    cr_assert(fleet.ChooseRelayFor(i).kind == RelayKind::kStore);
   }
 }
 
-Test(relay_choice, somebody_of_a_domain_watches_whoever_dies_or_fails) {
-  cr_assert(Holds("a domain is never without a watch", [] {
-    Fleet fleet(8, *rc::gen::inRange(1, 8));
+Test(relay_choice, each_domain_keeps_a_watcher_if_hosts_die_or_fail) {
+  cr_assert(Holds("every domain with living hosts has a watcher", [] {
+    RelayFleet fleet(8, *rc::gen::inRange(1, 8));
     std::set<std::size_t> dead;
     std::vector<bool> failed(fleet.infos.size());
     for (std::size_t i = 0; i < fleet.infos.size(); ++i) {
@@ -151,21 +152,22 @@
         fleet.access[i] = StoreAccess::kFailing;
       }
     }
-    // Choices settle in two rounds: who watches says so, others follow.
+    // Choices are stable after two rounds: watchers report their store access,
+    // then the other hosts follow them.
     for (int round = 0; round < 2; ++round) {
-      fleet.TellAll(dead);
+      fleet.SendHeartbeatsToAll(dead);
       for (std::size_t i = 0; i < fleet.infos.size(); ++i) {
-        if (!failed[i] && fleet.ChoiceOf(i).kind == RelayKind::kStore) {
+        if (!failed[i] && fleet.ChooseRelayFor(i).kind == RelayKind::kStore) {
           fleet.access[i] = StoreAccess::kWatching;
         }
       }
     }
-    fleet.TellAll(dead);
+    fleet.SendHeartbeatsToAll(dead);
     for (std::size_t i = 0; i < fleet.infos.size(); ++i) {
       if (dead.contains(i)) {
         continue;
       }
-      const RelayChoice choice = fleet.ChoiceOf(i, failed[i]);
+      const RelayChoice choice = fleet.ChooseRelayFor(i, failed[i]);
       RC_ASSERT(choice.kind == RelayKind::kPeer ||
                 fleet.access[i] == StoreAccess::kWatching || failed[i]);
       if (choice.kind == RelayKind::kPeer) {
@@ -173,55 +175,55 @@
             fleet.infos.begin(), fleet.infos.end(), [&](const HostInfo& host) {
               return host.peer_address == choice.peer_address;
             });
-        const std::size_t at = relay - fleet.infos.begin();
-        RC_ASSERT(!dead.contains(at) &&
-                  fleet.access[at] == StoreAccess::kWatching);
+        const std::size_t relay_index = relay - fleet.infos.begin();
+        RC_ASSERT(!dead.contains(relay_index) &&
+                  fleet.access[relay_index] == StoreAccess::kWatching);
         RC_ASSERT(failed[i] || relay->domain == fleet.infos[i].domain);
       }
     }
   }));
 }
 
-Test(relay_choice, host_that_the_store_turns_away_follows_another_region) {
-  Fleet fleet(2, 1);
+Test(relay_choice, host_without_store_access_follows_another_region) {
+  RelayFleet fleet(2, 1);
   fleet.access = {StoreAccess::kFailing, StoreAccess::kWatching};
-  fleet.TellAll();
-  const RelayChoice choice = fleet.ChoiceOf(0, true);
+  fleet.SendHeartbeatsToAll();
+  const RelayChoice choice = fleet.ChooseRelayFor(0, true);
   cr_assert(choice.kind == RelayKind::kPeer);
   cr_assert_str_eq(choice.peer_address.c_str(), "host-1-0");
-  const RelayCriteria failed_there{2, true, {"host-1-0"}};
-  cr_assert(ChooseRelay(*fleet.tables[0], failed_there, kStart).kind ==
+  const RelayCriteria criteria{2, true, {"host-1-0"}};
+  cr_assert(ChooseRelay(*fleet.tables[0], criteria, kStart).kind ==
             RelayKind::kStore);
 }
 
-Test(relay_choice, while_the_store_is_down_few_hosts_keep_asking_it) {
-  Fleet fleet(8, 10);
+Test(relay_choice, while_the_store_is_down_few_hosts_keep_calling_it) {
+  RelayFleet fleet(8, 10);
   fleet.access.assign(fleet.infos.size(), StoreAccess::kFailing);
-  fleet.TellAll();
-  int asking = 0;
+  fleet.SendHeartbeatsToAll();
+  int calling = 0;
   for (std::size_t i = 0; i < fleet.infos.size(); ++i) {
-    asking += fleet.ChoiceOf(i, true).kind == RelayKind::kStore ? 1 : 0;
+    calling += fleet.ChooseRelayFor(i, true).kind == RelayKind::kStore ? 1 : 0;
   }
-  cr_assert_eq(asking, 8);
+  cr_assert_eq(calling, 8);
 }
 
 Test(relay_choice, leaving_and_silent_hosts_are_not_followed) {
-  Fleet fleet(8, 2);
+  RelayFleet fleet(8, 2);
   fleet.access.assign(fleet.infos.size(), StoreAccess::kWatching);
   for (HostInfo& info : fleet.infos) {
     info.leaving = true;
   }
-  fleet.TellAll();
-  cr_assert(fleet.ChoiceOf(0).kind == RelayKind::kStore);
+  fleet.SendHeartbeatsToAll();
+  cr_assert(fleet.ChooseRelayFor(0).kind == RelayKind::kStore);
   cr_assert(ChooseRelay(*fleet.tables[0], {8, true, {}},
-                        kStart + kSilence + Duration(1))
+                        kStart + kHeartbeatTimeout + Duration(1))
                 .kind == RelayKind::kStore);
 }
 
-// Hosts that read a table of the store whole when all start at one moment, each
-// knowing the others by their rows.
+// Number of hosts that read a whole table from the store if all start at the
+// same moment and each has the rows of all others.
 int ReadersAtStart(int domains, int per_domain, Duration waited) {
-  Fleet fleet(domains, per_domain);
+  RelayFleet fleet(domains, per_domain);
   for (const auto& table : fleet.tables) {
     for (const HostInfo& info : fleet.infos) {
       table->OnStoreRow(info, kStart);
@@ -234,17 +236,18 @@
   return readers;
 }
 
-// With each of 986 hosts reading 10,002 upstreams, a start took 3 GB from the
-// store: 0.4 of a day's worth. Readers grow with the domains, not the hosts.
-// Checked to fail with ShouldReadStore always true.
+// Guards against reads at a start that grow with the number of hosts: with each
+// of 986 hosts reading 10,002 upstreams, a start took 3 GB from the store, 0.4
+// of a day's worth. Fails with ShouldReadStore always true.
 Test(relay_choice, readers_of_the_store_do_not_grow_with_the_hosts) {
   cr_assert_eq(ReadersAtStart(9, 11, Duration(0)), 9);
   cr_assert_eq(ReadersAtStart(9, 111, Duration(0)), 9);
   cr_assert_eq(ReadersAtStart(1, 9, Duration(0)), 8);
 }
 
-// A few more where the first have died, and never all at one moment.
-Test(relay_choice, others_read_the_store_by_turns_if_the_first_do_not) {
+// If the highest-ranked hosts have died, others read the store, but never all
+// at the same moment.
+Test(relay_choice, others_read_the_store_in_turn_if_the_first_do_not) {
   cr_assert_eq(ReadersAtStart(9, 111, Duration(1'000'000)), 9 * 9);
   cr_assert_eq(ReadersAtStart(9, 111, Duration(2'000'000)), 9 * 17);
   cr_assert_eq(ReadersAtStart(1, 9, Duration(1'000'000)), 9);
--- a/src/pathcleat/fleet/up_to_date_host.cpp
+++ b/src/pathcleat/fleet/up_to_date_host.cpp
@@ -8,7 +8,8 @@
 namespace pathcleat {
 namespace {
 
-// Smaller is better: how far, how thin, and a draw.
+// Distance, negative link capacity in Mbit/s and a hash that decides between
+// equal hosts; the smallest rank is best.
 using Rank = std::tuple<int, double, std::uint64_t>;
 
 int DistanceOf(const HostInfo& self, const HostInfo& host) {
@@ -22,7 +23,7 @@
 
 const KnownHost* ChooseUpToDateHost(
     const HostTable& hosts,
-    const std::function<bool(const HostVersions&)>& knows,
+    const std::function<bool(const HostVersions&)>& has_data,
     std::uint64_t salt,
     Time now) {
   const std::uint64_t seed = MixHashes(salt, StableHash(hosts.self().name));
@@ -33,7 +34,7 @@
   const KnownHost* best = nullptr;
   for (const KnownHost* host : hosts.Others()) {
     if (host->info.leaving || !hosts.IsAlive(*host, now) ||
-        !knows(host->versions)) {
+        !has_data(host->versions)) {
       continue;
     }
     if (best == nullptr || rank_of(*host) < rank_of(*best)) {
--- a/src/pathcleat/fleet/up_to_date_host_test.cpp
+++ b/src/pathcleat/fleet/up_to_date_host_test.cpp
@@ -9,12 +9,12 @@
 namespace {
 
 const Time kStart{Duration(1'000'000)};
-constexpr Duration kSilence{2'500'000};
+constexpr Duration kHeartbeatTimeout{2'500'000};
 
-HostInfo HostAt(const std::string& name,
-                const std::string& domain,
-                const std::string& region,
-                double link_mbps) {
+HostInfo MakeHost(const std::string& name,
+                  const std::string& domain,
+                  const std::string& region,
+                  double link_mbps) {
   HostInfo host;
   host.name = name;
   host.incarnation = 1;
@@ -24,8 +24,8 @@
   return host;
 }
 
-struct InformedWorld {
-  void Hear(const HostInfo& host, std::uint64_t orders) {
+struct HostChoiceFixture {
+  void OnHeartbeat(const HostInfo& host, std::uint64_t orders) {
     HostVersions versions;
     versions.orders = orders;
     table.OnHeartbeat(host, versions, kStart);
@@ -37,48 +37,49 @@
     return host == nullptr ? "" : host->info.name;
   }
 
-  HostTable table{HostAt("self", "d", "r", 10), kSilence};
+  HostTable table{MakeHost("self", "d", "r", 10), kHeartbeatTimeout};
 };
 
-// Whoever was heard first to know more was asked: one thin host of another
-// region by a whole domain (issue 22). Checked to fail without the distance
-// and without the link in the rank.
-Test(informed_choice, near_host_with_a_wide_link_is_asked) {
-  InformedWorld world;
-  world.Hear(HostAt("far-wide", "e", "s", 1'000), 9);
-  cr_assert_str_eq(world.Choose().c_str(), "far-wide");
-  world.Hear(HostAt("near-thin", "d", "r", 10), 9);
-  cr_assert_str_eq(world.Choose().c_str(), "near-thin");
-  world.Hear(HostAt("near-wide", "d", "r", 200), 9);
-  world.Hear(HostAt("near-wider-but-behind", "d", "r", 400), 7);
+// When the first host that reported newer data was asked, a whole domain
+// fetched from one host of another region with a narrow link. Fails without the
+// distance in the rank, and without the link capacity in the rank.
+Test(up_to_date_host, near_host_with_a_wide_link_is_asked) {
+  HostChoiceFixture fixture;
+  fixture.OnHeartbeat(MakeHost("far-wide", "e", "s", 1'000), 9);
+  cr_assert_str_eq(fixture.Choose().c_str(), "far-wide");
+  fixture.OnHeartbeat(MakeHost("near-thin", "d", "r", 10), 9);
+  cr_assert_str_eq(fixture.Choose().c_str(), "near-thin");
+  fixture.OnHeartbeat(MakeHost("near-wide", "d", "r", 200), 9);
+  fixture.OnHeartbeat(MakeHost("near-wider-but-behind", "d", "r", 400), 7);
   for (std::uint64_t salt = 0; salt < 20; ++salt) {
-    cr_assert_str_eq(world.Choose(salt).c_str(), "near-wide");
+    cr_assert_str_eq(fixture.Choose(salt).c_str(), "near-wide");
   }
 }
 
-// Checked to fail with the salt out of the seed.
-Test(informed_choice, equals_are_asked_in_turns) {
-  InformedWorld world;
+// Guards against a host without answers that is asked every time. Fails without
+// the salt in the seed.
+Test(up_to_date_host, equal_hosts_are_asked_in_turn) {
+  HostChoiceFixture fixture;
   for (int i = 0; i < 4; ++i) {
-    world.Hear(HostAt("host-" + std::to_string(i), "d", "r", 10), 9);
+    fixture.OnHeartbeat(MakeHost("host-" + std::to_string(i), "d", "r", 10), 9);
   }
   std::set<std::string> asked;
   for (std::uint64_t salt = 0; salt < 100; ++salt) {
-    asked.insert(world.Choose(salt));
+    asked.insert(fixture.Choose(salt));
   }
   cr_assert_eq(asked.size(), 4U);
 }
 
-Test(informed_choice, leaving_and_silent_hosts_are_not_asked) {
-  InformedWorld world;
-  HostInfo leaving = HostAt("leaving", "d", "r", 10);
+Test(up_to_date_host, leaving_and_silent_hosts_are_not_asked) {
+  HostChoiceFixture fixture;
+  HostInfo leaving = MakeHost("leaving", "d", "r", 10);
   leaving.leaving = true;
-  world.Hear(leaving, 9);
-  cr_assert_str_eq(world.Choose().c_str(), "");
-  world.Hear(HostAt("heard", "d", "r", 10), 9);
-  cr_assert_str_eq(world.Choose().c_str(), "heard");
-  const Time later = kStart + kSilence + Duration(1);
-  cr_assert_str_eq(world.Choose(0, later).c_str(), "");
+  fixture.OnHeartbeat(leaving, 9);
+  cr_assert_str_eq(fixture.Choose().c_str(), "");
+  fixture.OnHeartbeat(MakeHost("heard", "d", "r", 10), 9);
+  cr_assert_str_eq(fixture.Choose().c_str(), "heard");
+  const Time later = kStart + kHeartbeatTimeout + Duration(1);
+  cr_assert_str_eq(fixture.Choose(0, later).c_str(), "");
 }
 
 }  // namespace
