--- a/include/pathcleat/feeds/change_journal.hpp
+++ b/include/pathcleat/feeds/change_journal.hpp
@@ -10,24 +10,24 @@
 
 namespace pathcleat {
 
-/// @brief Which keys of a topic changed at which version, as far back as a
-/// bounded memory goes, so that a host can tell others what changed since
-/// the version that they know. Not thread-safe.
+/// @brief A bounded log of the keys of a topic and the versions at which they
+/// changed, so that a host can send peers the changes since the version that
+/// they have. Not thread-safe.
 /// @ingroup feeds
 class ChangeJournal {
  public:
-  /// @param capacity changes kept; older ones are forgotten.
+  /// @param capacity maximum number of changes kept; the oldest are dropped.
   explicit ChangeJournal(std::size_t capacity);
 
-  /// @brief A key changed. Versions never fall.
+  /// @brief Records that a key changed. Versions must not decrease.
   void Append(std::uint64_t version, const std::string& key);
 
-  /// @brief Everything was read anew as of a version: what changed before it
-  /// is not known any more.
+  /// @brief Drops all changes after the topic was read completely at a version:
+  /// changes before that version cannot be listed any more.
   void ResetTo(std::uint64_t version);
 
-  /// @brief The keys that changed after a version; nothing if the memory does
-  /// not go back that far.
+  /// @brief The keys that changed after a version; `std::nullopt` if the log
+  /// does not go back to that version.
   std::optional<std::set<std::string>> ChangedSince(
       std::uint64_t version) const;
 
@@ -38,7 +38,7 @@
   };
 
   std::size_t capacity_;
-  std::uint64_t floor_ = 0;  ///< all changes after it are known
+  std::uint64_t complete_after_ = 0;  ///< the log holds all changes after it
   std::deque<Change> changes_;
 };
 
--- a/include/pathcleat/feeds/config_history.hpp
+++ b/include/pathcleat/feeds/config_history.hpp
@@ -10,22 +10,22 @@
 
 namespace pathcleat {
 
-/// @brief The newest configuration as this host passes it on: to each host
-/// what changes the version that it knows, encoded once for all of them. Of
-/// older versions only the marks of their routes and accounts are kept. Not
-/// thread-safe.
+/// @brief Encodes the newest configuration for other hosts, as an update of the
+/// version that the receiver has in force. Each update is encoded once for all
+/// hosts with the same version. Of older versions only the hashes of routes and
+/// accounts are kept. Not thread-safe.
 /// @ingroup feeds
 class ConfigHistory {
  public:
-  /// @brief A version came into force. Versions only rise.
+  /// @brief Records a version that came into force. Versions must increase.
   void Append(const RoutingConfig& config);
 
-  /// @brief The bytes that lead a host from one version to the newest.
-  /// @param config the newest, as it was noted.
-  /// @param known version in force there; one not remembered here, or 0, is
-  /// told the whole.
+  /// @brief The encoded update from a host's version to the newest one.
+  /// @param config the newest configuration, as given to Append last.
+  /// @param base_version version in force at the receiver. If it is 0 or no
+  /// longer in the history, the update holds the full configuration.
   const std::string& EncodedUpdateSince(const RoutingConfig& config,
-                                        std::uint64_t known);
+                                        std::uint64_t base_version);
 
  private:
   struct Version {
@@ -35,10 +35,11 @@
   };
 
   const Version* Find(std::uint64_t number) const;
-  ConfigUpdate MakePart(const RoutingConfig& config, const Version* base) const;
+  ConfigUpdate MakeUpdate(const RoutingConfig& config,
+                          const Version* base) const;
 
   std::deque<Version> versions_;                  ///< oldest first
-  std::map<std::uint64_t, std::string> encoded_;  ///< by the version known
+  std::map<std::uint64_t, std::string> encoded_;  ///< updates by base version
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/feeds/config_lag.hpp
+++ b/include/pathcleat/feeds/config_lag.hpp
@@ -8,34 +8,36 @@
 
 namespace pathcleat {
 
-/// @brief How far the configuration in force here is behind the one that
-/// other hosts have in force. What no living host tells of any more does not
-/// count: a host cut off from the rest serves on by what it knows. Not
-/// thread-safe.
+/// @brief Measures how far the configuration in force on this host is behind
+/// that of other hosts. Versions that no living host reports any more do not
+/// count: a host that is cut off from the fleet continues with the
+/// configuration that it has. Not thread-safe.
 /// @ingroup feeds
 class ConfigLag {
  public:
-  /// @param silence after which what was told is forgotten.
-  explicit ConfigLag(Duration silence) : silence_(silence) {}
+  /// @param report_ttl how long a reported version counts after the last report
+  /// of a newer version.
+  explicit ConfigLag(Duration report_ttl) : report_ttl_(report_ttl) {}
 
-  /// @brief Another host has had a version in force for a time.
+  /// @brief Records that another host has had a version in force for `age`.
   void OnPeerVersion(std::uint64_t version, Duration age, Time now);
 
-  /// @brief A version came into force here.
+  /// @brief Records that a version came into force on this host.
   void OnApplied(std::uint64_t version);
 
-  /// @brief Whether others have a newer version in force.
+  /// @brief Whether other hosts have a newer version in force.
   bool IsBehind(Time now) const;
 
-  /// @brief How long ago the first version that is missing here came into
-  /// force anywhere; zero if none is missing.
+  /// @brief Time since the first version that this host lacks came into force
+  /// on any host; zero if this host lacks none.
   Duration LagDuration(Time now) const;
 
  private:
-  Duration silence_;
+  Duration report_ttl_;
   std::uint64_t applied_ = 0;
-  Time told_;                              ///< when a newer one was last told
-  std::map<std::uint64_t, Time> missing_;  ///< newer versions, and since when
+  Time last_report_;  ///< last report of a newer version
+  std::map<std::uint64_t, Time>
+      missing_;  ///< newer versions, and when in force
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/feeds/config_update.hpp
+++ b/include/pathcleat/feeds/config_update.hpp
@@ -12,37 +12,37 @@
 
 namespace pathcleat {
 
-/// @brief What leads from the base's list to the new one.
+/// @brief The steps from a list of the base version to the new list.
 /// @ingroup feeds
 template <class Entry>
 struct ListDelta {
   std::vector<ListDeltaStep<Entry>> steps;
-  std::uint64_t digest = 0;  ///< of the new list's marks
+  std::uint64_t digest = 0;  ///< of the content hashes of the new list
 };
 
-/// @brief A configuration as one host passes it on to another: whole, or as
-/// what changes the routes and accounts of an older version.
+/// @brief A configuration in the form in which hosts send it to each other: in
+/// full, or with routes and accounts as deltas to an older version.
 /// @ingroup feeds
 struct ConfigUpdate {
-  RoutingConfig config;  ///< without routes and accounts if there is a base
-  std::uint64_t base_version =
-      0;  ///< version that the steps begin at; 0: whole
+  RoutingConfig config;  ///< without routes and accounts if it is a delta
+  std::uint64_t base_version = 0;  ///< to which deltas apply; 0: full
   ListDelta<Route> routes;
   ListDelta<Account> accounts;
 };
 
-/// @brief The configuration that a part tells.
-/// @param known what this host has in force; null: nothing.
-/// @return nothing if the part is no change of it.
+/// @brief The configuration that results from an update.
+/// @param current configuration in force on this host; null if there is none.
+/// @return `std::nullopt` if the update is a delta that does not apply to
+/// `current`.
 /// @ingroup feeds
-std::optional<RoutingConfig> ApplyConfigUpdate(ConfigUpdate part,
-                                               const RoutingConfig* known);
+std::optional<RoutingConfig> ApplyConfigUpdate(ConfigUpdate update,
+                                               const RoutingConfig* current);
 
-/// @brief A part's bytes (cereal, portable binary).
+/// @brief Encodes an update (cereal, portable binary).
 /// @ingroup feeds
-std::string EncodeConfigUpdate(const ConfigUpdate& part);
+std::string EncodeConfigUpdate(const ConfigUpdate& update);
 
-/// @brief Reads a part; nothing if the bytes are none.
+/// @brief Decodes an update; `std::nullopt` if the bytes are not an update.
 /// @ingroup feeds
 std::optional<ConfigUpdate> DecodeConfigUpdate(std::string_view bytes);
 
--- a/include/pathcleat/feeds/fleet_snapshot.hpp
+++ b/include/pathcleat/feeds/fleet_snapshot.hpp
@@ -15,35 +15,34 @@
 
 namespace pathcleat {
 
-/// @brief All that one host knows of a topic: what another one takes over
-/// while it cannot reach the platform itself.
+/// @brief The data that one host has on a topic. Another host that does not
+/// read the platform's tables itself adopts the data from it.
 /// @ingroup feeds
 struct FleetSnapshot {
   SourceTopic topic = SourceTopic::kOrders;
-  std::uint64_t version = 0;  ///< up to which the host knows all
-  std::uint64_t newest_change_version =
-      0;                            ///< of the newest change it has seen
-  bool is_full = true;              ///< false: what changed since a version
-  bool removals_uncertain = false;  ///< the store was away a moment ago
+  std::uint64_t version = 0;  ///< version up to which the data is complete
+  std::uint64_t newest_change_version = 0;  ///< seen by the host
+  bool is_full = true;              ///< false: only changes since a version
+  bool removals_uncertain = false;  ///< the store was unreachable recently
   std::string config_update;        ///< for kOrders; empty: unchanged
-  RoutingConfig config;             ///< what it tells; not sent itself
-  std::set<std::string> drained_domains;  ///< for kOrders: failure domains, all
-  std::vector<RolloutOrder> rollout_orders;  ///< for kOrders: all that stand
+  RoutingConfig config;             ///< decoded from config_update; not sent
+  std::set<std::string> drained_domains;  ///< for kOrders: all drained domains
+  std::vector<RolloutOrder> rollout_orders;  ///< for kOrders: all active orders
   std::vector<UpstreamInfo> upstreams;       ///< for kUpstreams
   std::vector<std::string>
-      removed_upstreams;  ///< for kUpstreams: ids off the list
+      removed_upstreams;  ///< for kUpstreams: ids of removed upstreams
 };
 
-/// @brief A snapshot as a source would have told it.
+/// @brief Converts a snapshot to the answer that a source would have given.
 /// @ingroup feeds
 SourceAnswer ToSourceAnswer(const FleetSnapshot& snapshot,
                             const Transfer& transfer);
 
-/// @brief A snapshot's bytes (cereal, portable binary).
+/// @brief Encodes a snapshot (cereal, portable binary).
 /// @ingroup feeds
 std::string EncodeSnapshot(const FleetSnapshot& snapshot);
 
-/// @brief Reads a snapshot; nothing if the bytes are none.
+/// @brief Decodes a snapshot; `std::nullopt` if the bytes are not a snapshot.
 /// @ingroup feeds
 std::optional<FleetSnapshot> DecodeSnapshot(std::string_view bytes);
 
--- a/include/pathcleat/feeds/peer_feed.hpp
+++ b/include/pathcleat/feeds/peer_feed.hpp
@@ -19,21 +19,21 @@
 
 namespace pathcleat {
 
-/// @brief Whom a host asks.
+/// @brief A host from which this host fetches data.
 /// @ingroup feeds
 struct FeedPeer {
   std::string name;
   std::string address;  ///< IP number and port
 };
 
-/// @brief What another host answered.
+/// @brief A usable answer of another host.
 /// @ingroup feeds
 struct FeedResponse {
   FleetSnapshot snapshot;
   Transfer transfer;
 };
 
-/// @brief A question to another host.
+/// @brief A fetch from another host in flight.
 /// @ingroup feeds
 struct PeerFetch {
   FeedPeer peer;
@@ -43,92 +43,97 @@
 
 using PeerFetchPtr = std::shared_ptr<const PeerFetch>;
 
-/// @brief Passes what one host knows of the platform's tables on to others
-/// (HTTP, sealed with the hosts' key), at once or as soon as it changes.
+/// @brief Serves this host's data of the platform's tables to other hosts, at
+/// once or as soon as it changes, and fetches theirs (HTTP, authenticated with
+/// the hosts' key).
 /// @ingroup feeds
 class PeerFeed {
  public:
-  /// Given nothing if the other host did not answer.
+  /// Called with `std::nullopt` if the peer gave no usable answer.
   using Handler = std::function<void(const std::optional<FeedResponse>&)>;
 
-  /// @param events where failed transfers are told.
-  /// @param traffic where the bytes are counted.
-  /// @param tables what this host knows.
+  /// @param events log of failed transfers.
+  /// @param traffic counts the bytes sent and received.
+  /// @param provider the data that this host serves.
   PeerFeed(boost::asio::io_context& loop,
            EventLog& events,
            PeerTraffic& traffic,
-           SnapshotProvider& tables);
+           SnapshotProvider& provider);
 
   Result<void> Open(const std::string& address, std::uint16_t port);
 
-  /// @brief The key that seals answers. Without it none is given or taken.
+  /// @brief Sets the key that authenticates answers. Without a key no answer is
+  /// sent or accepted.
   void SetKey(const std::string& key) {
     key_ = key;
-    kept_.clear();
+    cached_answers_.clear();
   }
 
-  /// @brief Answers the hosts that wait for news of a topic, if there are any.
+  /// @brief Answers the waiting requests for a topic that has changed since the
+  /// version they name.
   void Publish(SourceTopic topic);
 
-  /// @brief Whether this host learns news from the store itself. While it
-  /// does not, hosts that wait for news here are turned away: two hosts that
-  /// wait for each other would learn nothing.
-  void SetWatchingStore(bool first_hand);
+  /// @brief Sets whether this host watches the store itself. While it does not,
+  /// requests that would wait for a change are rejected: two hosts that wait
+  /// for each other would never get one.
+  void SetWatchingStore(bool watching_store);
 
-  /// @brief Asks another host for what it knows beyond the request's version
-  /// and the configuration in force here.
-  /// @return the question, for Cancel; null if it cannot be asked.
+  /// @brief Fetches from another host the changes since the request's version
+  /// and since the configuration in force on this host.
+  /// @return the fetch, for Cancel; null if it could not be started. The
+  /// handler has then been called with `std::nullopt`.
   PeerFetchPtr Fetch(const FeedPeer& peer,
                      FeedRequest request,
                      Handler handler);
 
-  /// @brief Ends a question that is not answered yet; its handler is not
-  /// called any more.
-  void Cancel(const PeerFetch& question, const std::string& reason);
+  /// @brief Cancels a fetch in flight; its handler is not called any more.
+  /// @param reason logged with the failed transfer.
+  void Cancel(const PeerFetch& fetch, const std::string& reason);
 
  private:
-  enum class PartUse : std::uint8_t { kComplete, kOvertaken, kUnusable };
+  enum class UpdateResult : std::uint8_t { kComplete, kSuperseded, kUnusable };
 
-  struct Waiting {
+  struct WaitingRequest {
     HttpExchangePtr exchange;
     FeedRequest request;
-    Time until;
+    Time deadline;
   };
 
-  // Hundreds of hosts ask for the same thing at one moment.
-  struct KeptAnswer {
+  // Answers are cached, as hundreds of hosts may send the same request at the
+  // same moment.
+  struct CachedAnswer {
     FeedRequest request;
-    std::uint64_t newest = 0;  ///< change in it
+    std::uint64_t newest = 0;  ///< version of the newest change in it
     std::string body;
-    Time made;
+    Time encoded_at;
   };
 
   void Handle(const HttpExchangePtr& exchange);
-  const std::string& BodyOf(const FeedRequest& request);
-  bool HasNews(const FeedRequest& request) const;
+  const std::string& AnswerBody(const FeedRequest& request);
+  bool HasUpdates(const FeedRequest& request) const;
   void Answer(const HttpExchangePtr& exchange, const FeedRequest& request);
-  std::optional<FeedResponse> TakeAnswer(const PeerFetch& question,
-                                         const CallResult& result);
-  void RecordFailure(const PeerFetch& question,
+  std::optional<FeedResponse> HandleAnswer(const PeerFetch& fetch,
+                                           const CallResult& result);
+  void RecordFailure(const PeerFetch& fetch,
                      std::uint64_t bytes,
                      const std::string& reason);
-  std::optional<FleetSnapshot> Open(const FeedRequest& request,
-                                    const std::string& body);
-  PartUse Complete(FleetSnapshot& snapshot);
-  bool IsOvertaken(const ConfigUpdate& part) const;
+  std::optional<FleetSnapshot> DecodeAnswer(const FeedRequest& request,
+                                            const std::string& body);
+  UpdateResult CompleteConfig(FleetSnapshot& snapshot);
+  bool IsSuperseded(const ConfigUpdate& update) const;
   void Sweep();
 
   boost::asio::io_context& loop_;
   EventLog& events_;
   PeerTraffic& traffic_;
-  SnapshotProvider& tables_;
+  SnapshotProvider& provider_;
   HttpServer server_;
   boost::asio::steady_timer sweep_timer_;
-  std::vector<Waiting> waiting_;
-  std::vector<KeptAnswer> kept_;  ///< encoded and sealed
+  std::vector<WaitingRequest> waiting_;
+  std::vector<CachedAnswer> cached_answers_;  ///< encoded and authenticated
   std::string key_;
-  bool first_hand_ = false;
-  bool wants_whole_ = false;  ///< a change could not be used: ask for the whole
+  bool watching_store_ = false;
+  bool needs_full_config_ = false;  ///< a delta did not apply
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/feeds/relayed_source.hpp
+++ b/include/pathcleat/feeds/relayed_source.hpp
@@ -13,15 +13,15 @@
 
 namespace pathcleat {
 
-/// @brief The platform's tables as this host learns them: from the store, or
-/// from a host that watches it. Whom to ask is chosen anew at each call. Not
-/// thread-safe.
+/// @brief Gets the platform's tables from the store, or from a host that
+/// watches the store. The source is chosen again at each call (ChooseRelay).
+/// Not thread-safe.
 /// @ingroup feeds
 class RelayedSource : public FleetSource {
  public:
-  /// @param hosts the fleet, to choose relays from.
-  /// @param domains failure domains of the fleet.
-  /// @param on_access told when the access to the store has changed.
+  /// @param hosts the hosts of the fleet, from which relays are chosen.
+  /// @param domains number of failure domains of the fleet.
+  /// @param on_access called when store_access has changed.
   RelayedSource(FleetSource& store,
                 PeerFeed& peers,
                 const HostTable& hosts,
@@ -38,39 +38,45 @@
   void StopWatch(SourceTopic topic) override;
   std::optional<Time> WatchLastReceived(SourceTopic topic) const override;
 
-  /// @brief Whether another host is asked for the changes of a topic.
-  bool FollowsPeer(SourceTopic topic) const { return watches_.contains(topic); }
+  /// @brief Whether this host gets the changes of a topic from another host.
+  bool FollowsPeer(SourceTopic topic) const {
+    return peer_watches_.contains(topic);
+  }
 
-  /// @brief How this host learns of changes now.
+  /// @brief How this host gets changes now.
   StoreAccess store_access(Time now) const;
 
  private:
   RelayChoice Choose(Time now);
-  bool AwaitsOthers(SourceTopic topic, Time now);
-  void BeginWatch(const FeedPeer& peer,
-                  const FeedRequest& request,
-                  Callback callback);
-  PeerFetchPtr AskPeer(const FeedPeer& peer,
-                       const FeedRequest& request,
-                       const Callback& callback);
+  bool ShouldAwaitOthers(SourceTopic topic, Time now);
+  void StartPeerWatch(const FeedPeer& peer,
+                      const FeedRequest& request,
+                      Callback callback);
+  PeerFetchPtr FetchFromPeer(const FeedPeer& peer,
+                             const FeedRequest& request,
+                             const Callback& callback);
   enum class CallKind { kRead, kWatch };
-  Callback Noting(SourceTopic topic, CallKind kind, Callback callback);
-  void NoteStore(SourceTopic topic, StoreOutcome outcome);
-  bool IsFirstBreak(SourceTopic topic, CallKind kind, StoreOutcome outcome);
-  void LeaveStore(SourceTopic topic);
-  void TellIfChanged(StoreAccess before);
+  Callback WithStoreTracking(SourceTopic topic,
+                             CallKind kind,
+                             Callback callback);
+  void RecordStoreOutcome(SourceTopic topic, StoreOutcome outcome);
+  bool IsFirstBrokenWatch(SourceTopic topic,
+                          CallKind kind,
+                          StoreOutcome outcome);
+  void StopUsingStore(SourceTopic topic);
+  void NotifyIfAccessChanged(StoreAccess before);
 
   FleetSource& store_;
   PeerFeed& peers_;
   const HostTable& hosts_;
   int domains_;
   std::function<void()> on_access_;
-  std::map<std::string, Time> avoided_;          ///< peers, and until when
-  std::map<SourceTopic, PeerFetchPtr> watches_;  ///< at other hosts
-  std::map<SourceTopic, bool> at_store_;  ///< topics that the store answers
-  std::set<SourceTopic> broken_;  ///< watches that ended without an answer
-  std::map<SourceTopic, Time> waiting_since_;  ///< for others to have read
-  std::optional<Time> store_failed_;
+  std::map<std::string, Time> avoided_peers_;  ///< end time by peer address
+  std::map<SourceTopic, PeerFetchPtr> peer_watches_;  ///< in flight
+  std::map<SourceTopic, bool> store_answers_;  ///< whether calls are answered
+  std::set<SourceTopic> broken_watches_;       ///< last watch got no answer
+  std::map<SourceTopic, Time> waiting_since_;  ///< for others to read it
+  std::optional<Time> store_failed_at_;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/feeds/snapshot_provider.hpp
+++ b/include/pathcleat/feeds/snapshot_provider.hpp
@@ -8,28 +8,28 @@
 
 namespace pathcleat {
 
-/// @brief What one host asks another for.
+/// @brief A request of one host for data that another host has.
 /// @ingroup feeds
 struct FeedRequest {
   SourceTopic topic = SourceTopic::kOrders;
-  std::uint64_t after = 0;           ///< version known; 0: all there is
-  Duration wait{0};                  ///< for a change, if there is none yet
-  std::uint64_t config_version = 0;  ///< configuration in force there; 0: none
+  std::uint64_t after = 0;  ///< version at the requester; 0: send all data
+  Duration wait{0};         ///< how long to wait for a change if there is none
+  std::uint64_t config_version = 0;  ///< in force at the requester; 0: none
 };
 
-/// @brief What a host knows, as others ask for it.
+/// @brief The data of this host that other hosts may request.
 /// @ingroup feeds
 class SnapshotProvider {
  public:
   virtual ~SnapshotProvider() = default;
 
-  /// @brief Version of the newest change that this host knows.
+  /// @brief Version of the newest change that this host has seen.
   virtual std::uint64_t NewestVersion(SourceTopic topic) const = 0;
 
-  /// @brief What this host knows beyond what is known to who asks.
+  /// @brief The data that this host has and the requester lacks.
   virtual FleetSnapshot MakeSnapshot(const FeedRequest& request) = 0;
 
-  /// @brief The configuration in force here; null if there is none yet.
+  /// @brief The configuration in force on this host; null if there is none yet.
   virtual const RoutingConfig* Config() const = 0;
 };
 
--- a/include/pathcleat/feeds/source_watcher.hpp
+++ b/include/pathcleat/feeds/source_watcher.hpp
@@ -13,22 +13,22 @@
 
 namespace pathcleat {
 
-/// @brief What a watcher tells of its topic.
+/// @brief New data of a topic, as given to a watcher's handler.
 /// @ingroup feeds
 struct SourceUpdate {
-  bool is_full = false;       ///< all there is; what it lacks is gone
-  std::uint64_t version = 0;  ///< up to which the topic is known with it
-  std::uint64_t newest_change_version =
-      0;                            ///< of the newest change in it, or 0
-  bool relayed = false;             ///< another host told it, not the store
-  bool removals_uncertain = false;  ///< what is gone may have lapsed by itself
-  Transfer transfer;                ///< how it came here
+  bool is_full = false;  ///< complete: entries that are not listed are gone
+  std::uint64_t version = 0;  ///< version up to which the data is complete
+  std::uint64_t newest_change_version = 0;  ///< in the update, or 0
+  bool relayed = false;  ///< it came from another host, not from the store
+  bool removals_uncertain = false;  ///< removed entries may only have lapsed
+  Transfer transfer;                ///< source, size and duration
   std::vector<FleetChange> changes;
 };
 
-/// @brief Keeps up with one topic of the source: reads it whole, then watches
-/// it; after a failure it goes on from where it was, after history was lost
-/// it reads it whole again.
+/// @brief Follows one topic of a source: reads all of it, then watches it for
+/// changes. After a failure the watch continues from the last version; if the
+/// source no longer has the changes since that version, the watcher reads all
+/// of the topic again.
 /// @ingroup feeds
 class SourceWatcher {
  public:
@@ -40,77 +40,78 @@
                 FleetSource& source,
                 SourceTopic topic,
                 Handler handler,
-                ReachabilityHandler observer);
+                ReachabilityHandler on_reachability);
 
   void Start();
 
-  /// @brief Another host has seen this version. If this one does not see it
-  /// either before long, its watch is taken for dead and begun anew.
+  /// @brief Records a version that another host has seen. If this host does not
+  /// see that version soon, it takes its watch for dead and restarts it.
   void OnPeerVersion(std::uint64_t version, Time now);
 
-  /// @brief What was begun before this time may have been lost, as the store
-  /// failed another call then, or this host stood still from then on: such a
-  /// watch is begun anew.
+  /// @brief Restarts a watch that began before `since`. Such a watch may be
+  /// lost, because the store failed another call at that time or because this
+  /// host was stalled from then on.
   void RestartIfOlderThan(Time since);
 
-  /// @brief Another host, asked beside the watch, has answered. What is new in
-  /// it is handled, and the watch goes on from there.
-  /// @return whether it was newer than what is known here.
+  /// @brief Handles an answer that another host gave to a fetch made in
+  /// parallel to the watch, if it is newer than the data of this host. The
+  /// watch then continues from the answer's version.
+  /// @return whether the answer was newer.
   bool ApplyIfNewer(const SourceAnswer& answer);
 
-  /// @brief Whether others have known more than this host for a while, so
-  /// that it had better ask them.
+  /// @brief Whether other hosts have had a newer version for long enough that
+  /// this host should fetch the topic from them.
   bool IsBehind(std::uint64_t peer_version, Time now) const;
 
-  /// @brief Version up to which the topic is known here.
+  /// @brief Version up to which this host has the topic.
   std::uint64_t version() const { return version_; }
 
-  /// @brief Version of the newest change that was seen.
-  std::uint64_t newest_change_version() const { return changed_; }
+  /// @brief Version of the newest change that this host has seen.
+  std::uint64_t newest_change_version() const { return newest_change_version_; }
 
-  /// @brief When a call was last answered, by whomever.
+  /// @brief Time of the last answer, from the store or from another host.
   Time answered_at() const { return answered_at_; }
 
-  /// @brief Whether the last call was answered.
-  bool IsStoreReachable() const { return reached_; }
+  /// @brief Whether the store answered the last call to it.
+  bool IsStoreReachable() const { return store_reachable_; }
 
-  /// @brief Whether the topic has been read whole once.
+  /// @brief Whether the whole topic has been read at least once.
   bool IsLoaded() const { return loaded_; }
 
  private:
   void Read(const std::string& from);
   void OnRead(const SourceAnswer& answer);
   void Watch();
-  void WatchAnew();
+  void RestartWatch();
   void OnWatch(const SourceAnswer& answer);
-  void Pause(std::function<void()> next);
-  void PauseFor(Duration pause, std::function<void()> next);
-  FleetSource::Callback Current(
+  void RetryAfterBackoff(std::function<void()> next);
+  void RunAfter(Duration pause, std::function<void()> next);
+  FleetSource::Callback ForCurrentGeneration(
       void (SourceWatcher::*handler)(const SourceAnswer&));
-  void Handle(const SourceAnswer& answer, bool whole);
-  void Note(const SourceAnswer& answer);
-  Time TrustedSince() const;
+  void Handle(const SourceAnswer& answer, bool is_full);
+  void RecordOutcome(const SourceAnswer& answer);
+  Time LastProgressTime() const;
 
   FleetSource& source_;
   SourceTopic topic_;
-  const Timing& pace_;
+  const Timing& timing_;
   Handler handler_;
-  ReachabilityHandler observer_;
+  ReachabilityHandler on_reachability_;
   boost::asio::steady_timer timer_;
-  SourceAnswer page_;  ///< of a reading under way
+  SourceAnswer collected_pages_;  ///< of the read in progress
   std::uint64_t first_page_version_ = 0;
   std::uint64_t version_ = 0;
-  std::uint64_t changed_ = 0;
+  std::uint64_t newest_change_version_ = 0;
   int failures_ = 0;
-  std::uint64_t generation_ = 0;  ///< of the calls that count
+  std::uint64_t generation_ = 0;  ///< callbacks of older calls are ignored
   std::optional<Time> behind_since_;
-  Time begun_anew_;  ///< when a watch was last taken for dead
-  Time watch_began_;
+  Time last_restart_;  ///< when a watch was last taken for dead
+  Time watch_started_at_;
   Time answered_at_;
-  bool in_doubt_ = false;  ///< the last call failed, or was taken for dead
-  bool reading_ = false;   ///< the topic whole, page by page
-  bool reached_ = false;   ///< the store, by the last call to it
-  bool answered_ = false;  ///< the last call, by whomever
+  bool last_call_failed_ = false;  ///< or was taken for dead
+  bool reading_ = false;           ///< a read of the whole topic is in progress
+  bool store_reachable_ = false;   ///< the last call to the store was answered
+  bool last_call_answered_ = false;  ///< by the store or by another host
   bool loaded_ = false;
 };
 
--- a/include/pathcleat/feeds/upstream_codec.hpp
+++ b/include/pathcleat/feeds/upstream_codec.hpp
@@ -10,14 +10,15 @@
 
 namespace pathcleat {
 
-/// @brief Entries of the list in few bytes, as hosts tell them each other: each
-/// name of a service, domain or version once, addresses as numbers. An
-/// entry of a large list is 36 bytes at most; field by field it was 116,
-/// reckoned.
+/// @brief Encodes a list of upstreams compactly for transfer between hosts:
+/// each name of a service, domain or version is written once, and addresses are
+/// written as numbers. An entry of a large list takes at most 36 bytes, instead
+/// of 116 bytes with every field written out.
 /// @ingroup feeds
 std::string EncodeUpstreams(const std::vector<UpstreamInfo>& upstreams);
 
-/// @brief Reads them back; nothing if the bytes are none.
+/// @brief Decodes a list of upstreams; `std::nullopt` if the bytes are not such
+/// a list.
 /// @ingroup feeds
 std::optional<std::vector<UpstreamInfo>> DecodeUpstreams(
     std::string_view bytes);
--- a/src/pathcleat/feeds/change_journal.cpp
+++ b/src/pathcleat/feeds/change_journal.cpp
@@ -10,19 +10,19 @@
 void ChangeJournal::Append(std::uint64_t version, const std::string& key) {
   changes_.push_back({version, key});
   if (changes_.size() > capacity_) {
-    floor_ = std::max(floor_, changes_.front().version);
+    complete_after_ = std::max(complete_after_, changes_.front().version);
     changes_.pop_front();
   }
 }
 
 void ChangeJournal::ResetTo(std::uint64_t version) {
-  floor_ = std::max(floor_, version);
+  complete_after_ = std::max(complete_after_, version);
   changes_.clear();
 }
 
 std::optional<std::set<std::string>> ChangeJournal::ChangedSince(
     std::uint64_t version) const {
-  if (version < floor_) {
+  if (version < complete_after_) {
     return std::nullopt;
   }
   std::set<std::string> keys;
--- a/src/pathcleat/feeds/config_history.cpp
+++ b/src/pathcleat/feeds/config_history.cpp
@@ -6,15 +6,16 @@
 namespace pathcleat {
 namespace {
 
-// 8 bytes a route or account and version: 0.2 MB for 1,400 routes. Where
-// versions come fastest, four in 3 s, this covers a host 12 s behind.
-constexpr std::size_t kVersionsKept = 16;
+// Each version takes 8 bytes for each route and account: 0.2 MB in total for
+// 1,400 routes. At the fastest rate of changes, four versions in 3 s, this
+// covers a host that is 12 s behind.
+constexpr std::size_t kMaxVersions = 16;
 
 template <class Entry>
-ListDelta<Entry> ChangeOf(const ListHashes& old_marks,
-                          const std::vector<Entry>& entries,
-                          const ListHashes& marks) {
-  return {ComputeListDelta(old_marks, entries, marks), DigestOf(marks)};
+ListDelta<Entry> MakeListDelta(const ListHashes& old_hashes,
+                               const std::vector<Entry>& entries,
+                               const ListHashes& hashes) {
+  return {ComputeListDelta(old_hashes, entries, hashes), DigestOf(hashes)};
 }
 
 }  // namespace
@@ -23,21 +24,21 @@
   encoded_.clear();
   versions_.push_back({config.version, ContentHashes(config.routes),
                        ContentHashes(config.accounts)});
-  if (versions_.size() > kVersionsKept) {
+  if (versions_.size() > kMaxVersions) {
     versions_.pop_front();
   }
 }
 
 const std::string& ConfigHistory::EncodedUpdateSince(
     const RoutingConfig& config,
-    std::uint64_t known) {
-  const Version* base = Find(known);
-  const std::uint64_t key = base == nullptr ? 0 : known;
+    std::uint64_t base_version) {
+  const Version* base = Find(base_version);
+  const std::uint64_t key = base == nullptr ? 0 : base_version;
   const auto found = encoded_.find(key);
   if (found != encoded_.end()) {
     return found->second;
   }
-  return encoded_[key] = EncodeConfigUpdate(MakePart(config, base));
+  return encoded_[key] = EncodeConfigUpdate(MakeUpdate(config, base));
 }
 
 const ConfigHistory::Version* ConfigHistory::Find(std::uint64_t number) const {
@@ -47,22 +48,23 @@
   return found == versions_.end() ? nullptr : &*found;
 }
 
-ConfigUpdate ConfigHistory::MakePart(const RoutingConfig& config,
-                                     const Version* base) const {
-  ConfigUpdate part;
-  part.config.version = config.version;
-  part.config.services = config.services;
-  part.config.caller_limits = config.caller_limits;
+ConfigUpdate ConfigHistory::MakeUpdate(const RoutingConfig& config,
+                                       const Version* base) const {
+  ConfigUpdate update;
+  update.config.version = config.version;
+  update.config.services = config.services;
+  update.config.caller_limits = config.caller_limits;
   if (base == nullptr) {
-    part.config.routes = config.routes;
-    part.config.accounts = config.accounts;
-    return part;
+    update.config.routes = config.routes;
+    update.config.accounts = config.accounts;
+    return update;
   }
   const Version& newest = versions_.back();
-  part.base_version = base->number;
-  part.routes = ChangeOf(base->routes, config.routes, newest.routes);
-  part.accounts = ChangeOf(base->accounts, config.accounts, newest.accounts);
-  return part;
+  update.base_version = base->number;
+  update.routes = MakeListDelta(base->routes, config.routes, newest.routes);
+  update.accounts =
+      MakeListDelta(base->accounts, config.accounts, newest.accounts);
+  return update;
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/feeds/config_history_test.cpp
+++ b/src/pathcleat/feeds/config_history_test.cpp
@@ -23,14 +23,14 @@
   return config;
 }
 
-std::optional<RoutingConfig> Take(const std::string& bytes,
-                                  const RoutingConfig* known) {
-  auto part = DecodeConfigUpdate(bytes);
-  cr_assert(part.has_value());
-  return ApplyConfigUpdate(std::move(*part), known);
+std::optional<RoutingConfig> DecodeAndApply(const std::string& bytes,
+                                            const RoutingConfig* current) {
+  auto update = DecodeConfigUpdate(bytes);
+  cr_assert(update.has_value());
+  return ApplyConfigUpdate(std::move(*update), current);
 }
 
-Test(config_history, host_that_knows_an_older_version_is_told_the_changes) {
+Test(config_history, host_with_an_older_version_gets_the_changes) {
   ConfigHistory history;
   const RoutingConfig old_config = LargeConfig();
   history.Append(old_config);
@@ -39,27 +39,27 @@
   config.routes[3].allowed_regions = {"north"};
   config.routes.erase(config.routes.begin() + 9);
   history.Append(config);
-  const std::string& change = history.EncodedUpdateSince(config, 1);
-  cr_assert_lt(change.size(), 1'000U);
-  const auto taken = Take(change, &old_config);
-  cr_assert(taken.has_value());
-  cr_assert_eq(taken->version, 5U);
-  cr_assert_eq(taken->services.size(), 1U);
-  cr_assert(ContentHashes(taken->routes) == ContentHashes(config.routes));
+  const std::string& delta = history.EncodedUpdateSince(config, 1);
+  cr_assert_lt(delta.size(), 1'000U);
+  const auto applied = DecodeAndApply(delta, &old_config);
+  cr_assert(applied.has_value());
+  cr_assert_eq(applied->version, 5U);
+  cr_assert_eq(applied->services.size(), 1U);
+  cr_assert(ContentHashes(applied->routes) == ContentHashes(config.routes));
 }
 
-Test(config_history, host_whose_version_is_not_remembered_is_told_the_whole) {
+Test(config_history, host_with_an_unknown_version_gets_the_full_configuration) {
   ConfigHistory history;
   const RoutingConfig config = LargeConfig();
   history.Append(config);
-  const std::string& whole = history.EncodedUpdateSince(config, 77);
-  const auto taken = Take(whole, nullptr);
-  cr_assert(taken.has_value());
-  cr_assert(ContentHashes(taken->routes) == ContentHashes(config.routes));
+  const std::string& full_update = history.EncodedUpdateSince(config, 77);
+  const auto applied = DecodeAndApply(full_update, nullptr);
+  cr_assert(applied.has_value());
+  cr_assert(ContentHashes(applied->routes) == ContentHashes(config.routes));
 }
 
-// Each of seven followers had the whole encoded anew.
-Test(config_history, bytes_are_made_once_for_all_who_know_the_same) {
+// Guards against an update that is encoded again for each follower.
+Test(config_history, update_is_encoded_once_for_hosts_with_the_same_version) {
   ConfigHistory history;
   const RoutingConfig config = LargeConfig();
   history.Append(config);
@@ -67,8 +67,9 @@
                &history.EncodedUpdateSince(config, 77));
 }
 
-// Checked to fail with the accounts left out of ConfigHistory::MakePart.
-Test(config_history, host_is_told_the_accounts_that_changed) {
+// Guards against updates that lack changed accounts. Fails with the accounts
+// left out of ConfigHistory::MakeUpdate.
+Test(config_history, host_gets_the_accounts_that_changed) {
   ConfigHistory history;
   RoutingConfig config = LargeConfig();
   for (int i = 0; i < 500; ++i) {
@@ -87,24 +88,26 @@
   config.accounts[7].key_digests.clear();
   config.accounts.erase(config.accounts.begin() + 9);
   history.Append(config);
-  const std::string& change = history.EncodedUpdateSince(config, 1);
-  cr_assert_lt(change.size(), 1'000U);
-  const auto taken = Take(change, &old_config);
-  cr_assert(taken.has_value());
-  cr_assert(ContentHashes(taken->accounts) == ContentHashes(config.accounts));
-  const auto whole = Take(history.EncodedUpdateSince(config, 0), nullptr);
-  cr_assert(ContentHashes(whole->accounts) == ContentHashes(config.accounts));
+  const std::string& delta = history.EncodedUpdateSince(config, 1);
+  cr_assert_lt(delta.size(), 1'000U);
+  const auto applied = DecodeAndApply(delta, &old_config);
+  cr_assert(applied.has_value());
+  cr_assert(ContentHashes(applied->accounts) == ContentHashes(config.accounts));
+  const auto full_update =
+      DecodeAndApply(history.EncodedUpdateSince(config, 0), nullptr);
+  cr_assert(ContentHashes(full_update->accounts) ==
+            ContentHashes(config.accounts));
 }
 
-Test(config_history, change_of_another_version_is_no_configuration) {
+Test(config_history, delta_to_another_version_is_rejected) {
   ConfigHistory history;
   RoutingConfig config = LargeConfig();
   history.Append(config);
   config.version = 2;
   history.Append(config);
-  const std::string& change = history.EncodedUpdateSince(config, 1);
-  cr_assert_not(Take(change, &config).has_value());
-  cr_assert_not(Take(change, nullptr).has_value());
+  const std::string& delta = history.EncodedUpdateSince(config, 1);
+  cr_assert_not(DecodeAndApply(delta, &config).has_value());
+  cr_assert_not(DecodeAndApply(delta, nullptr).has_value());
 }
 
 }  // namespace
--- a/src/pathcleat/feeds/config_lag.cpp
+++ b/src/pathcleat/feeds/config_lag.cpp
@@ -9,10 +9,10 @@
   if (version <= applied_) {
     return;
   }
-  if (now - told_ > silence_) {
+  if (now - last_report_ > report_ttl_) {
     missing_.clear();
   }
-  told_ = now;
+  last_report_ = now;
   const auto [missing, first] = missing_.emplace(version, now - age);
   if (!first) {
     missing->second = std::min(missing->second, now - age);
@@ -25,7 +25,7 @@
 }
 
 bool ConfigLag::IsBehind(Time now) const {
-  return !missing_.empty() && now - told_ <= silence_;
+  return !missing_.empty() && now - last_report_ <= report_ttl_;
 }
 
 Duration ConfigLag::LagDuration(Time now) const {
--- a/src/pathcleat/feeds/config_lag_test.cpp
+++ b/src/pathcleat/feeds/config_lag_test.cpp
@@ -6,12 +6,12 @@
 namespace pathcleat {
 namespace {
 
-constexpr Duration kSilence{2'500'000};
+constexpr Duration kReportTtl{2'500'000};
 constexpr Duration kSecond{1'000'000};
 const Time kStart{100 * kSecond};
 
 Test(config_lag, time_counts_from_the_first_host_that_had_the_version) {
-  ConfigLag lag(kSilence);
+  ConfigLag lag(kReportTtl);
   lag.OnApplied(5);
   cr_assert_not(lag.IsBehind(kStart));
   lag.OnPeerVersion(7, Duration(0), kStart);
@@ -20,9 +20,10 @@
   cr_assert(lag.LagDuration(kStart + kSecond) == 3 * kSecond);
 }
 
-// A host that always lacks the newest of a series must not seem up to date.
+// A host that always lacks the newest version of a series must not count as up
+// to date.
 Test(config_lag, newer_versions_do_not_hide_the_first_one_missing) {
-  ConfigLag lag(kSilence);
+  ConfigLag lag(kReportTtl);
   lag.OnApplied(5);
   lag.OnPeerVersion(7, kSecond, kStart);
   lag.OnPeerVersion(9, Duration(0), kStart + kSecond);
@@ -34,11 +35,11 @@
   cr_assert_not(lag.IsBehind(kStart + kSecond));
 }
 
-Test(config_lag, what_nobody_tells_any_more_is_forgotten) {
-  ConfigLag lag(kSilence);
+Test(config_lag, versions_that_no_host_reports_any_more_are_dropped) {
+  ConfigLag lag(kReportTtl);
   lag.OnApplied(5);
   lag.OnPeerVersion(7, Duration(0), kStart);
-  const Time later = kStart + kSilence + Duration(1);
+  const Time later = kStart + kReportTtl + Duration(1);
   cr_assert_not(lag.IsBehind(later));
   cr_assert(lag.LagDuration(later) == Duration::zero());
   lag.OnPeerVersion(7, Duration(0), later);
--- a/src/pathcleat/feeds/config_update.cpp
+++ b/src/pathcleat/feeds/config_update.cpp
@@ -14,11 +14,11 @@
 
 // cereal finds these by argument-dependent lookup.
 // NOLINTBEGIN(readability-identifier-naming)
-template <class Archive, class Length>
-void TransferLength(Archive& archive, Length& length) {
-  auto count = static_cast<std::int64_t>(length.count());
+template <class Archive, class DurationType>
+void SerializeDuration(Archive& archive, DurationType& duration) {
+  auto count = static_cast<std::int64_t>(duration.count());
   archive(count);
-  length = Length(count);
+  duration = DurationType(count);
 }
 
 template <class Archive>
@@ -32,8 +32,8 @@
           route.repeatable, route.large_answers, route.sticky,
           route.needs_account_key, route.priority, route.max_attempts,
           route.allowed_regions);
-  TransferLength(archive, route.timeout);
-  TransferLength(archive, route.target_latency);
+  SerializeDuration(archive, route.timeout);
+  SerializeDuration(archive, route.target_latency);
 }
 
 template <class Archive>
@@ -45,8 +45,8 @@
 template <class Archive>
 void serialize(Archive& archive, HttpLimits& limits) {
   archive(limits.max_header_bytes, limits.max_body_bytes);
-  TransferLength(archive, limits.idle_timeout);
-  TransferLength(archive, limits.read_timeout);
+  SerializeDuration(archive, limits.idle_timeout);
+  SerializeDuration(archive, limits.read_timeout);
 }
 
 template <class Archive>
@@ -72,38 +72,38 @@
 }
 
 template <class Archive, class Entry>
-void serialize(Archive& archive, ListDelta<Entry>& change) {
-  archive(change.steps, change.digest);
+void serialize(Archive& archive, ListDelta<Entry>& delta) {
+  archive(delta.steps, delta.digest);
 }
 
 template <class Archive>
-void serialize(Archive& archive, ConfigUpdate& part) {
-  archive(part.config, part.base_version, part.routes, part.accounts);
+void serialize(Archive& archive, ConfigUpdate& update) {
+  archive(update.config, update.base_version, update.routes, update.accounts);
 }
 // NOLINTEND(readability-identifier-naming)
 
-std::optional<RoutingConfig> ApplyConfigUpdate(ConfigUpdate part,
-                                               const RoutingConfig* known) {
-  if (part.base_version == 0) {
-    return std::move(part.config);
+std::optional<RoutingConfig> ApplyConfigUpdate(ConfigUpdate update,
+                                               const RoutingConfig* current) {
+  if (update.base_version == 0) {
+    return std::move(update.config);
   }
-  if (known == nullptr || known->version != part.base_version) {
+  if (current == nullptr || current->version != update.base_version) {
     return std::nullopt;
   }
-  auto routes =
-      ApplyListDelta(known->routes, part.routes.steps, part.routes.digest);
-  auto accounts = ApplyListDelta(known->accounts, part.accounts.steps,
-                                 part.accounts.digest);
+  auto routes = ApplyListDelta(current->routes, update.routes.steps,
+                               update.routes.digest);
+  auto accounts = ApplyListDelta(current->accounts, update.accounts.steps,
+                                 update.accounts.digest);
   if (!routes || !accounts) {
     return std::nullopt;
   }
-  part.config.routes = std::move(*routes);
-  part.config.accounts = std::move(*accounts);
-  return std::move(part.config);
+  update.config.routes = std::move(*routes);
+  update.config.accounts = std::move(*accounts);
+  return std::move(update.config);
 }
 
-std::string EncodeConfigUpdate(const ConfigUpdate& part) {
-  return EncodeBinary(part);
+std::string EncodeConfigUpdate(const ConfigUpdate& update) {
+  return EncodeBinary(update);
 }
 
 std::optional<ConfigUpdate> DecodeConfigUpdate(std::string_view bytes) {
--- a/src/pathcleat/feeds/fleet_snapshot.cpp
+++ b/src/pathcleat/feeds/fleet_snapshot.cpp
@@ -24,14 +24,14 @@
 
 template <class Archive>
 void load(Archive& archive, FleetSnapshot& snapshot) {
-  std::string rows;
+  std::string encoded_upstreams;
   archive(snapshot.topic, snapshot.version, snapshot.newest_change_version,
           snapshot.is_full, snapshot.removals_uncertain, snapshot.config_update,
           snapshot.drained_domains, snapshot.rollout_orders,
-          snapshot.removed_upstreams, rows);
-  auto upstreams = DecodeUpstreams(rows);
+          snapshot.removed_upstreams, encoded_upstreams);
+  auto upstreams = DecodeUpstreams(encoded_upstreams);
   if (!upstreams) {
-    throw cereal::Exception("rows of upstreams that are none");
+    throw cereal::Exception("malformed list of upstreams");
   }
   snapshot.upstreams = std::move(*upstreams);
 }
@@ -47,7 +47,8 @@
   answer.transfer = transfer;
   answer.removals_uncertain = snapshot.removals_uncertain;
   if (snapshot.topic == SourceTopic::kOrders) {
-    // All drains are told each time; a missing configuration is unchanged.
+    // A snapshot of orders always lists all drains. If it has no configuration,
+    // the configuration is unchanged.
     answer.is_full = true;
     if (snapshot.config.version > 0) {
       answer.changes.emplace_back(snapshot.config);
--- a/src/pathcleat/feeds/peer_feed.cpp
+++ b/src/pathcleat/feeds/peer_feed.cpp
@@ -21,39 +21,44 @@
 constexpr const char* kWaitMs = "wait_ms";
 constexpr const char* kConfig = "config";
 constexpr Duration kConnectTimeout{300'000};
-// Hosts answer at once or when their time to wait is over.
+// In addition to the wait time of the request, as hosts answer at once or at
+// the end of that time.
 constexpr Duration kAnswerTimeout{1'000'000};
-// Two TCP retransmissions; a whole configuration takes 0.15 s at 10 Mbit/s,
-// so what comes at all comes in less than this between two pieces.
+// Time without any byte of an answer that has begun: covers two TCP
+// retransmissions. A full configuration takes 0.15 s at 10 Mbit/s, so an answer
+// that still arrives has shorter gaps.
 constexpr Duration kProgressTimeout{1'500'000};
-// Without an acknowledgement. Probes turn it into 2 s for a watch, as at the
-// store: a follower asks anew within bounds on configuration of 2.5 s and 3 s
-// also where no heartbeat tells of a newer one; one of 2 s is then over.
-constexpr Duration kPeerSilenceLimit{1'000'000};
-// The largest snapshot at 10 Mbit/s.
-constexpr Duration kTransferTime{14'000'000};
-constexpr Duration kLongestWait{30'000'000};
-constexpr std::size_t kMostWaiting = 1'024;
-constexpr std::uint64_t kLargestSnapshot = 16ULL * 1024 * 1024;
-constexpr std::chrono::milliseconds kSweepPeriod{500};
-// What is told of time (an upstream is cold for so long, entries may have
-// lapsed) is late by this much at most. Encoding 10,000 entries takes 3 ms.
-constexpr Duration kAnswerKeptFor{200'000};
-// Versions that followers know at one moment.
-constexpr std::size_t kMostKept = 4;
+// Time without an acknowledgement after which a connection counts as dead. With
+// the probes' interval, a dead watch is found after 2 s, as for watches of the
+// store. This keeps a follower within bounds of 2.5 s and 3 s on the delay of a
+// configuration, even if no heartbeat reports a newer version; a bound of 2 s
+// is exceeded in that case.
+constexpr Duration kPeerAckTimeout{1'000'000};
+// Time for the largest snapshot at 10 Mbit/s.
+constexpr Duration kTransferTimeout{14'000'000};
+constexpr Duration kMaxWait{30'000'000};
+constexpr std::size_t kMaxWaitingRequests = 1'024;
+constexpr std::uint64_t kMaxSnapshotBytes = 16ULL * 1024 * 1024;
+constexpr std::chrono::milliseconds kSweepInterval{500};
+// Answers are cached because encoding 10,000 entries takes 3 ms. Times in an
+// answer (how long an upstream is still cold, whether entries may have lapsed)
+// are out of date by at most this much.
+constexpr Duration kAnswerTtl{200'000};
+// Followers have about this many different versions at the same time.
+constexpr std::size_t kMaxCachedAnswers = 4;
 
 const char* PathOf(SourceTopic topic) {
   return topic == SourceTopic::kOrders ? kOrdersPath : kUpstreamsPath;
 }
 
-std::uint64_t NumberIn(const std::string& target, const char* name) {
+std::uint64_t QueryNumber(const std::string& target, const char* name) {
   const std::string text = QueryValue(target, name).value_or("");
   std::uint64_t number = 0;
   std::from_chars(text.data(), text.data() + text.size(), number);
   return number;
 }
 
-std::optional<FeedRequest> RequestIn(const std::string& target) {
+std::optional<FeedRequest> ParseRequest(const std::string& target) {
   const std::string path = target.substr(0, target.find('?'));
   FeedRequest request;
   if (path == kUpstreamsPath) {
@@ -61,11 +66,11 @@
   } else if (path != kOrdersPath) {
     return std::nullopt;
   }
-  request.after = NumberIn(target, kAfter);
-  request.config_version = NumberIn(target, kConfig);
-  request.wait =
-      std::min(kLongestWait,
-               Duration(std::chrono::milliseconds(NumberIn(target, kWaitMs))));
+  request.after = QueryNumber(target, kAfter);
+  request.config_version = QueryNumber(target, kConfig);
+  request.wait = std::min(
+      kMaxWait,
+      Duration(std::chrono::milliseconds(QueryNumber(target, kWaitMs))));
   return request;
 }
 
@@ -85,11 +90,11 @@
 
 CallTimeouts TimeoutsOf(const FeedRequest& request) {
   const Duration first_byte = request.wait + kAnswerTimeout;
-  return {kConnectTimeout, first_byte + kTransferTime, first_byte,
+  return {kConnectTimeout, first_byte + kTransferTimeout, first_byte,
           kProgressTimeout};
 }
 
-// Why an answer could not be used.
+// The reason why an answer could not be used, for the log.
 std::string CauseOf(const CallResult& result) {
   if (result.outcome != CallOutcome::kAnswered) {
     return result.detail;
@@ -99,14 +104,15 @@
              : "not an answer of this fleet";
 }
 
-// Older than anything that is known: it changes nothing.
-FleetSnapshot NothingNew(SourceTopic topic) {
+// A snapshot with version 0, older than any data that a host has, so that it
+// changes nothing.
+FleetSnapshot EmptySnapshot(SourceTopic topic) {
   FleetSnapshot snapshot;
   snapshot.topic = topic;
   return snapshot;
 }
 
-void TurnAway(const HttpExchangePtr& exchange) {
+void RejectRequest(const HttpExchangePtr& exchange) {
   exchange->Respond(
       TextResponse(http_status::kUnavailable, "no news at first hand\n"));
 }
@@ -116,11 +122,11 @@
 PeerFeed::PeerFeed(boost::asio::io_context& loop,
                    EventLog& events,
                    PeerTraffic& traffic,
-                   SnapshotProvider& tables)
+                   SnapshotProvider& provider)
     : loop_(loop),
       events_(events),
       traffic_(traffic),
-      tables_(tables),
+      provider_(provider),
       server_(loop, [this](const HttpExchangePtr& e) { Handle(e); }),
       sweep_timer_(loop) {}
 
@@ -131,88 +137,89 @@
 }
 
 void PeerFeed::Handle(const HttpExchangePtr& exchange) {
-  const auto request = RequestIn(exchange->request().target);
+  const auto request = ParseRequest(exchange->request().target);
   if (!request || key_.empty()) {
     exchange->Respond(TextResponse(http_status::kNotFound, "nothing here\n"));
     return;
   }
-  if (request->wait <= Duration::zero() || HasNews(*request)) {
+  if (request->wait <= Duration::zero() || HasUpdates(*request)) {
     Answer(exchange, *request);
     return;
   }
-  if (!first_hand_ || waiting_.size() >= kMostWaiting) {
-    TurnAway(exchange);
+  if (!watching_store_ || waiting_.size() >= kMaxWaitingRequests) {
+    RejectRequest(exchange);
     return;
   }
   waiting_.push_back({exchange, *request, BootClock::now() + request->wait});
 }
 
-bool PeerFeed::HasNews(const FeedRequest& request) const {
-  return tables_.NewestVersion(request.topic) > request.after;
+bool PeerFeed::HasUpdates(const FeedRequest& request) const {
+  return provider_.NewestVersion(request.topic) > request.after;
 }
 
-const std::string& PeerFeed::BodyOf(const FeedRequest& request) {
+const std::string& PeerFeed::AnswerBody(const FeedRequest& request) {
   const Time now = BootClock::now();
-  const std::uint64_t newest = tables_.NewestVersion(request.topic);
-  std::erase_if(kept_, [now](const KeptAnswer& kept) {
-    return now - kept.made > kAnswerKeptFor;
+  const std::uint64_t newest = provider_.NewestVersion(request.topic);
+  std::erase_if(cached_answers_, [now](const CachedAnswer& cached) {
+    return now - cached.encoded_at > kAnswerTtl;
   });
-  const auto same = [&](const KeptAnswer& kept) {
-    return kept.request.topic == request.topic &&
-           kept.request.after == request.after &&
-           kept.request.config_version == request.config_version &&
-           kept.newest == newest;
+  const auto same = [&](const CachedAnswer& cached) {
+    return cached.request.topic == request.topic &&
+           cached.request.after == request.after &&
+           cached.request.config_version == request.config_version &&
+           cached.newest == newest;
   };
-  const auto found = std::find_if(kept_.begin(), kept_.end(), same);
-  if (found != kept_.end()) {
+  const auto found =
+      std::find_if(cached_answers_.begin(), cached_answers_.end(), same);
+  if (found != cached_answers_.end()) {
     return found->body;
   }
-  if (kept_.size() >= kMostKept) {
-    kept_.erase(kept_.begin());
+  if (cached_answers_.size() >= kMaxCachedAnswers) {
+    cached_answers_.erase(cached_answers_.begin());
   }
-  kept_.push_back(
+  cached_answers_.push_back(
       {request, newest,
-       AppendMac(EncodeSnapshot(tables_.MakeSnapshot(request)), key_), now});
-  return kept_.back().body;
+       AppendMac(EncodeSnapshot(provider_.MakeSnapshot(request)), key_), now});
+  return cached_answers_.back().body;
 }
 
 void PeerFeed::Answer(const HttpExchangePtr& exchange,
                       const FeedRequest& request) {
-  const std::string& body = BodyOf(request);
+  const std::string& body = AnswerBody(request);
   traffic_.OnSent(KindOf(request.topic), body.size());
   exchange->Respond({http_status::kOk, {}, body});
 }
 
 void PeerFeed::Publish(SourceTopic topic) {
-  std::erase_if(waiting_, [this, topic](const Waiting& waiting) {
-    const bool answers =
-        waiting.request.topic == topic && HasNews(waiting.request);
-    if (answers) {
+  std::erase_if(waiting_, [this, topic](const WaitingRequest& waiting) {
+    const bool is_answered =
+        waiting.request.topic == topic && HasUpdates(waiting.request);
+    if (is_answered) {
       Answer(waiting.exchange, waiting.request);
     }
-    return answers;
+    return is_answered;
   });
 }
 
-void PeerFeed::SetWatchingStore(bool first_hand) {
-  first_hand_ = first_hand;
-  if (first_hand) {
+void PeerFeed::SetWatchingStore(bool watching_store) {
+  watching_store_ = watching_store;
+  if (watching_store) {
     return;
   }
-  for (const Waiting& waiting : std::exchange(waiting_, {})) {
-    TurnAway(waiting.exchange);
+  for (const WaitingRequest& waiting : std::exchange(waiting_, {})) {
+    RejectRequest(waiting.exchange);
   }
 }
 
 void PeerFeed::Sweep() {
   const Time now = BootClock::now();
-  std::erase_if(waiting_, [this, now](const Waiting& waiting) {
-    if (waiting.exchange->IsOpen() && now >= waiting.until) {
+  std::erase_if(waiting_, [this, now](const WaitingRequest& waiting) {
+    if (waiting.exchange->IsOpen() && now >= waiting.deadline) {
       Answer(waiting.exchange, waiting.request);
     }
     return !waiting.exchange->IsOpen();
   });
-  sweep_timer_.expires_after(kSweepPeriod);
+  sweep_timer_.expires_after(kSweepInterval);
   sweep_timer_.async_wait([this](const boost::system::error_code& error) {
     if (!error) {
       Sweep();
@@ -228,65 +235,64 @@
     handler(std::nullopt);
     return nullptr;
   }
-  const RoutingConfig* config = tables_.Config();
-  const bool known = config != nullptr && !wants_whole_;
+  const RoutingConfig* config = provider_.Config();
+  const bool known = config != nullptr && !needs_full_config_;
   request.config_version = known ? config->version : 0;
   HttpLimits limits;
-  limits.max_body_bytes = kLargestSnapshot;
+  limits.max_body_bytes = kMaxSnapshotBytes;
   const auto client = std::make_shared<HttpClient>(loop_, *endpoint, limits);
-  PeerFetchPtr question =
+  PeerFetchPtr fetch =
       std::make_shared<const PeerFetch>(PeerFetch{peer, request, client});
-  client->SetAckTimeout(kPeerSilenceLimit);
+  client->SetAckTimeout(kPeerAckTimeout);
   traffic_.OnFetchStarted();
   client->Send(
       {"GET", TargetOf(request), {{"Host", peer.address}}, ""},
       TimeoutsOf(request),
-      [this, question, handler = std::move(handler)](const CallResult& result) {
-        question->client->Cancel();
-        handler(TakeAnswer(*question, result));
+      [this, fetch, handler = std::move(handler)](const CallResult& result) {
+        fetch->client->Cancel();
+        handler(HandleAnswer(*fetch, result));
       });
-  return question;
+  return fetch;
 }
 
-void PeerFeed::Cancel(const PeerFetch& question, const std::string& reason) {
-  const std::uint64_t bytes = question.client->received_bytes();
-  question.client->Cancel();
-  traffic_.OnReceived(KindOf(question.request.topic), bytes);
+void PeerFeed::Cancel(const PeerFetch& fetch, const std::string& reason) {
+  const std::uint64_t bytes = fetch.client->received_bytes();
+  fetch.client->Cancel();
+  traffic_.OnReceived(KindOf(fetch.request.topic), bytes);
   traffic_.OnFetchEnded(true);
-  RecordFailure(question, bytes, reason);
+  RecordFailure(fetch, bytes, reason);
 }
 
-std::optional<FeedResponse> PeerFeed::TakeAnswer(const PeerFetch& question,
-                                                 const CallResult& result) {
+std::optional<FeedResponse> PeerFeed::HandleAnswer(const PeerFetch& fetch,
+                                                   const CallResult& result) {
   const Time arrived = BootClock::now();
-  traffic_.OnReceived(KindOf(question.request.topic), result.received_bytes);
+  traffic_.OnReceived(KindOf(fetch.request.topic), result.received_bytes);
   auto snapshot = result.outcome == CallOutcome::kAnswered
-                      ? Open(question.request, result.response.body)
+                      ? DecodeAnswer(fetch.request, result.response.body)
                       : std::nullopt;
   traffic_.OnFetchEnded(!snapshot);
   if (result.connection_silent) {
     traffic_.OnSilentConnection();
   }
   if (!snapshot) {
-    RecordFailure(question, result.received_bytes, CauseOf(result));
+    RecordFailure(fetch, result.received_bytes, CauseOf(result));
     return std::nullopt;
   }
   return FeedResponse{std::move(*snapshot),
-                      {question.peer.name, result.response.body.size(),
+                      {fetch.peer.name, result.response.body.size(),
                        result.transfer_time, BootClock::now() - arrived}};
 }
 
-void PeerFeed::RecordFailure(const PeerFetch& question,
+void PeerFeed::RecordFailure(const PeerFetch& fetch,
                              std::uint64_t bytes,
                              const std::string& reason) {
   events_.Record(
-      EventCode::kTransferFailed, question.peer.name,
-      PathOf(question.request.topic),
+      EventCode::kTransferFailed, fetch.peer.name, PathOf(fetch.request.topic),
       {IntegerField(field::kBytes, bytes), {field::kReason, reason}});
 }
 
-std::optional<FleetSnapshot> PeerFeed::Open(const FeedRequest& request,
-                                            const std::string& body) {
+std::optional<FleetSnapshot> PeerFeed::DecodeAnswer(const FeedRequest& request,
+                                                    const std::string& body) {
   const auto message = VerifyMac(body, key_);
   if (!message) {
     return std::nullopt;
@@ -295,46 +301,49 @@
   if (!snapshot || snapshot->topic != request.topic) {
     return std::nullopt;
   }
-  const PartUse use = Complete(*snapshot);
-  if (use == PartUse::kOvertaken && request.after > 0) {
-    return NothingNew(request.topic);
+  const UpdateResult update_result = CompleteConfig(*snapshot);
+  if (update_result == UpdateResult::kSuperseded && request.after > 0) {
+    return EmptySnapshot(request.topic);
   }
-  return use == PartUse::kComplete ? snapshot : std::nullopt;
+  return update_result == UpdateResult::kComplete ? snapshot : std::nullopt;
 }
 
-// A change may be of another version than the one in force by now.
-PeerFeed::PartUse PeerFeed::Complete(FleetSnapshot& snapshot) {
+// Replaces the encoded update in a snapshot by the resulting configuration. The
+// update may be a delta to a version that is no longer in force here.
+PeerFeed::UpdateResult PeerFeed::CompleteConfig(FleetSnapshot& snapshot) {
   if (snapshot.config_update.empty()) {
-    return PartUse::kComplete;
+    return UpdateResult::kComplete;
   }
-  auto part = DecodeConfigUpdate(snapshot.config_update);
+  auto update = DecodeConfigUpdate(snapshot.config_update);
   snapshot.config_update.clear();
-  if (!part) {
-    return PartUse::kUnusable;
+  if (!update) {
+    return UpdateResult::kUnusable;
   }
-  const RoutingConfig* known = tables_.Config();
-  if (known != nullptr && part->config.version <= known->version) {
-    wants_whole_ = false;
-    return PartUse::kComplete;
+  const RoutingConfig* known = provider_.Config();
+  if (known != nullptr && update->config.version <= known->version) {
+    needs_full_config_ = false;
+    return UpdateResult::kComplete;
   }
-  if (IsOvertaken(*part)) {
-    return PartUse::kOvertaken;
+  if (IsSuperseded(*update)) {
+    return UpdateResult::kSuperseded;
   }
-  auto config = ApplyConfigUpdate(std::move(*part), known);
-  wants_whole_ = !config.has_value();
+  auto config = ApplyConfigUpdate(std::move(*update), known);
+  needs_full_config_ = !config.has_value();
   if (!config) {
-    return PartUse::kUnusable;
+    return UpdateResult::kUnusable;
   }
   snapshot.config = std::move(*config);
-  return PartUse::kComplete;
+  return UpdateResult::kComplete;
 }
 
-// A watch may wait for 20 s, and another answer came into force meanwhile. Who
-// asks again tells the version in force by then, and is told what changes it.
-bool PeerFeed::IsOvertaken(const ConfigUpdate& part) const {
-  const RoutingConfig* known = tables_.Config();
-  return part.base_version > 0 && known != nullptr &&
-         known->version > part.base_version;
+// Whether a newer configuration than the base of the update is in force. A
+// watch may wait for 20 s, and another answer may come into force meanwhile.
+// The next request names the version in force by then, and gets a delta to that
+// version.
+bool PeerFeed::IsSuperseded(const ConfigUpdate& update) const {
+  const RoutingConfig* known = provider_.Config();
+  return update.base_version > 0 && known != nullptr &&
+         known->version > update.base_version;
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/feeds/peer_feed_test.cpp
+++ b/src/pathcleat/feeds/peer_feed_test.cpp
@@ -2,7 +2,7 @@
 #include "pathcleat/feeds/peer_feed.hpp"
 
 #include "event_loop.hpp"
-#include "pass_through.hpp"
+#include "tcp_proxy.hpp"
 #include "pathcleat/core/mac.hpp"
 #include "pathcleat/feeds/config_history.hpp"
 #include "pathcleat/http/endpoint.hpp"
@@ -17,13 +17,15 @@
 constexpr Duration kWait{10'000'000};
 constexpr Duration kTimeout{1'000'000};
 
-// What a host knows, as the test says.
-class HandTables : public SnapshotProvider {
+// The data of a host, set by the test.
+class FakeSnapshotProvider : public SnapshotProvider {
  public:
-  explicit HandTables(std::uint64_t version) { Take(version); }
+  explicit FakeSnapshotProvider(std::uint64_t version) {
+    ApplyVersion(version);
+  }
 
-  // Each version changes the second of two routes.
-  void Take(std::uint64_t version) {
+  // Applies a version; each version changes the second of two routes.
+  void ApplyVersion(std::uint64_t version) {
     config_.version = version;
     config_.routes.resize(2);
     config_.routes.front().timeout = kTimeout;
@@ -31,8 +33,8 @@
     history_.Append(config_);
   }
 
-  // As after a fault of memory: not what the version says.
-  void Spoil() { config_.routes.front().timeout = Duration(0); }
+  // Changes a route without a new version, as a memory fault would.
+  void CorruptConfig() { config_.routes.front().timeout = Duration(0); }
 
   std::uint64_t NewestVersion(SourceTopic) const override {
     return config_.version;
@@ -40,7 +42,7 @@
   const RoutingConfig* Config() const override { return &config_; }
 
   FleetSnapshot MakeSnapshot(const FeedRequest& request) override {
-    asked = request;
+    last_request = request;
     ++snapshots;
     FleetSnapshot snapshot;
     snapshot.version = config_.version;
@@ -52,7 +54,7 @@
     return snapshot;
   }
 
-  FeedRequest asked;  ///< last of all
+  FeedRequest last_request;  ///< the last request
   int snapshots = 0;
 
  private:
@@ -60,38 +62,39 @@
   ConfigHistory history_;
 };
 
-struct FeedWorld {
-  explicit FeedWorld(std::uint64_t version) : told(version), known(version) {
+struct PeerFeedFixture {
+  explicit PeerFeedFixture(std::uint64_t version)
+      : server_data(version), client_data(version) {
     SilenceLog();
-    teller.SetKey(kKey);
-    follower.SetKey(kKey);
+    server.SetKey(kKey);
+    client.SetKey(kKey);
     const bool open = TryOr(
         [&]() -> Result<bool> {
-          BOOST_LEAF_CHECK(teller.Open(address, kPort));
+          BOOST_LEAF_CHECK(server.Open(address, kPort));
           return true;
         },
         [](const Error&) { return false; });
     cr_assert(open);
   }
 
-  std::string TellerAddress() const {
+  std::string ServerAddress() const {
     return address + ":" + std::to_string(kPort);
   }
 
-  void Ask(std::uint64_t after, Duration wait) {
-    AskAt(TellerAddress(), after, wait);
+  void StartFetch(std::uint64_t after, Duration wait) {
+    StartFetchFrom(ServerAddress(), after, wait);
   }
 
-  void AskAt(const std::string& teller_address,
-             std::uint64_t after,
-             Duration wait) {
+  void StartFetchFrom(const std::string& server_address,
+                      std::uint64_t after,
+                      Duration wait) {
     answered = false;
-    follower.Fetch({"teller", teller_address},
-                   {SourceTopic::kOrders, after, wait},
-                   [this](const std::optional<FeedResponse>& given) {
-                     answered = true;
-                     answer = given;
-                   });
+    client.Fetch({"server", server_address},
+                 {SourceTopic::kOrders, after, wait},
+                 [this](const std::optional<FeedResponse>& response) {
+                   answered = true;
+                   answer = response;
+                 });
   }
 
   void AwaitAnswer() {
@@ -102,137 +105,146 @@
   std::string address = UniqueLoopbackAddress();
   EventLog events{"host", 100};
   PeerTraffic traffic;
-  HandTables told;
-  HandTables known;
-  PeerFeed teller{loop, events, traffic, told};
-  PeerFeed follower{loop, events, traffic, known};
+  FakeSnapshotProvider server_data;
+  FakeSnapshotProvider client_data;
+  PeerFeed server{loop, events, traffic, server_data};
+  PeerFeed client{loop, events, traffic, client_data};
   bool answered = false;
   std::optional<FeedResponse> answer;
 };
 
-// A watch waits for up to 20 s; meanwhile another host may tell more. The
-// change that it then brings is of the version known when it was asked: its
-// relay was left alone for 5 s, and the whole was asked for, of the store.
-// Checked to fail (no answer) with IsOvertaken giving false.
-Test(peer_feed, watch_that_another_answer_has_overtaken_is_no_failure) {
-  FeedWorld world(5);
-  world.Ask(5, kWait);
-  world.known.Take(7);
-  world.told.Take(7);
-  world.told.Take(9);
-  world.AwaitAnswer();
-  cr_assert(world.answer.has_value());
-  cr_assert_eq(world.answer->snapshot.version, 0U, "nothing was learnt");
-  world.Ask(7, kWait);
-  world.AwaitAnswer();
-  cr_assert_eq(world.told.asked.config_version, 7U, "a change is enough");
-  cr_assert(world.answer.has_value());
-  cr_assert_eq(world.answer->snapshot.config.version, 9U);
+// A watch waits for up to 20 s, and another host may send a newer version
+// meanwhile. The answer is then a delta to the version at the start of the
+// watch; taken as a failure, the relay was avoided for 5 s and the full
+// configuration read from the store. Fails (no answer) with IsSuperseded always
+// false.
+Test(peer_feed, watch_superseded_by_another_answer_is_no_failure) {
+  PeerFeedFixture fixture(5);
+  fixture.StartFetch(5, kWait);
+  fixture.client_data.ApplyVersion(7);
+  fixture.server_data.ApplyVersion(7);
+  fixture.server_data.ApplyVersion(9);
+  fixture.AwaitAnswer();
+  cr_assert(fixture.answer.has_value());
+  cr_assert_eq(fixture.answer->snapshot.version, 0U, "no new data");
+  fixture.StartFetch(7, kWait);
+  fixture.AwaitAnswer();
+  cr_assert_eq(fixture.server_data.last_request.config_version, 7U,
+               "a delta is enough");
+  cr_assert(fixture.answer.has_value());
+  cr_assert_eq(fixture.answer->snapshot.config.version, 9U);
 }
 
-// An answer asked for at once is a whole reading: what it lacks would count
-// as gone, so one that was overtaken is none.
-Test(peer_feed, reading_that_another_answer_has_overtaken_is_no_answer) {
-  FeedWorld world(5);
-  world.Ask(0, Duration(0));
-  world.known.Take(7);
-  world.told.Take(7);
-  world.told.Take(9);
-  world.AwaitAnswer();
-  cr_assert_not(world.answer.has_value());
-  world.Ask(0, Duration(0));
-  world.AwaitAnswer();
-  cr_assert_eq(world.told.asked.config_version, 7U, "a change is enough");
+// A fetch from version 0 is a read of the whole topic: entries that it lacks
+// would count as gone, so a superseded answer must not be used as an empty one.
+Test(peer_feed, read_superseded_by_another_answer_is_a_failure) {
+  PeerFeedFixture fixture(5);
+  fixture.StartFetch(0, Duration(0));
+  fixture.client_data.ApplyVersion(7);
+  fixture.server_data.ApplyVersion(7);
+  fixture.server_data.ApplyVersion(9);
+  fixture.AwaitAnswer();
+  cr_assert_not(fixture.answer.has_value());
+  fixture.StartFetch(0, Duration(0));
+  fixture.AwaitAnswer();
+  cr_assert_eq(fixture.server_data.last_request.config_version, 7U,
+               "a delta is enough");
 }
 
-// A change that does not fit asks for the whole once, and not with each
-// question from then on. Checked to fail with wants_whole_ left as it is
-// where the version told is in force by then.
-Test(peer_feed, whole_is_asked_for_until_it_is_told) {
-  FeedWorld world(5);
-  world.known.Spoil();
-  world.told.Take(9);
-  world.Ask(5, kWait);
-  world.AwaitAnswer();
-  cr_assert_not(world.answer.has_value());
-  // The store tells it meanwhile.
-  world.known.Take(9);
-  world.Ask(8, kWait);
-  world.AwaitAnswer();
-  cr_assert_eq(world.told.asked.config_version, 0U);
-  cr_assert(world.answer.has_value());
-  world.Ask(8, kWait);
-  world.AwaitAnswer();
-  cr_assert_eq(world.told.asked.config_version, 9U);
+// A delta that does not apply makes the next fetches request the full
+// configuration, but only until it is in force. Fails with needs_full_config_
+// kept if the version received is already in force.
+Test(peer_feed, full_configuration_is_requested_until_in_force) {
+  PeerFeedFixture fixture(5);
+  fixture.client_data.CorruptConfig();
+  fixture.server_data.ApplyVersion(9);
+  fixture.StartFetch(5, kWait);
+  fixture.AwaitAnswer();
+  cr_assert_not(fixture.answer.has_value());
+  // The configuration arrives from the store meanwhile.
+  fixture.client_data.ApplyVersion(9);
+  fixture.StartFetch(8, kWait);
+  fixture.AwaitAnswer();
+  cr_assert_eq(fixture.server_data.last_request.config_version, 0U);
+  cr_assert(fixture.answer.has_value());
+  fixture.StartFetch(8, kWait);
+  fixture.AwaitAnswer();
+  cr_assert_eq(fixture.server_data.last_request.config_version, 9U);
 }
 
-// A watch over a connection that fell silent ends by itself, and a new one
-// works. Checked to fail (after 3.4 s) with SetAckTimeout out of
-// Ask.
-Test(peer_feed, watch_that_fell_silent_is_given_up) {
-  FeedWorld world(5);
-  world.told.Take(5);
-  world.teller.SetWatchingStore(true);
-  TcpProxy way(world.loop, world.address,
-               *ParseTcpEndpoint(world.TellerAddress()));
-  world.AskAt(way.address(), 5, kWait);
-  cr_assert(WaitUntil(world.loop, [&] { return way.forwarding_count() == 1; }));
-  const Time silenced = BootClock::now();
-  way.SilenceConnections(SilenceMode::kDropPackets);
-  world.AwaitAnswer();
-  constexpr Duration kFound{2'900'000};
-  cr_assert_lt((BootClock::now() - silenced).count(), kFound.count());
-  cr_assert_not(world.answer.has_value());
-  cr_assert_eq(world.traffic.silent_connections(), 1U);
-  world.told.Take(6);
-  world.AskAt(way.address(), 5, kWait);
-  world.AwaitAnswer();
-  cr_assert(world.answer.has_value());
+// A watch on a connection whose packets are dropped must end by the
+// acknowledgement timeout, and a new watch must work. Fails (after 3.4 s)
+// without SetAckTimeout in PeerFeed::Fetch.
+Test(peer_feed, watch_on_a_silent_connection_is_given_up) {
+  PeerFeedFixture fixture(5);
+  fixture.server_data.ApplyVersion(5);
+  fixture.server.SetWatchingStore(true);
+  TcpProxy proxy(fixture.loop, fixture.address,
+                 *ParseTcpEndpoint(fixture.ServerAddress()));
+  fixture.StartFetchFrom(proxy.address(), 5, kWait);
+  cr_assert(
+      WaitUntil(fixture.loop, [&] { return proxy.forwarding_count() == 1; }));
+  const Time silenced_at = BootClock::now();
+  proxy.SilenceConnections(SilenceMode::kDropPackets);
+  fixture.AwaitAnswer();
+  constexpr Duration kMaxDetectionTime{2'900'000};
+  cr_assert_lt((BootClock::now() - silenced_at).count(),
+               kMaxDetectionTime.count());
+  cr_assert_not(fixture.answer.has_value());
+  cr_assert_eq(fixture.traffic.silent_connections(), 1U);
+  fixture.server_data.ApplyVersion(6);
+  fixture.StartFetchFrom(proxy.address(), 5, kWait);
+  fixture.AwaitAnswer();
+  cr_assert(fixture.answer.has_value());
 }
 
-// An answer that comes slowly over a thin link is worth waiting for: given up
-// after 1 s in total, it was asked for anew and never taken. Checked to fail
-// with first_byte in place of the sum in TimeoutsOf.
-Test(peer_feed, answer_that_keeps_arriving_is_taken) {
-  FeedWorld world(5);
-  world.told.Take(6);
-  ScriptedServer thin(world.loop, world.address);
-  const std::string to = thin.endpoint().address().to_string() + ":" +
-                         std::to_string(thin.endpoint().port());
-  world.AskAt(to, 5, Duration(0));
-  cr_assert(WaitUntil(world.loop, [&] { return thin.HasReceived("GET /"); }));
+// An answer that arrives slowly over a narrow link: with a total timeout of 1 s
+// it was cancelled and fetched again and again, and never used. Fails with
+// first_byte in place of the sum in TimeoutsOf.
+Test(peer_feed, answer_that_keeps_arriving_is_used) {
+  PeerFeedFixture fixture(5);
+  fixture.server_data.ApplyVersion(6);
+  ScriptedServer slow_server(fixture.loop, fixture.address);
+  const std::string slow_address =
+      slow_server.endpoint().address().to_string() + ":" +
+      std::to_string(slow_server.endpoint().port());
+  fixture.StartFetchFrom(slow_address, 5, Duration(0));
+  cr_assert(WaitUntil(fixture.loop,
+                      [&] { return slow_server.HasReceived("GET /"); }));
   FeedRequest request;
   request.config_version = 5;
-  const std::string body =
-      AppendMac(EncodeSnapshot(world.told.MakeSnapshot(request)), kKey);
-  thin.Send("HTTP/1.1 200 OK\r\nContent-Length: " +
-            std::to_string(body.size()) + "\r\n\r\n");
-  const Time began = BootClock::now();
-  thin.SendByteByByte(body, std::chrono::milliseconds(1'300 / body.size() + 1));
-  world.AwaitAnswer();
-  constexpr Duration kOnceTheTotal{1'000'000};
-  cr_assert_gt((BootClock::now() - began).count(), kOnceTheTotal.count());
-  cr_assert(world.answer.has_value());
-  cr_assert_eq(world.answer->snapshot.config.version, 6U);
+  const std::string body = AppendMac(
+      EncodeSnapshot(fixture.server_data.MakeSnapshot(request)), kKey);
+  slow_server.Send("HTTP/1.1 200 OK\r\nContent-Length: " +
+                   std::to_string(body.size()) + "\r\n\r\n");
+  const Time started_at = BootClock::now();
+  slow_server.SendByteByByte(
+      body, std::chrono::milliseconds(1'300 / body.size() + 1));
+  fixture.AwaitAnswer();
+  constexpr Duration kFormerTotalTimeout{1'000'000};
+  cr_assert_gt((BootClock::now() - started_at).count(),
+               kFormerTotalTimeout.count());
+  cr_assert(fixture.answer.has_value());
+  cr_assert_eq(fixture.answer->snapshot.config.version, 6U);
 }
 
-// A hundred hosts that start together ask one for the same; encoding 10,000
-// entries for each of them takes a third of a second of a core.
-// Checked to fail with kAnswerKeptFor at 0.
-Test(peer_feed, same_question_is_encoded_once) {
-  constexpr int kAskers = 20;
-  FeedWorld world(1);
-  for (int i = 0; i < kAskers; ++i) {
-    world.Ask(0, Duration(0));
-    cr_assert(WaitUntil(world.loop, [&] { return world.answered; }));
-    cr_assert(world.answer.has_value());
+// A hundred hosts that start together send the same request to one host;
+// encoding 10,000 entries for each of them would take a third of a second of a
+// core. Fails with kAnswerTtl at 0.
+Test(peer_feed, answer_to_equal_requests_is_encoded_once) {
+  constexpr int kRequests = 20;
+  PeerFeedFixture fixture(1);
+  for (int i = 0; i < kRequests; ++i) {
+    fixture.StartFetch(0, Duration(0));
+    cr_assert(WaitUntil(fixture.loop, [&] { return fixture.answered; }));
+    cr_assert(fixture.answer.has_value());
   }
-  // Answers are kept for 0.2 s; a slow machine may need a second one.
-  cr_assert_lt(world.told.snapshots, kAskers / 2);
-  world.told.Take(2);
-  world.Ask(0, Duration(0));
-  cr_assert(WaitUntil(world.loop, [&] { return world.answered; }));
-  cr_assert_eq(world.answer->snapshot.version, 2U);
+  // Answers are cached for 0.2 s; on a slow machine a few more are encoded.
+  cr_assert_lt(fixture.server_data.snapshots, kRequests / 2);
+  fixture.server_data.ApplyVersion(2);
+  fixture.StartFetch(0, Duration(0));
+  cr_assert(WaitUntil(fixture.loop, [&] { return fixture.answered; }));
+  cr_assert_eq(fixture.answer->snapshot.version, 2U);
 }
 
 }  // namespace
--- a/src/pathcleat/feeds/relayed_source.cpp
+++ b/src/pathcleat/feeds/relayed_source.cpp
@@ -7,13 +7,13 @@
 namespace pathcleat {
 namespace {
 
-// A relay that did not answer is left alone, and a store that did not is
-// asked again, after this time.
-constexpr Duration kAvoidTime{5'000'000};
-constexpr Duration kStoreFailTime{3'000'000};
+// How long a relay that did not answer is avoided.
+constexpr Duration kPeerAvoidDuration{5'000'000};
+// How long the store counts as failing after a call without an answer.
+constexpr Duration kStoreFailureTtl{3'000'000};
 
-// Nothing was learnt, and the store is not to blame.
-SourceAnswer NotAsked() {
+// An answer without data that does not count as a failure of the store.
+SourceAnswer NoAnswerFromStore() {
   SourceAnswer answer;
   answer.relayed = true;
   return answer;
@@ -33,19 +33,21 @@
       on_access_(std::move(on_access)) {}
 
 RelayChoice RelayedSource::Choose(Time now) {
-  std::erase_if(avoided_,
+  std::erase_if(avoided_peers_,
                 [now](const auto& peer) { return now >= peer.second; });
-  RelayCriteria need;
-  need.domain_count = domains_;
-  need.store_failed = store_failed_ && now - *store_failed_ < kStoreFailTime;
-  for (const auto& [peer, until] : avoided_) {
-    need.avoided_peers.insert(peer);
+  RelayCriteria criteria;
+  criteria.domain_count = domains_;
+  criteria.store_failed =
+      store_failed_at_ && now - *store_failed_at_ < kStoreFailureTtl;
+  for (const auto& [peer, until] : avoided_peers_) {
+    criteria.avoided_peers.insert(peer);
   }
-  return ChooseRelay(hosts_, need, now);
+  return ChooseRelay(hosts_, criteria, now);
 }
 
-// Who has read the topic says so in its heartbeats, and is then asked beside.
-bool RelayedSource::AwaitsOthers(SourceTopic topic, Time now) {
+// Whether to wait until other hosts have read the topic. Their heartbeats then
+// report its version, and this host fetches the topic from one of them.
+bool RelayedSource::ShouldAwaitOthers(SourceTopic topic, Time now) {
   const Time since = waiting_since_.try_emplace(topic, now).first->second;
   if (ShouldReadStore(hosts_, {domains_, now - since}, now)) {
     waiting_since_.erase(topic);
@@ -59,24 +61,25 @@
                          Callback callback) {
   const Time now = BootClock::now();
   if (from.empty() && store_access(now) != StoreAccess::kFailing &&
-      AwaitsOthers(topic, now)) {
-    callback(NotAsked());
+      ShouldAwaitOthers(topic, now)) {
+    callback(NoAnswerFromStore());
     return;
   }
-  // The pages of one reading come from one place.
+  // All pages of one read come from the same source.
   const RelayChoice choice =
-      from.empty() && store_failed_ ? Choose(now) : RelayChoice();
+      from.empty() && store_failed_at_ ? Choose(now) : RelayChoice();
   switch (choice.kind) {
     case RelayKind::kPeer:
-      AskPeer({choice.peer_name, choice.peer_address}, {topic, 0, Duration(0)},
-              callback);
+      FetchFromPeer({choice.peer_name, choice.peer_address},
+                    {topic, 0, Duration(0)}, callback);
       return;
     case RelayKind::kNone:
-      callback(NotAsked());
+      callback(NoAnswerFromStore());
       return;
     case RelayKind::kStore:
-      store_.Read(topic, from,
-                  Noting(topic, CallKind::kRead, std::move(callback)));
+      store_.Read(
+          topic, from,
+          WithStoreTracking(topic, CallKind::kRead, std::move(callback)));
       return;
   }
 }
@@ -89,58 +92,60 @@
   const RelayChoice choice = Choose(BootClock::now());
   switch (choice.kind) {
     case RelayKind::kPeer:
-      LeaveStore(topic);
-      BeginWatch({choice.peer_name, choice.peer_address}, {topic, after, wait},
-                 std::move(callback));
+      StopUsingStore(topic);
+      StartPeerWatch({choice.peer_name, choice.peer_address},
+                     {topic, after, wait}, std::move(callback));
       return;
     case RelayKind::kNone:
-      LeaveStore(topic);
-      callback(NotAsked());
+      StopUsingStore(topic);
+      callback(NoAnswerFromStore());
       return;
     case RelayKind::kStore:
-      store_.Watch(topic, after, wait,
-                   Noting(topic, CallKind::kWatch, std::move(callback)));
+      store_.Watch(
+          topic, after, wait,
+          WithStoreTracking(topic, CallKind::kWatch, std::move(callback)));
       return;
   }
 }
 
-void RelayedSource::BeginWatch(const FeedPeer& peer,
-                               const FeedRequest& request,
-                               Callback callback) {
-  const PeerFetchPtr question =
-      AskPeer(peer, request,
-              [this, topic = request.topic,
-               callback = std::move(callback)](const SourceAnswer& answer) {
-                watches_.erase(topic);
-                callback(answer);
-              });
-  if (question) {
-    watches_[request.topic] = question;
+void RelayedSource::StartPeerWatch(const FeedPeer& peer,
+                                   const FeedRequest& request,
+                                   Callback callback) {
+  const PeerFetchPtr fetch = FetchFromPeer(
+      peer, request,
+      [this, topic = request.topic,
+       callback = std::move(callback)](const SourceAnswer& answer) {
+        peer_watches_.erase(topic);
+        callback(answer);
+      });
+  if (fetch) {
+    peer_watches_[request.topic] = fetch;
   }
 }
 
-// Others have told more than this relay, which is left alone for a while.
+// Cancels a watch at a relay that lags behind other hosts, and avoids the relay
+// for a while.
 void RelayedSource::StopWatch(SourceTopic topic) {
-  const auto watch = watches_.find(topic);
-  if (watch == watches_.end()) {
+  const auto watch = peer_watches_.find(topic);
+  if (watch == peer_watches_.end()) {
     return;
   }
-  const PeerFetchPtr question = watch->second;
-  watches_.erase(watch);
-  avoided_[question->peer.address] = BootClock::now() + kAvoidTime;
-  peers_.Cancel(*question, "others know more");
+  const PeerFetchPtr fetch = watch->second;
+  peer_watches_.erase(watch);
+  avoided_peers_[fetch->peer.address] = BootClock::now() + kPeerAvoidDuration;
+  peers_.Cancel(*fetch, "others know more");
 }
 
 std::optional<Time> RelayedSource::WatchLastReceived(SourceTopic topic) const {
-  const auto watch = watches_.find(topic);
-  return watch == watches_.end()
+  const auto watch = peer_watches_.find(topic);
+  return watch == peer_watches_.end()
              ? std::nullopt
              : watch->second->client->last_response_byte_at();
 }
 
-PeerFetchPtr RelayedSource::AskPeer(const FeedPeer& peer,
-                                    const FeedRequest& request,
-                                    const Callback& callback) {
+PeerFetchPtr RelayedSource::FetchFromPeer(const FeedPeer& peer,
+                                          const FeedRequest& request,
+                                          const Callback& callback) {
   return peers_.Fetch(
       peer, request,
       [this, address = peer.address,
@@ -149,69 +154,71 @@
           callback(ToSourceAnswer(answer->snapshot, answer->transfer));
           return;
         }
-        avoided_[address] = BootClock::now() + kAvoidTime;
-        callback(NotAsked());
+        avoided_peers_[address] = BootClock::now() + kPeerAvoidDuration;
+        callback(NoAnswerFromStore());
       });
 }
 
-FleetSource::Callback RelayedSource::Noting(SourceTopic topic,
-                                            CallKind kind,
-                                            Callback callback) {
+FleetSource::Callback RelayedSource::WithStoreTracking(SourceTopic topic,
+                                                       CallKind kind,
+                                                       Callback callback) {
   return [this, topic, kind,
           callback = std::move(callback)](const SourceAnswer& answer) {
-    if (!IsFirstBreak(topic, kind, answer.outcome)) {
-      NoteStore(topic, answer.outcome);
+    if (!IsFirstBrokenWatch(topic, kind, answer.outcome)) {
+      RecordStoreOutcome(topic, answer.outcome);
     }
     callback(answer);
   };
 }
 
-// A watch that breaks off says nothing of the store: the next call, a moment
-// later, does. Relays that took the store for gone by it all turned their
-// followers away at one moment, and sent them to the store.
-bool RelayedSource::IsFirstBreak(SourceTopic topic,
-                                 CallKind kind,
-                                 StoreOutcome outcome) {
+// Whether a watch got no answer for the first time in a row. This alone does
+// not count as a failure of the store; the outcome of the next call, a moment
+// later, decides. Relays that took the store for failed at a broken watch would
+// all reject their followers at the same moment and so send them to the store.
+bool RelayedSource::IsFirstBrokenWatch(SourceTopic topic,
+                                       CallKind kind,
+                                       StoreOutcome outcome) {
   if (kind == CallKind::kWatch && outcome == StoreOutcome::kUnknown) {
-    return broken_.insert(topic).second;
+    return broken_watches_.insert(topic).second;
   }
-  broken_.erase(topic);
+  broken_watches_.erase(topic);
   return false;
 }
 
-void RelayedSource::NoteStore(SourceTopic topic, StoreOutcome outcome) {
+void RelayedSource::RecordStoreOutcome(SourceTopic topic,
+                                       StoreOutcome outcome) {
   const Time now = BootClock::now();
   const StoreAccess before = store_access(now);
   const bool answered =
       outcome == StoreOutcome::kDone || outcome == StoreOutcome::kHistoryGone;
-  at_store_[topic] = answered;
+  store_answers_[topic] = answered;
   if (answered) {
-    store_failed_.reset();
+    store_failed_at_.reset();
   } else {
-    store_failed_ = now;
+    store_failed_at_ = now;
   }
-  TellIfChanged(before);
+  NotifyIfAccessChanged(before);
 }
 
-void RelayedSource::LeaveStore(SourceTopic topic) {
+void RelayedSource::StopUsingStore(SourceTopic topic) {
   const StoreAccess before = store_access(BootClock::now());
-  at_store_[topic] = false;
-  TellIfChanged(before);
+  store_answers_[topic] = false;
+  NotifyIfAccessChanged(before);
 }
 
-void RelayedSource::TellIfChanged(StoreAccess before) {
+void RelayedSource::NotifyIfAccessChanged(StoreAccess before) {
   if (store_access(BootClock::now()) != before) {
     on_access_();
   }
 }
 
 StoreAccess RelayedSource::store_access(Time now) const {
-  if (store_failed_ && now - *store_failed_ < kStoreFailTime) {
+  if (store_failed_at_ && now - *store_failed_at_ < kStoreFailureTtl) {
     return StoreAccess::kFailing;
   }
   const bool watching =
-      at_store_.size() > 1 &&
-      std::all_of(at_store_.begin(), at_store_.end(),
+      store_answers_.size() > 1 &&
+      std::all_of(store_answers_.begin(), store_answers_.end(),
                   [](const auto& topic) { return topic.second; });
   return watching ? StoreAccess::kWatching : StoreAccess::kFollowingPeer;
 }
--- a/src/pathcleat/feeds/source_watcher.cpp
+++ b/src/pathcleat/feeds/source_watcher.cpp
@@ -7,34 +7,35 @@
 namespace pathcleat {
 namespace {
 
-constexpr Duration kWatchTime{20'000'000};
-// What has changed is told at once, and so is that nothing has.
+constexpr Duration kMaxWatchTime{20'000'000};
+// The source answers at once, also if nothing has changed.
 constexpr Duration kNoWait{0};
-constexpr std::chrono::milliseconds kFirstPause{100};
-constexpr int kMostDoublings = 3;
+constexpr std::chrono::milliseconds kInitialRetryDelay{100};
+constexpr int kMaxDoublings = 3;
 
 }  // namespace
 
-// After a change the next one is not waited for at once: changes come in
-// series, and each answer of the store is paid for.
+// After a change the watch pauses before it waits for the next one: changes
+// come in series, and each answer of the store is billed.
 struct SourceWatcher::Timing {
-  Duration gather;      ///< the pause after a change
-  Duration ask_after;   ///< behind for so long, a host asks the others
-  Duration dead_after;  ///< a watch that tells nothing of what others know
+  Duration pause_after_change;      ///< pause of the watch after a change
+  Duration fetch_from_peers_after;  ///< lag that makes the host ask its peers
+  Duration restart_watch_after;     ///< lag after which a watch counts as dead
 };
 
 namespace {
 
-// Others may know of a change while a relay pauses, and it is then passed on:
-// both bounds lie beyond the pause by what two hops take at 10 Mbit/s.
-// Upstreams that join or leave serve on for seconds, and come and go in long
-// series: with hundreds of them all day. Orders are due within 2 s.
-constexpr SourceWatcher::Timing kOrdersPace{
+// While a relay pauses, other hosts may have a change that its followers get
+// only after the pause. So both lag limits exceed the pause by the time of two
+// hops at 10 Mbit/s. The pause is longer for upstreams, because upstreams that
+// join or leave continue to serve for seconds, and they do so in long series:
+// with hundreds of upstreams, all day. Orders must be applied within 2 s.
+constexpr SourceWatcher::Timing kOrdersTiming{
     Duration(250'000), Duration(400'000), Duration(700'000)};
-constexpr SourceWatcher::Timing kUpstreamsPace{
+constexpr SourceWatcher::Timing kUpstreamsTiming{
     Duration(400'000), Duration(600'000), Duration(850'000)};
 
-// The pages of one reading count as one transfer.
+// All pages of one read count as one transfer.
 void AddTransfer(Transfer& sum, const Transfer& page) {
   sum.from = page.from;
   sum.bytes += page.bytes;
@@ -48,49 +49,50 @@
                              FleetSource& source,
                              SourceTopic topic,
                              Handler handler,
-                             ReachabilityHandler observer)
+                             ReachabilityHandler on_reachability)
     : source_(source),
       topic_(topic),
-      pace_(topic == SourceTopic::kOrders ? kOrdersPace : kUpstreamsPace),
+      timing_(topic == SourceTopic::kOrders ? kOrdersTiming : kUpstreamsTiming),
       handler_(std::move(handler)),
-      observer_(std::move(observer)),
+      on_reachability_(std::move(on_reachability)),
       timer_(loop) {}
 
 void SourceWatcher::Start() {
   reading_ = true;
-  page_ = {};
+  collected_pages_ = {};
   Read("");
 }
 
 void SourceWatcher::Read(const std::string& from) {
-  source_.Read(topic_, from, Current(&SourceWatcher::OnRead));
+  source_.Read(topic_, from, ForCurrentGeneration(&SourceWatcher::OnRead));
 }
 
 void SourceWatcher::OnRead(const SourceAnswer& answer) {
-  Note(answer);
+  RecordOutcome(answer);
   if (answer.outcome != StoreOutcome::kDone) {
     if (answer.relayed) {
-      PauseFor(kFirstPause, [this] { Start(); });
+      RunAfter(kInitialRetryDelay, [this] { Start(); });
     } else {
-      Pause([this] { Start(); });
+      RetryAfterBackoff([this] { Start(); });
     }
     return;
   }
-  // Pages are as of different moments: the watch begins at the first one's.
-  if (page_.changes.empty()) {
+  // Pages have different versions: the watch begins at that of the first page,
+  // so that no change is missed.
+  if (collected_pages_.changes.empty()) {
     first_page_version_ = answer.version;
   }
-  page_.changes.insert(page_.changes.end(), answer.changes.begin(),
-                       answer.changes.end());
-  page_.newest_change_version =
-      std::max(page_.newest_change_version, answer.newest_change_version);
-  page_.removals_uncertain = answer.removals_uncertain;
-  AddTransfer(page_.transfer, answer.transfer);
+  collected_pages_.changes.insert(collected_pages_.changes.end(),
+                                  answer.changes.begin(), answer.changes.end());
+  collected_pages_.newest_change_version = std::max(
+      collected_pages_.newest_change_version, answer.newest_change_version);
+  collected_pages_.removals_uncertain = answer.removals_uncertain;
+  AddTransfer(collected_pages_.transfer, answer.transfer);
   if (!answer.next_page.empty()) {
     Read(answer.next_page);
     return;
   }
-  SourceAnswer read = std::exchange(page_, {});
+  SourceAnswer read = std::exchange(collected_pages_, {});
   read.version = first_page_version_;
   if (read.version >= version_) {
     Handle(read, true);
@@ -98,67 +100,68 @@
   Watch();
 }
 
-// A store that falls silent may take a call and never answer it. A long wait is
-// begun only once a short call has been answered.
+// A store that has stopped answering may still accept a call. So after a
+// failure the watch does not wait for changes until a call has been answered.
 void SourceWatcher::Watch() {
   reading_ = false;
-  watch_began_ = BootClock::now();
-  source_.Watch(topic_, version_, in_doubt_ ? kNoWait : kWatchTime,
-                Current(&SourceWatcher::OnWatch));
+  watch_started_at_ = BootClock::now();
+  source_.Watch(topic_, version_, last_call_failed_ ? kNoWait : kMaxWatchTime,
+                ForCurrentGeneration(&SourceWatcher::OnWatch));
 }
 
-void SourceWatcher::WatchAnew() {
+void SourceWatcher::RestartWatch() {
   source_.StopWatch(topic_);
   ++generation_;
-  in_doubt_ = true;
+  last_call_failed_ = true;
   Watch();
 }
 
 void SourceWatcher::RestartIfOlderThan(Time since) {
-  if (!reading_ && loaded_ && !in_doubt_ && watch_began_ < since) {
-    WatchAnew();
+  if (!reading_ && loaded_ && !last_call_failed_ && watch_started_at_ < since) {
+    RestartWatch();
   }
 }
 
 void SourceWatcher::OnWatch(const SourceAnswer& answer) {
   if (answer.outcome == StoreOutcome::kHistoryGone) {
-    Note(answer);
+    RecordOutcome(answer);
     Start();
     return;
   }
-  Note(answer);
+  RecordOutcome(answer);
   if (answer.outcome != StoreOutcome::kDone) {
-    Pause([this] { Watch(); });
+    RetryAfterBackoff([this] { Watch(); });
     return;
   }
-  // What has since been taken from a peer may be newer than this answer.
-  const bool news = !answer.changes.empty() || answer.is_full;
+  // Data that was fetched from a peer since may be newer than this answer.
+  const bool has_changes = !answer.changes.empty() || answer.is_full;
   if (answer.version >= version_) {
     Handle(answer, answer.is_full);
   }
-  if (news && !answer.relayed) {
-    PauseFor(pace_.gather, [this] { Watch(); });
+  if (has_changes && !answer.relayed) {
+    RunAfter(timing_.pause_after_change, [this] { Watch(); });
     return;
   }
   Watch();
 }
 
-void SourceWatcher::Handle(const SourceAnswer& answer, bool whole) {
+void SourceWatcher::Handle(const SourceAnswer& answer, bool is_full) {
   version_ = std::max(version_, answer.version);
-  changed_ = std::max(changed_, answer.newest_change_version);
+  newest_change_version_ =
+      std::max(newest_change_version_, answer.newest_change_version);
   behind_since_.reset();
-  if (whole) {
+  if (is_full) {
     loaded_ = true;
   }
-  if (whole || !answer.changes.empty()) {
-    handler_({whole, answer.version, answer.newest_change_version,
+  if (is_full || !answer.changes.empty()) {
+    handler_({is_full, answer.version, answer.newest_change_version,
               answer.relayed, answer.removals_uncertain, answer.transfer,
               answer.changes});
   }
 }
 
-// Answers to calls that were given up are dropped.
-FleetSource::Callback SourceWatcher::Current(
+// Wraps a handler so that answers to abandoned calls are ignored.
+FleetSource::Callback SourceWatcher::ForCurrentGeneration(
     void (SourceWatcher::*handler)(const SourceAnswer&)) {
   return [this, handler, generation = generation_](const SourceAnswer& answer) {
     if (generation == generation_) {
@@ -175,26 +178,29 @@
     behind_since_ = now;
     return;
   }
-  // A reading ends by its own limits: begun anew, it would never get done on
-  // a link that needs longer for the whole.
-  if (!reading_ && failures_ == 0 && now - TrustedSince() > pace_.dead_after) {
-    begun_anew_ = now;
-    WatchAnew();
+  // A read is not restarted, as it ends by its own timeouts: on a link that
+  // needs longer for the whole topic, a restarted read would never finish.
+  if (!reading_ && failures_ == 0 &&
+      now - LastProgressTime() > timing_.restart_watch_after) {
+    last_restart_ = now;
+    RestartWatch();
   }
 }
 
-// While an answer comes, however slowly, its watch lives: another question
-// would only share the link with it.
-Time SourceWatcher::TrustedSince() const {
-  const Time since = std::max(*behind_since_, begun_anew_);
+// Time since which the watch has made no progress. While an answer arrives,
+// however slowly, the watch is not restarted: a second call would only share
+// the link with the first.
+Time SourceWatcher::LastProgressTime() const {
+  const Time since = std::max(*behind_since_, last_restart_);
   return std::max(since, source_.WatchLastReceived(topic_).value_or(since));
 }
 
 bool SourceWatcher::IsBehind(std::uint64_t peer_version, Time now) const {
-  const Time heard = source_.WatchLastReceived(topic_).value_or(Time());
-  const bool late =
-      behind_since_ && now - std::max(*behind_since_, heard) > pace_.ask_after;
-  return peer_version > version_ && (late || !answered_);
+  const Time last_received = source_.WatchLastReceived(topic_).value_or(Time());
+  const bool is_lagging =
+      behind_since_ && now - std::max(*behind_since_, last_received) >
+                           timing_.fetch_from_peers_after;
+  return peer_version > version_ && (is_lagging || !last_call_answered_);
 }
 
 bool SourceWatcher::ApplyIfNewer(const SourceAnswer& answer) {
@@ -204,20 +210,21 @@
   const bool was_loaded = loaded_;
   Handle(answer, answer.is_full);
   if (!was_loaded) {
-    // The first read goes on failing; from now on a watch is enough.
+    // The initial read has not succeeded and is no longer needed: abandon it
+    // and watch from the version of this answer.
     ++generation_;
     Watch();
   }
   return true;
 }
 
-void SourceWatcher::Pause(std::function<void()> next) {
-  PauseFor(
-      kFirstPause * (1 << std::min(std::max(0, failures_ - 1), kMostDoublings)),
-      std::move(next));
+void SourceWatcher::RetryAfterBackoff(std::function<void()> next) {
+  RunAfter(kInitialRetryDelay *
+               (1 << std::min(std::max(0, failures_ - 1), kMaxDoublings)),
+           std::move(next));
 }
 
-void SourceWatcher::PauseFor(Duration pause, std::function<void()> next) {
+void SourceWatcher::RunAfter(Duration pause, std::function<void()> next) {
   timer_.expires_after(pause);
   timer_.async_wait([this, generation = generation_, next = std::move(next)](
                         const boost::system::error_code& error) {
@@ -227,19 +234,20 @@
   });
 }
 
-// Another host's answer says nothing of the store.
-void SourceWatcher::Note(const SourceAnswer& answer) {
+// Records the outcome of a call. Answers of other hosts do not change whether
+// the store counts as reachable.
+void SourceWatcher::RecordOutcome(const SourceAnswer& answer) {
   const bool reached = answer.outcome == StoreOutcome::kDone ||
                        answer.outcome == StoreOutcome::kHistoryGone;
   failures_ = reached ? 0 : failures_ + 1;
-  in_doubt_ = !reached;
-  answered_ = reached;
+  last_call_failed_ = !reached;
+  last_call_answered_ = reached;
   if (reached) {
     answered_at_ = BootClock::now();
   }
-  if (!answer.relayed && reached != reached_) {
-    reached_ = reached;
-    observer_(reached);
+  if (!answer.relayed && reached != store_reachable_) {
+    store_reachable_ = reached;
+    on_reachability_(reached);
   }
 }
 
--- a/src/pathcleat/feeds/upstream_codec.cpp
+++ b/src/pathcleat/feeds/upstream_codec.cpp
@@ -9,21 +9,23 @@
 namespace pathcleat {
 namespace {
 
-// Seven bits a byte, the low ones first; the highest bit says that more follow.
-constexpr unsigned kBits = 7;
-constexpr std::uint8_t kMore = 0x80;
-constexpr unsigned kMostShift = 63;
+// Numbers are written with seven bits per byte, low bits first; the highest bit
+// of a byte is set if more bytes follow.
+constexpr unsigned kBitsPerByte = 7;
+constexpr std::uint8_t kContinuationBit = 0x80;
+constexpr unsigned kMaxShift = 63;
 
 // Flags of an entry.
-constexpr std::uint64_t kLeaving = 1;
-constexpr std::uint64_t kCold = 2;
-constexpr std::uint64_t kTextAddress = 4;  // not of the usual form
+constexpr std::uint64_t kLeavingFlag = 1;
+constexpr std::uint64_t kColdFlag = 2;
+constexpr std::uint64_t kTextAddressFlag =
+    4;  // address is not IPv4:port, written as text
 
 class Writer {
  public:
   void Number(std::uint64_t value) {
-    for (; value >= kMore; value >>= kBits) {
-      bytes_.push_back(static_cast<char>(value | kMore));
+    for (; value >= kContinuationBit; value >>= kBitsPerByte) {
+      bytes_.push_back(static_cast<char>(value | kContinuationBit));
     }
     bytes_.push_back(static_cast<char>(value));
   }
@@ -33,7 +35,7 @@
     bytes_.append(text);
   }
 
-  // A name in full the first time, then by its number.
+  // Writes a name in full the first time, and only its index after that.
   void Name(const std::string& name) {
     const auto [known, added] = names_.try_emplace(name, names_.size());
     Number(known->second);
@@ -49,21 +51,22 @@
   std::map<std::string, std::uint64_t> names_;
 };
 
-// Once it has failed all that it reads is zero or empty.
+// After a failure, all further reads return zero or an empty string.
 class Reader {
  public:
   explicit Reader(std::string_view bytes) : bytes_(bytes) {}
 
   std::uint64_t Number() {
     std::uint64_t value = 0;
-    for (unsigned shift = 0; shift <= kMostShift; shift += kBits) {
+    for (unsigned shift = 0; shift <= kMaxShift; shift += kBitsPerByte) {
       if (bytes_.empty()) {
         break;
       }
       const auto byte = static_cast<std::uint8_t>(bytes_.front());
       bytes_.remove_prefix(1);
-      value |= static_cast<std::uint64_t>(byte & (kMore - 1U)) << shift;
-      if (byte < kMore) {
+      value |= static_cast<std::uint64_t>(byte & (kContinuationBit - 1U))
+               << shift;
+      if (byte < kContinuationBit) {
         return value;
       }
     }
@@ -103,8 +106,9 @@
   bool failed_ = false;
 };
 
-// Whether an address is what its numbers are written as.
-std::optional<boost::asio::ip::tcp::endpoint> Numbers(
+// The endpoint of an address if the address is exactly the canonical text of
+// that endpoint (IPv4 and port), so that it can be written as numbers.
+std::optional<boost::asio::ip::tcp::endpoint> ParseCanonicalAddress(
     const std::string& address) {
   const auto endpoint = ParseTcpEndpoint(address);
   if (!endpoint || !endpoint->address().is_v4()) {
@@ -116,11 +120,11 @@
 }
 
 void Write(Writer& writer, const UpstreamInfo& upstream) {
-  const auto endpoint = Numbers(upstream.address);
+  const auto endpoint = ParseCanonicalAddress(upstream.address);
   const bool cold = upstream.cold_remaining > Duration::zero();
-  std::uint64_t flags = upstream.leaving ? kLeaving : 0U;
-  flags |= cold ? kCold : 0U;
-  flags |= endpoint ? 0U : kTextAddress;
+  std::uint64_t flags = upstream.leaving ? kLeavingFlag : 0U;
+  flags |= cold ? kColdFlag : 0U;
+  flags |= endpoint ? 0U : kTextAddressFlag;
   writer.Number(flags);
   writer.Text(upstream.id);
   if (endpoint) {
@@ -143,7 +147,7 @@
   UpstreamInfo upstream;
   const std::uint64_t flags = reader.Number();
   upstream.id = reader.Text();
-  if ((flags & kTextAddress) != 0) {
+  if ((flags & kTextAddressFlag) != 0) {
     upstream.address = reader.Text();
   } else {
     const boost::asio::ip::address_v4 ip(
@@ -155,8 +159,8 @@
   upstream.version = reader.Name();
   upstream.started_ms = reader.Number();
   upstream.slots = static_cast<int>(reader.Number());
-  upstream.leaving = (flags & kLeaving) != 0;
-  if ((flags & kCold) != 0) {
+  upstream.leaving = (flags & kLeavingFlag) != 0;
+  if ((flags & kColdFlag) != 0) {
     upstream.cold_remaining = Duration(reader.Number());
   }
   return upstream;
--- a/src/pathcleat/feeds/upstream_codec_test.cpp
+++ b/src/pathcleat/feeds/upstream_codec_test.cpp
@@ -6,7 +6,7 @@
 namespace pathcleat {
 namespace {
 
-UpstreamInfo Drawn() {
+UpstreamInfo ArbitraryUpstream() {
   UpstreamInfo upstream;
   upstream.id = *rc::gen::arbitrary<std::string>();
   upstream.service = *rc::gen::element<std::string>("s", "t", "");
@@ -21,12 +21,12 @@
   return upstream;
 }
 
-Test(upstream_rows, what_is_written_is_read_back) {
+Test(upstream_codec, encoded_upstreams_are_decoded_unchanged) {
   cr_assert(Holds("decode(encode(rows)) == rows", [] {
     std::vector<UpstreamInfo> upstreams;
     const int count = *rc::gen::inRange(0, 20);
     for (int i = 0; i < count; ++i) {
-      upstreams.push_back(Drawn());
+      upstreams.push_back(ArbitraryUpstream());
     }
     const auto read = DecodeUpstreams(EncodeUpstreams(upstreams));
     RC_ASSERT(read.has_value());
@@ -34,17 +34,18 @@
   }));
 }
 
-Test(upstream_rows, bytes_that_are_none_are_refused_or_read_as_some) {
-  cr_assert(Holds("no bytes do harm", [] {
+Test(upstream_codec, any_bytes_are_decoded_or_rejected) {
+  cr_assert(Holds("decoding arbitrary bytes never crashes", [] {
     const auto bytes = *rc::gen::arbitrary<std::string>();
     const auto read = DecodeUpstreams(bytes);
     RC_ASSERT(!read || read->size() <= bytes.size());
   }));
 }
 
-// As many as a large fleet has; each byte is told to each host.
-Test(upstream_rows, entry_of_a_large_list_is_36_bytes_at_most) {
-  constexpr std::size_t kMostBytes = 36;
+// Guards against larger entries: every byte of a large fleet's list is sent to
+// every host.
+Test(upstream_codec, entry_of_a_large_list_is_36_bytes_at_most) {
+  constexpr std::size_t kMaxBytes = 36;
   constexpr std::size_t kCount = 10'000;
   std::vector<UpstreamInfo> upstreams;
   for (std::size_t i = 0; i < kCount; ++i) {
@@ -60,7 +61,7 @@
     upstream.slots = 8;
     upstreams.push_back(upstream);
   }
-  cr_assert_leq(EncodeUpstreams(upstreams).size(), kMostBytes * kCount);
+  cr_assert_leq(EncodeUpstreams(upstreams).size(), kMaxBytes * kCount);
 }
 
 }  // namespace
