--- a/include/pathcleat/records/command_log.hpp
+++ b/include/pathcleat/records/command_log.hpp
@@ -15,36 +15,41 @@
 
 namespace pathcleat {
 
-/// @brief What became of an operator's command.
+/// @brief The outcome of an operator's command.
 /// @ingroup records
 struct CommandResult {
   bool accepted = false;
-  std::uint64_t version = 0;  ///< for an accepted command
-  Error error;                ///< for any other
+  std::uint64_t version = 0;  ///< configuration version, if accepted
+  Error error;                ///< the reason, if not accepted
 };
 
-/// @brief The operators' commands: change n is one row of the store, written
-/// only if there is none, so that of two conflicting commands one is told of
-/// the other. Hosts learn from each other's heartbeats that there are newer
-/// ones and read them from the store.
+/// @brief The log of operators' commands. Change n is one row of the store and
+/// is written only if that row does not exist, so that of two conflicting
+/// commands one is rejected with a reference to the other. Hosts see in each
+/// other's heartbeats that there are newer commands and read them from the
+/// store.
 /// @ingroup records
 class CommandLog {
  public:
-  /// @param on_change called when newer commands are in force.
+  /// @param on_change called when newer commands have come into force.
   CommandLog(TableStore& store,
              EventLog& events,
              std::function<void()> on_change);
 
-  /// @brief A row that was read at the start.
-  /// @return whether it is one of the commands' rows.
+  /// @brief Handles a row that was read at startup.
+  /// @return whether the row is a command.
   bool HandleRow(const TableRow& row);
 
-  /// @brief All rows have been read: the commands among them come into force.
+  /// @brief Applies the commands among the rows read at startup, once all rows
+  /// have been read.
   void OnRowsRead();
 
-  /// @brief A peer has this version in force.
+  /// @brief Reads newer commands from the store if a peer has a newer version
+  /// in force.
   void OnPeerVersion(std::uint64_t version);
 
+  /// @brief Writes a command to the store as the next change.
+  /// @param callback called once with the outcome.
   void Submit(const ConfigOperation& operation,
               const std::string& command_id,
               std::function<void(CommandResult)> callback);
@@ -52,21 +57,21 @@
   const ConfigState& state() const { return log_.state(); }
   std::uint64_t version() const { return log_.version(); }
 
-  /// @brief Whether the store has been read since the start.
-  bool IsLoaded() const { return known_; }
+  /// @brief Whether the commands have been read from the store since startup.
+  bool IsLoaded() const { return loaded_; }
 
  private:
   struct RunCommand;
   using CommandPtr = std::shared_ptr<RunCommand>;
   using Done = std::function<void(StoreOutcome)>;
 
-  std::optional<ConfigChange> ChangeIn(const TableRow& row);
+  std::optional<ConfigChange> DecodeChange(const TableRow& row);
   void Scan(Done done);
   void ScanNext();
   void OnScan(const TableScanResult& scan);
   void FinishScan(StoreOutcome outcome);
   void Write(const CommandPtr& command);
-  void ReadBack(const CommandPtr& command, int tries_left);
+  void ReadBack(const CommandPtr& command, int retries_left);
   void Accept(const CommandPtr& command);
   void Reject(const CommandPtr& command, Error error);
   void Apply(const std::vector<ConfigChange>& changes);
@@ -74,10 +79,11 @@
   TableStore& store_;
   EventLog& events_;
   std::function<void()> on_change_;
-  std::vector<ConfigChange> read_;  ///< rows of the start, not in force yet
+  std::vector<ConfigChange>
+      startup_changes_;  ///< rows read at startup, not in force yet
   ConfigLog log_;
-  std::vector<Done> waiters_;
-  bool known_ = false;
+  std::vector<Done> scan_callbacks_;
+  bool loaded_ = false;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/records/fleet_secrets.hpp
+++ b/include/pathcleat/records/fleet_secrets.hpp
@@ -10,40 +10,42 @@
 
 namespace pathcleat {
 
-/// @brief The secrets that hosts and operators prove themselves with. Hosts
-/// have no disk: the secrets lie in the store, made by whichever host is the
-/// first to find none.
+/// @brief The secrets by which hosts and operators authenticate themselves.
+/// Hosts have no disk, so the secrets are kept in the store. The first host
+/// that finds none there creates them.
 /// @ingroup records
 class FleetSecrets {
  public:
   FleetSecrets(boost::asio::io_context& loop,
                TableStore& store,
-               std::function<void()> on_known);
+               std::function<void()> on_loaded);
 
-  /// @brief Reads the row by itself: for who needs nothing else.
+  /// @brief Reads the secrets' row alone, for processes that need no other
+  /// rows.
   void Start() { Read(); }
 
-  /// @brief A row that was read at the start.
-  /// @return whether it is the secrets' row.
+  /// @brief Handles a row that was read at startup.
+  /// @return whether the row holds the secrets.
   bool HandleRow(const TableRow& row);
 
-  /// @brief All rows have been read: without secrets among them, some are made.
+  /// @brief Creates the secrets if they were not among the rows read at
+  /// startup, once all rows have been read.
   void OnRowsRead();
 
-  /// @brief Seals messages between hosts; empty until it is known.
+  /// @brief Key that authenticates messages between hosts; empty until loaded.
   const std::string& peer_key() const { return peer_key_; }
 
-  /// @brief Proves an operator; empty until it is known.
+  /// @brief Token that authenticates operators; empty until loaded.
   const std::string& operator_token() const { return operator_token_; }
 
  private:
   void Read();
-  void Adopt(const std::string& value);
+  void SetSecrets(const std::string& value);
   void Create();
   void Retry();
 
   TableStore& store_;
-  std::function<void()> on_known_;
+  std::function<void()> on_loaded_;
   boost::asio::steady_timer timer_;
   std::string peer_key_;
   std::string operator_token_;
--- a/include/pathcleat/records/rollout_writer.hpp
+++ b/include/pathcleat/records/rollout_writer.hpp
@@ -11,11 +11,12 @@
 
 namespace pathcleat {
 
-/// @brief Brings decisions on rollouts into the command log, and what is
-/// decided to the operators. Every host may do both: of two decisions that
-/// contradict each other the log keeps the first, and a status is written on
-/// the condition that it is the one that was read. So a writer that is killed
-/// at any point is stood in for, and an answer that was lost does no harm.
+/// @brief Writes decisions on rollouts to the command log, and the resulting
+/// status to the store for the operators. Every host may do both: of two
+/// contradicting decisions the log keeps the first, and a status is written
+/// only if the stored one is still the one that was read. So another host can
+/// continue for a writer that is killed at any point, and a lost answer of the
+/// store is harmless.
 /// @ingroup records
 class RolloutWriter {
  public:
@@ -24,24 +25,24 @@
                 RolloutStatusStore& statuses,
                 EventLog& events);
 
-  /// @brief Decides what is due, and tells what is decided. Call a few times a
-  /// second.
-  /// @param ahead how many living hosts would do this before this one: each of
-  /// them is given some time.
+  /// @brief Submits the decisions that are due and publishes the status of
+  /// rollouts. Call this a few times a second.
+  /// @param ahead number of living hosts that do this before this host; this
+  /// host waits for a time proportional to it, so that they can act first.
   void Tick(const std::vector<ProposedStep>& due, int ahead, Time now);
 
  private:
-  // What operators should read of one service, and whether they do.
-  struct ToldStatus {
+  // The status of a service's rollout for operators, and whether it is stored.
+  struct PublishedStatus {
     Time since;
-    bool asking = false;  ///< the store has not answered yet
-    bool told = false;
+    bool in_flight = false;  ///< a call to the store is in flight
+    bool published = false;
     std::uint64_t order = 0;
     RolloutPhase phase = RolloutPhase::kRunning;
   };
 
   void Decide(const ProposedStep& due);
-  void Tell(const std::string& service, const RolloutState& state);
+  void Publish(const std::string& service, const RolloutState& state);
   bool IsCurrent(const RolloutStatus& wanted) const;
   void OnRead(const RolloutStatus& wanted, const RolloutStatusReadResult& read);
 
@@ -49,10 +50,10 @@
   CommandLog& commands_;
   RolloutStatusStore& statuses_;
   EventLog& events_;
-  std::map<std::string, Time> due_since_;   ///< by service
-  std::map<std::string, ToldStatus> told_;  ///< by service
-  bool deciding_ = false;
-  std::uint64_t next_command_ = 1;
+  std::map<std::string, Time> due_since_;             ///< by service
+  std::map<std::string, PublishedStatus> published_;  ///< by service
+  bool decision_in_flight_ = false;
+  std::uint64_t next_command_number_ = 1;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/records/startup_loader.hpp
+++ b/include/pathcleat/records/startup_loader.hpp
@@ -10,16 +10,16 @@
 
 namespace pathcleat {
 
-/// @brief The project's own rows of the store at a start: makes this host known
-/// there and reads the other hosts, the secrets and the commands, all in two
-/// calls. The own row is written before the others are read, so that of two
-/// hosts that start together at least one finds the other; where that write is
-/// not known to be done, both are repeated.
+/// @brief Loads the fleet's rows from the store at startup: writes this host's
+/// row and reads the rows of the other hosts, the secrets and the commands, in
+/// two calls. This host's row is written before the others are read, so that of
+/// two hosts that start together at least one finds the other. If the write is
+/// not confirmed, both are repeated.
 /// @ingroup records
 class StartupLoader {
  public:
-  /// @param on_row given each row that is no host's.
-  /// @param on_read called when all rows have been read.
+  /// @param on_row called with each row that does not describe a host.
+  /// @param on_read called each time that all rows have been read.
   StartupLoader(boost::asio::io_context& loop,
                 TableStore& store,
                 HostTable& hosts,
@@ -29,10 +29,10 @@
   void Start();
 
  private:
-  void WriteOwn();
+  void WriteOwnRow();
   void Read(const std::string& from);
   void OnScan(const TableScanResult& scan);
-  void Take(const TableRow& row);
+  void HandleRow(const TableRow& row);
   void Retry(std::function<void()> step);
 
   TableStore& store_;
@@ -40,7 +40,7 @@
   std::function<void(const TableRow&)> on_row_;
   std::function<void()> on_read_;
   boost::asio::steady_timer timer_;
-  bool written_ = false;  ///< the own row
+  bool own_row_written_ = false;  ///< this host's row is stored
 };
 
 }  // namespace pathcleat
--- a/src/pathcleat/records/command_log.cpp
+++ b/src/pathcleat/records/command_log.cpp
@@ -16,10 +16,10 @@
 namespace {
 
 constexpr const char* kPrefix = "config/";
-constexpr const char* kAfterPrefix = "config0";  // '0' follows '/'
-constexpr int kRowsAtOnce = 64;
-constexpr int kReadBackTries = 3;
-constexpr std::size_t kKeptChanges = 64;
+constexpr const char* kPrefixEnd = "config0";  // '0' follows '/'
+constexpr int kRowsPerScan = 64;
+constexpr int kMaxReadBackRetries = 3;
+constexpr std::size_t kMaxKeptChanges = 64;
 
 std::string RowName(std::uint64_t version) {
   std::array<char, 32> digits{};
@@ -41,47 +41,48 @@
     : store_(store),
       events_(events),
       on_change_(std::move(on_change)),
-      log_(kKeptChanges) {}
+      log_(kMaxKeptChanges) {}
 
 bool CommandLog::HandleRow(const TableRow& row) {
   if (!row.key.starts_with(kPrefix)) {
     return false;
   }
-  if (auto change = ChangeIn(row)) {
-    read_.push_back(std::move(*change));
+  if (auto change = DecodeChange(row)) {
+    startup_changes_.push_back(std::move(*change));
   }
   return true;
 }
 
 void CommandLog::OnRowsRead() {
-  known_ = true;
-  Apply(std::exchange(read_, {}));
+  loaded_ = true;
+  Apply(std::exchange(startup_changes_, {}));
 }
 
-std::optional<ConfigChange> CommandLog::ChangeIn(const TableRow& row) {
+std::optional<ConfigChange> CommandLog::DecodeChange(const TableRow& row) {
   auto change = DecodeBinary<ConfigChange>(row.value);
   if (!change) {
     events_.Record(EventCode::kSettingsFault, row.key,
-                   "a row that is no command; what was before stays");
+                   "row cannot be decoded as a command; ignored, earlier "
+                   "commands stay in force");
   }
   return change;
 }
 
 void CommandLog::OnPeerVersion(std::uint64_t version) {
-  if (version > log_.version() && waiters_.empty()) {
+  if (version > log_.version() && scan_callbacks_.empty()) {
     Scan([](StoreOutcome) {});
   }
 }
 
 void CommandLog::Scan(Done done) {
-  waiters_.push_back(std::move(done));
-  if (waiters_.size() == 1) {
+  scan_callbacks_.push_back(std::move(done));
+  if (scan_callbacks_.size() == 1) {
     ScanNext();
   }
 }
 
 void CommandLog::ScanNext() {
-  store_.Scan(RowName(log_.version() + 1), kAfterPrefix, kRowsAtOnce,
+  store_.Scan(RowName(log_.version() + 1), kPrefixEnd, kRowsPerScan,
               [this](const TableScanResult& scan) { OnScan(scan); });
 }
 
@@ -92,7 +93,7 @@
   }
   std::vector<ConfigChange> changes;
   for (const TableRow& row : scan.rows) {
-    if (auto change = ChangeIn(row)) {
+    if (auto change = DecodeChange(row)) {
       changes.push_back(std::move(*change));
     }
   }
@@ -102,12 +103,12 @@
     ScanNext();
     return;
   }
-  known_ = true;
+  loaded_ = true;
   FinishScan(StoreOutcome::kDone);
 }
 
 void CommandLog::FinishScan(StoreOutcome outcome) {
-  for (const Done& done : std::exchange(waiters_, {})) {
+  for (const Done& done : std::exchange(scan_callbacks_, {})) {
     done(outcome);
   }
 }
@@ -128,8 +129,9 @@
   command->change.command_id = command_id;
   command->change.operation = operation;
   command->callback = std::move(callback);
-  // First the newest version, so that a host that lags does not lose a race
-  // that was over long ago.
+  // Reads the newest version first, so that a host that is behind does not
+  // write to a version that was assigned long ago and gets no needless
+  // conflict.
   Scan([this, command](StoreOutcome outcome) {
     if (outcome != StoreOutcome::kDone) {
       Reject(command,
@@ -158,18 +160,18 @@
             return;
           case StoreOutcome::kConflict:
           case StoreOutcome::kUnknown:
-            ReadBack(command, kReadBackTries);
+            ReadBack(command, kMaxReadBackRetries);
             return;
         }
       });
 }
 
-void CommandLog::ReadBack(const CommandPtr& command, int tries_left) {
+void CommandLog::ReadBack(const CommandPtr& command, int retries_left) {
   ReadRow(
       store_, RowName(command->change.version),
-      [this, command, tries_left](const RowReadResult& read) {
-        if (read.outcome != StoreOutcome::kDone && tries_left > 0) {
-          ReadBack(command, tries_left - 1);
+      [this, command, retries_left](const RowReadResult& read) {
+        if (read.outcome != StoreOutcome::kDone && retries_left > 0) {
+          ReadBack(command, retries_left - 1);
           return;
         }
         const auto change = DecodeBinary<ConfigChange>(read.row.value);
@@ -182,18 +184,18 @@
                          "version " + std::to_string(command->change.version) +
                              " went to command " + change->command_id);
           Scan([](StoreOutcome) {});
-          Reject(
-              command,
-              {ErrorCode::kConflict, "write configuration", "table service",
-               "version " + std::to_string(command->change.version) +
-                   " went to another command (" + change->command_id +
-                   "); nothing of this one was changed: look at 'show config' "
-                   "and give it again if it is still wanted"});
+          Reject(command,
+                 {ErrorCode::kConflict, "write configuration", "table service",
+                  "version " + std::to_string(command->change.version) +
+                      " went to another command (" + change->command_id +
+                      "); this command changed nothing: check 'show config' "
+                      "and submit it again if it is still needed"});
           return;
         }
         Reject(command,
                {ErrorCode::kUnknown, "write configuration", "table service",
-                "the answer was lost; look at 'show config' for command " +
+                "outcome unknown, as the answer was lost; check 'show config' "
+                "for command " +
                     command->change.command_id});
       });
 }
--- a/src/pathcleat/records/fleet_secrets.cpp
+++ b/src/pathcleat/records/fleet_secrets.cpp
@@ -9,20 +9,21 @@
 namespace pathcleat {
 namespace {
 
-// Two secrets of equal length, one after the other. Between the commands' rows
-// and the hosts' rows, so that a start reads all of them in one call.
-constexpr const char* kRow = "fleet-secrets";
-constexpr std::chrono::milliseconds kRetryPause{700};
+// The row holds two secrets of equal length, one after the other. Its key sorts
+// between the commands' rows and the hosts' rows, so that one scan at startup
+// reads all of them.
+constexpr const char* kRowKey = "fleet-secrets";
+constexpr std::chrono::milliseconds kRetryDelay{700};
 
 }  // namespace
 
 FleetSecrets::FleetSecrets(boost::asio::io_context& loop,
                            TableStore& store,
-                           std::function<void()> on_known)
-    : store_(store), on_known_(std::move(on_known)), timer_(loop) {}
+                           std::function<void()> on_loaded)
+    : store_(store), on_loaded_(std::move(on_loaded)), timer_(loop) {}
 
 void FleetSecrets::Read() {
-  ReadRow(store_, kRow, [this](const RowReadResult& read) {
+  ReadRow(store_, kRowKey, [this](const RowReadResult& read) {
     if (read.outcome != StoreOutcome::kDone) {
       Retry();
       return;
@@ -31,22 +32,22 @@
       Create();
       return;
     }
-    Adopt(read.row.value);
+    SetSecrets(read.row.value);
   });
 }
 
-void FleetSecrets::Adopt(const std::string& value) {
+void FleetSecrets::SetSecrets(const std::string& value) {
   const std::size_t half = value.size() / 2;
   peer_key_ = value.substr(0, half);
   operator_token_ = value.substr(half);
-  on_known_();
+  on_loaded_();
 }
 
 bool FleetSecrets::HandleRow(const TableRow& row) {
-  if (row.key != kRow) {
+  if (row.key != kRowKey) {
     return false;
   }
-  Adopt(row.value);
+  SetSecrets(row.value);
   return true;
 }
 
@@ -56,10 +57,10 @@
   }
 }
 
-// Of several hosts that find no row one wins; whatever the outcome, the row
-// is read again.
+// If several hosts find no row, only one write succeeds. Whatever the outcome,
+// the row is then read again.
 void FleetSecrets::Create() {
-  store_.Write(kRow, 0, RandomToken() + RandomToken(),
+  store_.Write(kRowKey, 0, RandomToken() + RandomToken(),
                [this](const TableWriteResult& write) {
                  if (write.outcome == StoreOutcome::kNotDone) {
                    Retry();
@@ -70,7 +71,7 @@
 }
 
 void FleetSecrets::Retry() {
-  timer_.expires_after(kRetryPause);
+  timer_.expires_after(kRetryDelay);
   timer_.async_wait([this](const boost::system::error_code& error) {
     if (!error) {
       Read();
--- a/src/pathcleat/records/rollout_writer.cpp
+++ b/src/pathcleat/records/rollout_writer.cpp
@@ -6,11 +6,12 @@
 namespace pathcleat {
 namespace {
 
-// A host that is ahead is given so long before the next one acts: a scan and a
-// write at the store. With the first three dead that is 0.6 s.
-constexpr Duration kTurn{200'000};
-// Hosts beyond do nothing: so many that die at one moment are too many.
-constexpr int kMostTurns = 30;
+// Time for each host that is ahead to act before the next one does: a scan and
+// a write at the store. If the first three hosts are dead, the delay is 0.6 s.
+constexpr Duration kDelayPerHostAhead{200'000};
+// Hosts with more hosts than this ahead do nothing: it is not expected that so
+// many hosts die at the same moment.
+constexpr int kMaxHostsAhead = 30;
 
 RolloutOutcome OutcomeOf(RolloutPhase phase) {
   switch (phase) {
@@ -40,36 +41,38 @@
 void RolloutWriter::Tick(const std::vector<ProposedStep>& due,
                          int ahead,
                          Time now) {
-  if (ahead > kMostTurns) {
+  if (ahead > kMaxHostsAhead) {
     return;
   }
   std::map<std::string, Time> since;
-  for (const ProposedStep& one : due) {
-    const std::string& service = one.step.service;
-    const auto known = due_since_.find(service);
-    since[service] = known == due_since_.end() ? now : known->second;
-    if (now - since[service] >= kTurn * ahead && !deciding_) {
-      Decide(one);
+  for (const ProposedStep& proposed : due) {
+    const std::string& service = proposed.step.service;
+    const auto found = due_since_.find(service);
+    since[service] = found == due_since_.end() ? now : found->second;
+    if (now - since[service] >= kDelayPerHostAhead * ahead &&
+        !decision_in_flight_) {
+      Decide(proposed);
     }
   }
   due_since_ = std::move(since);
   for (const auto& [service, state] : commands_.state().rollouts) {
-    ToldStatus& told = told_[service];
-    if (told.order != state.order_id || told.phase != state.phase) {
-      told = {now, told.asking, false, state.order_id, state.phase};
+    PublishedStatus& status = published_[service];
+    if (status.order != state.order_id || status.phase != state.phase) {
+      status = {now, status.in_flight, false, state.order_id, state.phase};
     }
-    if (!told.told && !told.asking && now - told.since >= kTurn * ahead) {
-      Tell(service, state);
+    if (!status.published && !status.in_flight &&
+        now - status.since >= kDelayPerHostAhead * ahead) {
+      Publish(service, state);
     }
   }
 }
 
 void RolloutWriter::Decide(const ProposedStep& due) {
-  deciding_ = true;
+  decision_in_flight_ = true;
   const std::string id =
-      "rollout-" + host_ + "-" + std::to_string(next_command_++);
+      "rollout-" + host_ + "-" + std::to_string(next_command_number_++);
   commands_.Submit(due.step, id, [this, due](const CommandResult& result) {
-    deciding_ = false;
+    decision_in_flight_ = false;
     if (result.accepted) {
       events_.Record(EventCode::kRolloutStep, due.step.service, due.reason,
                      {{field::kVersion, due.step.version},
@@ -79,16 +82,17 @@
   });
 }
 
-void RolloutWriter::Tell(const std::string& service,
-                         const RolloutState& state) {
-  told_[service].asking = true;
+void RolloutWriter::Publish(const std::string& service,
+                            const RolloutState& state) {
+  published_[service].in_flight = true;
   const RolloutStatus wanted = StatusOf(service, state);
   statuses_.Read(service, [this, wanted](const RolloutStatusReadResult& read) {
     OnRead(wanted, read);
   });
 }
 
-// A newer decision may have come while the store took its time.
+// Whether a status still matches the rollout's state. A newer decision may have
+// come into force before the store answered.
 bool RolloutWriter::IsCurrent(const RolloutStatus& wanted) const {
   const auto state = commands_.state().rollouts.find(wanted.service);
   return state != commands_.state().rollouts.end() &&
@@ -97,21 +101,21 @@
 
 void RolloutWriter::OnRead(const RolloutStatus& wanted,
                            const RolloutStatusReadResult& read) {
-  ToldStatus& told = told_[wanted.service];
-  const bool known = read.outcome == StoreOutcome::kDone;
-  if (!known || !IsCurrent(wanted) || read.status == wanted) {
-    told.asking = false;
-    told.told = known && IsCurrent(wanted);
+  PublishedStatus& status = published_[wanted.service];
+  const bool answered = read.outcome == StoreOutcome::kDone;
+  if (!answered || !IsCurrent(wanted) || read.status == wanted) {
+    status.in_flight = false;
+    status.published = answered && IsCurrent(wanted);
     return;
   }
-  // Whatever comes of it, the next read shows it.
+  // The next read shows whether the write succeeded.
   statuses_.Write(wanted, read.version,
                   [this, wanted](const TableWriteResult& write) {
-                    ToldStatus& told = told_[wanted.service];
-                    told.asking = false;
+                    PublishedStatus& status = published_[wanted.service];
+                    status.in_flight = false;
                     if (write.outcome == StoreOutcome::kDone) {
                       events_.Record(EventCode::kRolloutTold, wanted.service,
-                                     "operators read it in the store",
+                                     "rollout status stored for operators",
                                      {{field::kVersion, wanted.version}});
                     }
                   });
--- a/src/pathcleat/records/rollout_writer_test.cpp
+++ b/src/pathcleat/records/rollout_writer_test.cpp
@@ -7,9 +7,10 @@
 namespace pathcleat {
 namespace {
 
-constexpr Duration kTurn{250'000};
+constexpr Duration kTickInterval{250'000};
 
-// The command log's rows, written if there is none, answered at once.
+// The command log's rows: a row is written only if it does not exist, and calls
+// are answered at once.
 class FakeTable : public TableStore {
  public:
   void Scan(const std::string& from,
@@ -41,21 +42,21 @@
   std::map<std::string, TableRow> rows;
 };
 
-// The operators' row, answered when the test says so.
-class SlowStatuses : public RolloutStatusStore {
+// The operators' status row; calls are answered when the test calls AnswerAll.
+class FakeStatusStore : public RolloutStatusStore {
  public:
   void Read(const std::string&,
             std::function<void(RolloutStatusReadResult)> callback) override {
-    waiting.push_back([this, callback] {
+    pending_calls.push_back([this, callback] {
       callback({StoreOutcome::kDone, version, status});
     });
   }
   void Write(const RolloutStatus& wanted,
              std::uint64_t expected,
              std::function<void(TableWriteResult)> callback) override {
-    waiting.push_back([this, wanted, expected, callback] {
-      if (lost > 0 || expected != version) {
-        --lost;
+    pending_calls.push_back([this, wanted, expected, callback] {
+      if (failing_writes > 0 || expected != version) {
+        --failing_writes;
         callback({StoreOutcome::kUnknown, 0});
         return;
       }
@@ -65,73 +66,74 @@
     });
   }
   void AnswerAll() {
-    while (!waiting.empty()) {
-      for (const auto& answer : std::exchange(waiting, {})) {
-        answer();
+    while (!pending_calls.empty()) {
+      for (const auto& call : std::exchange(pending_calls, {})) {
+        call();
       }
     }
   }
 
   RolloutStatus status;
   std::uint64_t version = 0;
-  int lost = 0;  ///< writes to come that are not done
-  std::vector<std::function<void()>> waiting;
+  int failing_writes = 0;  ///< number of next writes that fail
+  std::vector<std::function<void()>> pending_calls;
 };
 
-struct WriterWorld {
-  WriterWorld() { SilenceLog(); }
+struct RolloutWriterFixture {
+  RolloutWriterFixture() { SilenceLog(); }
 
   void Decide(RolloutPhase phase) {
     const RolloutStep step{"s", 1, "v2", phase, {}};
-    writer.Tick({{step, "a test"}}, 0, now += kTurn);
+    writer.Tick({{step, "a test"}}, 0, now += kTickInterval);
   }
-  void Tick() { writer.Tick({}, 0, now += kTurn); }
+  void Tick() { writer.Tick({}, 0, now += kTickInterval); }
 
   Time now{Duration(1'000'000)};
   FakeTable table;
-  SlowStatuses statuses;
+  FakeStatusStore statuses;
   EventLog events{"host", 16};
   CommandLog commands{table, events, [] {}};
   RolloutWriter writer{"host", commands, statuses, events};
 };
 
-Test(rollout_writer, decision_is_in_force_and_told) {
-  WriterWorld world;
-  world.Decide(RolloutPhase::kRunning);
-  world.Tick();
-  world.statuses.AnswerAll();
-  cr_assert(world.statuses.status ==
+Test(rollout_writer, decision_is_in_force_and_published) {
+  RolloutWriterFixture fixture;
+  fixture.Decide(RolloutPhase::kRunning);
+  fixture.Tick();
+  fixture.statuses.AnswerAll();
+  cr_assert(fixture.statuses.status ==
             (RolloutStatus{"s", "v2", RolloutOutcome::kRunning}));
 }
 
-// The store answers a question of before a decision only after it. Seen to fail
-// while that answer counted for the decision: the operators never heard of it.
+// The store answers a read from before a decision only after the decision.
+// Fails if that answer counts for the decision, whose status then is never
+// stored.
 Test(rollout_writer, late_answer_does_not_hide_a_newer_decision) {
-  WriterWorld world;
-  world.Decide(RolloutPhase::kRunning);
-  world.Tick();
-  world.statuses.AnswerAll();
-  world.Tick();
-  world.Decide(RolloutPhase::kRolledBack);
-  world.Tick();
-  world.statuses.AnswerAll();
-  world.Tick();
-  world.statuses.AnswerAll();
-  world.Tick();
-  world.statuses.AnswerAll();
-  cr_assert(world.statuses.status ==
+  RolloutWriterFixture fixture;
+  fixture.Decide(RolloutPhase::kRunning);
+  fixture.Tick();
+  fixture.statuses.AnswerAll();
+  fixture.Tick();
+  fixture.Decide(RolloutPhase::kRolledBack);
+  fixture.Tick();
+  fixture.statuses.AnswerAll();
+  fixture.Tick();
+  fixture.statuses.AnswerAll();
+  fixture.Tick();
+  fixture.statuses.AnswerAll();
+  cr_assert(fixture.statuses.status ==
             (RolloutStatus{"s", "v2", RolloutOutcome::kRolledBack}));
 }
 
 Test(rollout_writer, write_that_is_not_done_is_repeated) {
-  WriterWorld world;
-  world.statuses.lost = 2;
-  world.Decide(RolloutPhase::kRunning);
+  RolloutWriterFixture fixture;
+  fixture.statuses.failing_writes = 2;
+  fixture.Decide(RolloutPhase::kRunning);
   for (int i = 0; i < 4; ++i) {
-    world.Tick();
-    world.statuses.AnswerAll();
+    fixture.Tick();
+    fixture.statuses.AnswerAll();
   }
-  cr_assert_eq(world.statuses.version, 1U);
+  cr_assert_eq(fixture.statuses.version, 1U);
 }
 
 }  // namespace
--- a/src/pathcleat/records/startup_loader.cpp
+++ b/src/pathcleat/records/startup_loader.cpp
@@ -10,11 +10,11 @@
 namespace {
 
 constexpr const char* kHostPrefix = "hosts/";
-// From the commands' first row over the secrets' to the hosts' last.
-constexpr const char* kFirstRow = "config/";
-constexpr const char* kAfterLastRow = "hosts0";  // '0' follows '/'
-constexpr int kPageRows = 500;
-constexpr std::chrono::milliseconds kRetryPause{1'000};
+// The scan covers the commands' rows, the secrets' row and the hosts' rows.
+constexpr const char* kFirstKey = "config/";
+constexpr const char* kEndKey = "hosts0";  // '0' follows '/'
+constexpr int kRowsPerPage = 500;
+constexpr std::chrono::milliseconds kRetryDelay{1'000};
 
 }  // namespace
 
@@ -30,24 +30,24 @@
       timer_(loop) {}
 
 void StartupLoader::Start() {
-  WriteOwn();
+  WriteOwnRow();
 }
 
-void StartupLoader::WriteOwn() {
+void StartupLoader::WriteOwnRow() {
   const HostInfo& self = hosts_.self();
   store_.Overwrite(kHostPrefix + self.name, EncodeBinary(self),
                    [this](const TableWriteResult& write) {
-                     written_ = write.outcome == StoreOutcome::kDone;
-                     Read(kFirstRow);
+                     own_row_written_ = write.outcome == StoreOutcome::kDone;
+                     Read(kFirstKey);
                    });
 }
 
 void StartupLoader::Read(const std::string& from) {
-  store_.Scan(from, kAfterLastRow, kPageRows,
+  store_.Scan(from, kEndKey, kRowsPerPage,
               [this](const TableScanResult& scan) { OnScan(scan); });
 }
 
-void StartupLoader::Take(const TableRow& row) {
+void StartupLoader::HandleRow(const TableRow& row) {
   if (!row.key.starts_with(kHostPrefix)) {
     on_row_(row);
   } else if (const auto host = DecodeBinary<HostInfo>(row.value)) {
@@ -57,24 +57,24 @@
 
 void StartupLoader::OnScan(const TableScanResult& scan) {
   if (scan.outcome != StoreOutcome::kDone) {
-    Retry([this] { Read(kFirstRow); });
+    Retry([this] { Read(kFirstKey); });
     return;
   }
   for (const TableRow& row : scan.rows) {
-    Take(row);
+    HandleRow(row);
   }
   if (scan.has_more && !scan.rows.empty()) {
     Read(scan.rows.back().key + '\1');
     return;
   }
   on_read_();
-  if (!written_) {
-    Retry([this] { WriteOwn(); });
+  if (!own_row_written_) {
+    Retry([this] { WriteOwnRow(); });
   }
 }
 
 void StartupLoader::Retry(std::function<void()> step) {
-  timer_.expires_after(kRetryPause);
+  timer_.expires_after(kRetryDelay);
   timer_.async_wait(
       [step = std::move(step)](const boost::system::error_code& error) {
         if (!error) {
--- a/src/pathcleat/records/startup_loader_test.cpp
+++ b/src/pathcleat/records/startup_loader_test.cpp
@@ -11,16 +11,16 @@
 namespace pathcleat {
 namespace {
 
-constexpr Duration kSilence{2'500'000};
+constexpr Duration kHeartbeatTimeout{2'500'000};
 
-HostInfo HostNamed(const std::string& name) {
+HostInfo MakeHost(const std::string& name) {
   HostInfo host;
   host.name = name;
   host.incarnation = 1;
   return host;
 }
 
-// A store whose first writes have an outcome of the test's choice.
+// A store whose first writes have an outcome chosen by the test.
 class FakeStore : public TableStore {
  public:
   void Scan(const std::string&,
@@ -34,7 +34,8 @@
                  const std::string&,
                  std::function<void(TableWriteResult)> callback) override {
     ++writes;
-    callback({writes > failing ? StoreOutcome::kDone : outcome, 1});
+    callback(
+        {writes > failing_writes ? StoreOutcome::kDone : failing_outcome, 1});
   }
   void Write(const std::string&,
              std::uint64_t,
@@ -45,16 +46,16 @@
               std::function<void(TableWriteResult)>) override {}
 
   std::vector<TableRow> rows;
-  StoreOutcome outcome = StoreOutcome::kDone;
-  int failing = 0;
+  StoreOutcome failing_outcome = StoreOutcome::kDone;
+  int failing_writes = 0;
   int scans = 0;
   int writes = 0;
 };
 
-struct RowsWorld {
+struct StartupLoaderFixture {
   boost::asio::io_context loop{1};
   FakeStore store;
-  HostTable hosts{HostNamed("self"), kSilence};
+  HostTable hosts{MakeHost("self"), kHeartbeatTimeout};
   std::vector<std::string> others;
   int reads = 0;
   StartupLoader rows{loop, store, hosts,
@@ -62,34 +63,34 @@
                      [this] { ++reads; }};
 };
 
-Test(fleet_rows, rows_are_told_apart) {
-  RowsWorld world;
-  world.store.rows = {{"config/01", 1, "command"},
-                      {"fleet-secrets", 2, "secrets"},
-                      {"hosts/other", 3, EncodeBinary(HostNamed("other"))},
-                      {"hosts/unreadable", 4, "?"}};
-  world.rows.Start();
-  cr_assert_eq(world.reads, 1);
-  cr_assert_eq(world.others.size(), 2U);
-  cr_assert_eq(world.hosts.Others().size(), 1U);
-  cr_assert_eq(world.store.writes, 1);
+Test(startup_loader, rows_go_to_the_right_handlers) {
+  StartupLoaderFixture fixture;
+  fixture.store.rows = {{"config/01", 1, "command"},
+                        {"fleet-secrets", 2, "secrets"},
+                        {"hosts/other", 3, EncodeBinary(MakeHost("other"))},
+                        {"hosts/unreadable", 4, "?"}};
+  fixture.rows.Start();
+  cr_assert_eq(fixture.reads, 1);
+  cr_assert_eq(fixture.others.size(), 2U);
+  cr_assert_eq(fixture.hosts.Others().size(), 1U);
+  cr_assert_eq(fixture.store.writes, 1);
 }
 
-// The answer to a write may be lost, or writes turned away, while reads are
-// answered: without the secrets a host would hear nobody, and take the shares
-// of all. Seen to fail (nothing read) while rows were read after a write that
-// was done alone.
-Test(fleet_rows, rows_are_read_also_where_the_own_one_is_not_written) {
-  for (const StoreOutcome outcome :
+// The answer to a write may be lost, or writes rejected, while reads are
+// answered: without the secrets a host would accept no heartbeats and use the
+// shares of all others. Fails (no rows read) if rows are read only after a
+// confirmed write.
+Test(startup_loader, rows_are_read_even_if_the_own_row_is_not_written) {
+  for (const StoreOutcome failing_outcome :
        {StoreOutcome::kUnknown, StoreOutcome::kNotDone}) {
-    RowsWorld world;
-    world.store.outcome = outcome;
-    world.store.failing = 1;
-    world.rows.Start();
-    cr_assert_eq(world.reads, 1);
-    // Then the own row is written, and the others are read again behind it.
-    cr_assert(WaitUntil(world.loop, [&] { return world.reads == 2; }));
-    cr_assert_eq(world.store.writes, 2);
+    StartupLoaderFixture fixture;
+    fixture.store.failing_outcome = failing_outcome;
+    fixture.store.failing_writes = 1;
+    fixture.rows.Start();
+    cr_assert_eq(fixture.reads, 1);
+    // Then the own row is written, and the others are read again after it.
+    cr_assert(WaitUntil(fixture.loop, [&] { return fixture.reads == 2; }));
+    cr_assert_eq(fixture.store.writes, 2);
   }
 }
 
