--- a/include/pathcleat/feeds/config_lag.hpp
+++ b/include/pathcleat/feeds/config_lag.hpp
@@ -35,9 +35,8 @@
  private:
   Duration report_ttl_;
   std::uint64_t applied_ = 0;
-  Time last_report_;  ///< last report of a newer version
-  std::map<std::uint64_t, Time>
-      missing_;  ///< newer versions, and when in force
+  Time last_report_;                       ///< last report of a newer version
+  std::map<std::uint64_t, Time> missing_;  ///< in force since, by version
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/feeds/source_watcher.hpp
+++ b/include/pathcleat/feeds/source_watcher.hpp
@@ -45,7 +45,7 @@
   void Start();
 
   /// @brief Records a version that another host has seen. If this host does not
-  /// see that version soon, it takes its watch for dead and restarts it.
+  /// see that version soon, it considers its watch dead and restarts it.
   void OnPeerVersion(std::uint64_t version, Time now);
 
   /// @brief Restarts a watch that began before `since`. Such a watch may be
@@ -105,10 +105,10 @@
   int failures_ = 0;
   std::uint64_t generation_ = 0;  ///< callbacks of older calls are ignored
   std::optional<Time> behind_since_;
-  Time last_restart_;  ///< when a watch was last taken for dead
+  Time last_restart_;  ///< when a watch last counted as dead
   Time watch_started_at_;
   Time answered_at_;
-  bool last_call_failed_ = false;  ///< or was taken for dead
+  bool last_call_failed_ = false;  ///< or its watch counted as dead
   bool reading_ = false;           ///< a read of the whole topic is in progress
   bool store_reachable_ = false;   ///< the last call to the store was answered
   bool last_call_answered_ = false;  ///< by the store or by another host
--- a/include/pathcleat/fleet/host_table.hpp
+++ b/include/pathcleat/fleet/host_table.hpp
@@ -26,9 +26,9 @@
   HostVersions versions;
 };
 
-/// @brief The hosts of the fleet. Hosts are listed from rows of the store and
-/// from heartbeats; only heartbeats make a host count as alive. Not
-/// thread-safe.
+/// @brief The hosts of the fleet. Hosts are added from rows of the store, from
+/// records that other domains send and from heartbeats; only heartbeats make a
+/// host count as alive. Not thread-safe.
 /// @ingroup fleet
 class HostTable {
  public:
@@ -107,10 +107,10 @@
   /// @brief Addresses that a caller should use: hosts of its failure domain;
   /// if these are fewer than two, also hosts of its region; if these are still
   /// too few, also hosts of other regions.
-  /// @param most maximum number of addresses.
+  /// @param max_count maximum number of addresses.
   std::vector<std::string> Locate(const std::string& region,
                                   const std::string& domain,
-                                  std::size_t most,
+                                  std::size_t max_count,
                                   Time now) const;
 
  private:
@@ -125,8 +125,8 @@
   Duration stall_duration_{0};
   Duration unreported_stall_{0};
   std::map<std::string, KnownHost> others_;
-  std::map<std::uint64_t, std::string>
-      names_by_incarnation_;  ///< IncarnationId
+  // The keys are incarnation ids (IncarnationId).
+  std::map<std::uint64_t, std::string> names_by_incarnation_;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/fleet/peer_link.hpp
+++ b/include/pathcleat/fleet/peer_link.hpp
@@ -28,10 +28,10 @@
 /// state of hosts.
 /// @ingroup fleet
 struct PeerPublishers {
-  UsagePublisher& usage;    ///< of client accounts, in messages of their own
+  UsagePublisher& usage;    ///< usage of account limits, in separate messages
   TallyPublisher& tallies;  ///< of rollouts, in heartbeats and domain reports
-  CrashPublisher& crashes;  ///< of upstreams by requests, in separate messages
-  LimitPublisher& limits;   ///< that upstreams report, in separate messages
+  CrashPublisher& crashes;  ///< crashing requests, in separate messages
+  LimitPublisher& limits;   ///< upstreams' rate limits, in separate messages
 };
 
 /// @brief Exchanges heartbeats with the other hosts of the failure domain and
--- a/include/pathcleat/records/command_log.hpp
+++ b/include/pathcleat/records/command_log.hpp
@@ -79,8 +79,7 @@
   TableStore& store_;
   EventLog& events_;
   std::function<void()> on_change_;
-  std::vector<ConfigChange>
-      startup_changes_;  ///< rows read at startup, not in force yet
+  std::vector<ConfigChange> startup_changes_;  ///< not in force yet
   ConfigLog log_;
   std::vector<Done> scan_callbacks_;
   bool loaded_ = false;
--- a/src/pathcleat/feeds/peer_feed.cpp
+++ b/src/pathcleat/feeds/peer_feed.cpp
@@ -236,8 +236,8 @@
     return nullptr;
   }
   const RoutingConfig* config = provider_.Config();
-  const bool known = config != nullptr && !needs_full_config_;
-  request.config_version = known ? config->version : 0;
+  const bool may_use_delta = config != nullptr && !needs_full_config_;
+  request.config_version = may_use_delta ? config->version : 0;
   HttpLimits limits;
   limits.max_body_bytes = kMaxSnapshotBytes;
   const auto client = std::make_shared<HttpClient>(loop_, *endpoint, limits);
@@ -319,15 +319,15 @@
   if (!update) {
     return UpdateResult::kUnusable;
   }
-  const RoutingConfig* known = provider_.Config();
-  if (known != nullptr && update->config.version <= known->version) {
+  const RoutingConfig* current = provider_.Config();
+  if (current != nullptr && update->config.version <= current->version) {
     needs_full_config_ = false;
     return UpdateResult::kComplete;
   }
   if (IsSuperseded(*update)) {
     return UpdateResult::kSuperseded;
   }
-  auto config = ApplyConfigUpdate(std::move(*update), known);
+  auto config = ApplyConfigUpdate(std::move(*update), current);
   needs_full_config_ = !config.has_value();
   if (!config) {
     return UpdateResult::kUnusable;
@@ -341,9 +341,9 @@
 // The next request names the version in force by then, and gets a delta to that
 // version.
 bool PeerFeed::IsSuperseded(const ConfigUpdate& update) const {
-  const RoutingConfig* known = provider_.Config();
-  return update.base_version > 0 && known != nullptr &&
-         known->version > update.base_version;
+  const RoutingConfig* current = provider_.Config();
+  return update.base_version > 0 && current != nullptr &&
+         current->version > update.base_version;
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/feeds/peer_feed_test.cpp
+++ b/src/pathcleat/feeds/peer_feed_test.cpp
@@ -2,12 +2,12 @@
 #include "pathcleat/feeds/peer_feed.hpp"
 
 #include "event_loop.hpp"
-#include "tcp_proxy.hpp"
 #include "pathcleat/core/mac.hpp"
 #include "pathcleat/feeds/config_history.hpp"
 #include "pathcleat/http/endpoint.hpp"
 #include "property.hpp"
 #include "scripted_server.hpp"
+#include "tcp_proxy.hpp"
 
 namespace pathcleat {
 namespace {
@@ -54,7 +54,7 @@
     return snapshot;
   }
 
-  FeedRequest last_request;  ///< the last request
+  FeedRequest last_request;
   int snapshots = 0;
 
  private:
--- a/src/pathcleat/feeds/source_watcher_test.cpp
+++ b/src/pathcleat/feeds/source_watcher_test.cpp
@@ -33,7 +33,7 @@
   std::vector<Callback> watches;
   std::uint64_t watched_after = 0;
   Duration watched_for{0};
-  int stopped_watches = 0;  ///< watches stopped
+  int stopped_watches = 0;
   std::optional<Time> last_received;
 };
 
--- a/src/pathcleat/feeds/upstream_codec.cpp
+++ b/src/pathcleat/feeds/upstream_codec.cpp
@@ -18,8 +18,7 @@
 // Flags of an entry.
 constexpr std::uint64_t kLeavingFlag = 1;
 constexpr std::uint64_t kColdFlag = 2;
-constexpr std::uint64_t kTextAddressFlag =
-    4;  // address is not IPv4:port, written as text
+constexpr std::uint64_t kTextAddressFlag = 4;  // not IPv4:port
 
 class Writer {
  public:
@@ -37,8 +36,8 @@
 
   // Writes a name in full the first time, and only its index after that.
   void Name(const std::string& name) {
-    const auto [known, added] = names_.try_emplace(name, names_.size());
-    Number(known->second);
+    const auto [entry, added] = names_.try_emplace(name, names_.size());
+    Number(entry->second);
     if (added) {
       Text(name);
     }
--- a/src/pathcleat/fleet/domain_reporter.cpp
+++ b/src/pathcleat/fleet/domain_reporter.cpp
@@ -188,7 +188,7 @@
   struct Best {
     const KnownHost* host;
     bool alive;
-    std::uint64_t draw;
+    std::uint64_t hash;
   };
   std::map<std::string, Best> best;
   for (const KnownHost* host : hosts_.Others()) {
@@ -201,8 +201,8 @@
     const auto [place, added] = best.try_emplace(host->info.domain, candidate);
     // If no host of the domain counts as alive here, any of them may be
     // reachable again, so dead hosts are candidates too.
-    if (!added && std::tie(candidate.alive, candidate.draw) >
-                      std::tie(place->second.alive, place->second.draw)) {
+    if (!added && std::tie(candidate.alive, candidate.hash) >
+                      std::tie(place->second.alive, place->second.hash)) {
       place->second = candidate;
     }
   }
--- a/src/pathcleat/fleet/domain_reporter_test.cpp
+++ b/src/pathcleat/fleet/domain_reporter_test.cpp
@@ -68,8 +68,11 @@
       "living hosts are never silent",
       [] {
         HeartbeatFleet fleet(3, 6);
-        std::uint64_t draws = *rc::gen::inRange<std::uint64_t>(1, 1'000'000);
-        fleet.is_lost = [&draws] { return MixHashes(++draws, 7) % 20 == 0; };
+        std::uint64_t hash_input =
+            *rc::gen::inRange<std::uint64_t>(1, 1'000'000);
+        fleet.is_lost = [&hash_input] {
+          return MixHashes(++hash_input, 7) % 20 == 0;
+        };
         fleet.Run(Duration(3'000'000));
         fleet.Run(Duration(10'000'000), [&] {
           for (const HeartbeatNode& node : fleet.nodes) {
@@ -190,14 +193,14 @@
   other.config = 3;
   DomainReporter reporter(table, kStart);
   // Two heartbeats 2 s apart, so that no host is new at the end.
-  const Time heard = kStart + 2 * Duration(2'000'000);
-  for (Time at = kStart; at <= heard; at += Duration(2'000'000)) {
+  const Time last_heartbeat = kStart + 2 * Duration(2'000'000);
+  for (Time at = kStart; at <= last_heartbeat; at += Duration(2'000'000)) {
     table.OnHeartbeat(MakeHostInfo(0, 1), early, at);
     table.OnHeartbeat(MakeHostInfo(0, 2), late, at);
     table.OnHeartbeat(MakeHostInfo(0, 3), other, at);
   }
-  const auto reports =
-      reporter.MakeReports(late, heard + std::chrono::milliseconds(50));
+  const auto reports = reporter.MakeReports(
+      late, last_heartbeat + std::chrono::milliseconds(50));
   cr_assert_eq(reports.size(), 1U);
   cr_assert_eq(reports.front().groups.size(), 2U);
   const MemberGroup& group = reports.front().groups.front();
--- a/src/pathcleat/fleet/heartbeat_plan_test.cpp
+++ b/src/pathcleat/fleet/heartbeat_plan_test.cpp
@@ -61,9 +61,11 @@
 
 // One datagram in twenty is lost. Guards against living hosts that time out.
 Test(heartbeat_plan, lost_datagrams_hide_no_host_of_a_large_domain) {
-  std::uint64_t draws = 1;
+  std::uint64_t hash_input = 1;
   HeartbeatFleet fleet(1, 60);
-  fleet.is_lost = [&draws] { return MixHashes(++draws, 7) % 20 == 0; };
+  fleet.is_lost = [&hash_input] {
+    return MixHashes(++hash_input, 7) % 20 == 0;
+  };
   fleet.Run(Duration(3'000'000));
   fleet.Run(Duration(15'000'000), [&] {
     for (const HeartbeatNode& node : fleet.nodes) {
--- a/src/pathcleat/fleet/host_table.cpp
+++ b/src/pathcleat/fleet/host_table.cpp
@@ -13,7 +13,7 @@
 // For how long after its last heartbeat, or after a row listed it, a host is
 // counted where limits are shared. This is 1.5 s longer than until it counts as
 // dead: if half of all hosts die at once, reports on the others are late by a
-// round or two, and the share of a host taken for dead too early would be used
+// round or two, and the share of a host considered dead too early would be used
 // by others while that host still uses it. Hosts that start at the same moment
 // have exchanged their records within 3 s.
 constexpr Duration kLimitShareWindow{4'000'000};
@@ -60,9 +60,9 @@
   if (host.name == self_.name) {
     return;
   }
-  const auto known = others_.find(host.name);
-  if (known == others_.end() ||
-      known->second.info.incarnation < host.incarnation) {
+  const auto found = others_.find(host.name);
+  if (found == others_.end() ||
+      found->second.info.incarnation < host.incarnation) {
     Store({host, now, now, false, false, {}});
   }
 }
@@ -73,26 +73,26 @@
   if (host.name == self_.name) {
     return false;
   }
-  const auto known = others_.find(host.name);
-  const bool was_alive = known != others_.end() && IsAlive(known->second, now);
+  const auto found = others_.find(host.name);
+  const bool was_alive = found != others_.end() && IsAlive(found->second, now);
   // Incarnation numbers are taken from the time of day, which may have been set
   // back: once an incarnation has timed out, any other one replaces it, also
   // one with a lower number.
-  if (was_alive && host.incarnation < known->second.info.incarnation) {
+  if (was_alive && host.incarnation < found->second.info.incarnation) {
     return false;
   }
   const bool same =
-      was_alive && host.incarnation == known->second.info.incarnation;
-  Store({host, now, same ? known->second.alive_since : now, true, true,
+      was_alive && host.incarnation == found->second.info.incarnation;
+  Store({host, now, same ? found->second.alive_since : now, true, true,
          versions});
   return !was_alive;
 }
 
 void HostTable::OnInfoReported(const HostInfo& host, Time now) {
-  const auto known = others_.find(host.name);
-  if (known != others_.end() && !IsAlive(known->second, now) &&
-      known->second.info.incarnation > host.incarnation) {
-    Store({host, now, now, false, known->second.alive_at_last_check, {}});
+  const auto found = others_.find(host.name);
+  if (found != others_.end() && !IsAlive(found->second, now) &&
+      found->second.info.incarnation > host.incarnation) {
+    Store({host, now, now, false, found->second.alive_at_last_check, {}});
     return;
   }
   OnStoreRow(host, now);
@@ -106,14 +106,14 @@
     return nullptr;
   }
   KnownHost& host = others_.at(name->second);
-  const Time heard = now - std::chrono::milliseconds(member.age_ms);
+  const Time last_heartbeat = now - std::chrono::milliseconds(member.age_ms);
   const bool was_alive = IsAlive(host, now);
   // A heartbeat from the host itself or from a faster report is newer.
-  if (host.has_heartbeat && heard <= host.last_seen) {
+  if (host.has_heartbeat && last_heartbeat <= host.last_seen) {
     return nullptr;
   }
   host.alive_since = was_alive ? host.alive_since : now;
-  host.last_seen = heard;
+  host.last_seen = last_heartbeat;
   host.has_heartbeat = true;
   host.info.leaving = member.leaving;
   host.versions = versions;
@@ -131,14 +131,14 @@
 }
 
 std::vector<std::string> HostTable::NewlySilent(Time now) {
-  std::vector<std::string> silent;
+  std::vector<std::string> newly_silent;
   for (auto& [name, host] : others_) {
     if (host.alive_at_last_check && !IsAlive(host, now)) {
       host.alive_at_last_check = false;
-      silent.push_back(name);
+      newly_silent.push_back(name);
     }
   }
-  return silent;
+  return newly_silent;
 }
 
 bool HostTable::IsLeaving(const std::string& name) const {
@@ -213,7 +213,7 @@
 
 std::vector<std::string> HostTable::Locate(const std::string& region,
                                            const std::string& domain,
-                                           std::size_t most,
+                                           std::size_t max_count,
                                            Time now) const {
   std::vector<HostInfo> accepting = HostsAcceptingCallers(now);
   const auto distance = [&](const HostInfo& host) {
@@ -230,7 +230,8 @@
   int farthest = 0;
   for (const HostInfo& host : accepting) {
     const bool enough = addresses.size() >= kMinLocatedHosts;
-    if (addresses.size() == most || (enough && distance(host) > farthest)) {
+    if (addresses.size() == max_count ||
+        (enough && distance(host) > farthest)) {
       break;
     }
     farthest = std::max(farthest, distance(host));
--- a/src/pathcleat/fleet/up_to_date_host_test.cpp
+++ b/src/pathcleat/fleet/up_to_date_host_test.cpp
@@ -63,11 +63,11 @@
   for (int i = 0; i < 4; ++i) {
     fixture.OnHeartbeat(MakeHost("host-" + std::to_string(i), "d", "r", 10), 9);
   }
-  std::set<std::string> asked;
+  std::set<std::string> chosen;
   for (std::uint64_t salt = 0; salt < 100; ++salt) {
-    asked.insert(fixture.Choose(salt));
+    chosen.insert(fixture.Choose(salt));
   }
-  cr_assert_eq(asked.size(), 4U);
+  cr_assert_eq(chosen.size(), 4U);
 }
 
 Test(up_to_date_host, leaving_and_silent_hosts_are_not_asked) {
