--- a/include/pathcleat/routing/admission.hpp
+++ b/include/pathcleat/routing/admission.hpp
@@ -5,37 +5,42 @@
 
 namespace pathcleat {
 
-/// @brief What is known of a request and of the upstream chosen for it.
+/// @brief Inputs to the admission decision: a request and the upstream chosen
+/// for it.
 /// @ingroup routing
 struct AdmissionInput {
-  Duration queue_wait{0};      ///< until a slot is free
-  Duration service_time{0};    ///< from then to the answer: its run and the way
-  Duration usual_run_time{0};  ///< of the route's requests whose key is known
-  int slots = 1;               ///< of the upstream
-  Duration target_latency{0};  ///< latency of the route
-  /// From now to the end of its target latency, counted from the caller's
-  /// first try; below zero if that is past.
+  Duration queue_wait{0};  ///< expected time until a slot is free
+  Duration service_time{
+      0};  ///< from then to the response: run time and network time
+  Duration usual_run_time{0};  ///< of the route's requests on a warm upstream
+  int slots = 1;               ///< of the upstream: requests it runs at once
+  Duration target_latency{0};  ///< of the route
+  /// Time left until the target latency is over, counted from the caller's
+  /// first attempt; below zero if it is over.
   Duration target_time_left{0};
-  bool is_retry = false;  ///< it was refused before
+  bool is_retry = false;  ///< whether it was refused before
 };
 
-/// @brief The wait of one place in the queue; a host knows it no better.
+/// @brief The time by which each queued request lengthens the wait for a slot.
+/// A host cannot estimate the wait more precisely than this.
 /// @ingroup routing
 Duration WaitPerQueuedRequest(const AdmissionInput& input);
 
-/// @brief What is to become of a request at its upstream.
+/// @brief The admission decision for a request at its upstream.
 /// @ingroup routing
 enum class AdmissionDecision {
-  kAdmitInTime,  ///< send: it would be in time
-  kAdmitLate,    ///< send: it may be late, but not for its waiting
-  kRefuse,       ///< it would be late for its waiting
+  kAdmitInTime,  ///< send: the response is expected within the target
+  kAdmitLate,  ///< send: the response may be late, but not because of the queue
+  kRefuse,     ///< refuse: the queue would make the response late
 };
 
-/// @brief Decides who may lengthen an upstream's queue. A first try may wait
-/// as long as it is in time, and one that is late for its run alone as long as
-/// a usual one. What has come back has no other chance: it may wait one place
-/// longer, so that first tries do not take all places. Longer still, and those
-/// behind it would be late as well, refused, and late when they come back.
+/// @brief Decides whether a request may lengthen an upstream's queue. A first
+/// attempt may wait as long as its response is still within the target; if its
+/// run time alone exceeds the target, it may wait as long as a usual request. A
+/// retry has no other chance to be served: it may wait one queue position
+/// longer than that, so that first attempts do not take all positions. If
+/// requests could wait longer still, the requests behind them would be late
+/// too, would be refused, and would be late again when they retry.
 /// @ingroup routing
 AdmissionDecision DecideAdmission(const AdmissionInput& input);
 
--- a/include/pathcleat/routing/admission_control.hpp
+++ b/include/pathcleat/routing/admission_control.hpp
@@ -13,30 +13,33 @@
 
 namespace pathcleat {
 
-/// @brief Which requests are refused for a queue, and when each refused one
-/// is told to come back. Not thread-safe.
+/// @brief Decides which requests are refused because of a queue, and after what
+/// delay each refused request should retry. Not thread-safe.
 /// @ingroup routing
 class AdmissionControl {
  public:
   explicit AdmissionControl(const PolicySwitches& policy) : policy_(policy) {}
 
-  /// @brief Whether a request may go to the upstream chosen for it. What this
-  /// host has itself tried elsewhere may. Where there is a queue, a kind that
-  /// is sent on more often than a more urgent one of its service may not.
+  /// @brief Whether a request may go to the upstream chosen for it. A request
+  /// that this host has already tried at another upstream always may. Where
+  /// there is a queue, a request is refused if a larger share of its kind is
+  /// sent than of a more urgent kind of the same service.
   bool TryAdmit(const Pick& pick,
                 const PickRequest& request,
                 RequestProfile& profile,
                 Time now);
 
-  /// @brief How long to stay away from the queue of the upstream chosen.
+  /// @brief How long a caller should wait before it retries a request that was
+  /// refused because of the chosen upstream's queue.
   Duration RetryDelayForQueue(const Pick& pick,
                               const PickRequest& request,
                               const RequestProfile& profile,
                               Time now);
 
-  /// @brief How long to stay away where no upstream may be sent to: until the
-  /// first one may.
-  /// @param open those that the request may go to by list, drains and homes.
+  /// @brief How long a caller should wait before it retries a request for which
+  /// no upstream is available: until the first upstream accepts requests.
+  /// @param open upstreams that the request may go to by the list, drains and
+  /// allowed regions.
   Duration RetryDelayForAny(const std::vector<UpstreamPtr>& open,
                             const PickRequest& request,
                             const RequestProfile& profile,
@@ -46,7 +49,7 @@
   PolicySwitches policy_;
   std::map<std::string, UrgencyTracker> urgency_;  ///< by service
   std::map<std::string, RetryScheduler>
-      unknown_;  ///< by service: no time is known
+      service_retries_;  ///< by service: retries not bound to one upstream
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/routing/average_load.hpp
+++ b/include/pathcleat/routing/average_load.hpp
@@ -5,26 +5,27 @@
 
 namespace pathcleat {
 
-/// @brief How many requests of other hosts the upstreams of one service and
-/// region have on average, by their reports of late. It stands in for what an
-/// upstream has not told: where hundreds of hosts send to as many upstreams, a
-/// host hears of each less than once in a minute, and one that was not heard
-/// of would look idle. Not thread-safe.
+/// @brief Average number of other hosts' requests in flight at the upstreams of
+/// one service and region, from recent reports. It replaces the report that an
+/// upstream has not sent: where hundreds of hosts send to as many upstreams, a
+/// host receives a report of each upstream less than once a minute, and an
+/// upstream without a report would look idle. Not thread-safe.
 /// @ingroup routing
 class AverageLoad {
  public:
-  /// @brief An upstream has told of this many requests of others.
-  void OnReport(double others, Time now);
+  /// @brief Adds an upstream's report.
+  /// @param other_requests requests in flight there that other hosts sent.
+  void OnReport(double other_requests, Time now);
 
   /// @brief The average; 0 without reports.
   double Value(Time now) const;
 
  private:
-  double FadedBy(Time now) const;
+  double DecayFactor(Time now) const;
 
-  double reports_ = 0;  ///< number of reports, faded by age
-  double sum_ = 0;      ///< of what they told, faded alike
-  Time faded_;          ///< when both were last faded
+  double reports_ = 0;  ///< number of reports, decayed by age
+  double sum_ = 0;      ///< sum of the reported requests, decayed alike
+  Time decayed_at_;     ///< when both were last decayed
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/routing/key_placement.hpp
+++ b/include/pathcleat/routing/key_placement.hpp
@@ -15,27 +15,29 @@
 struct Candidate {
   UpstreamPtr upstream;
   double distance = 0;  ///< from the key; the nearest is the first choice
-  WarmthEvidence warmth_evidence;  ///< why it may be quick at the key
-  double warm_probability = 0;     ///< probability that it is
+  WarmthEvidence warmth_evidence;  ///< why it may be warm for the key
+  double warm_probability = 0;     ///< probability that it is warm
 };
 
 /// @brief Distance of an upstream from a key in weighted rendezvous hashing:
-/// of many keys an upstream is the nearest to a part in proportion to its
-/// weight, and a change of one weight moves only the keys that must move.
-/// After C. Schindelhauer and G. Schomaker, "Weighted distributed hash
+/// each upstream is the nearest one to a share of the keys that is proportional
+/// to its weight, and a change of one weight moves only the keys that must
+/// move. After C. Schindelhauer and G. Schomaker, "Weighted distributed hash
 /// tables" (2005).
 /// @param weight above zero; an upstream of weight zero is infinitely far.
 double KeyDistance(std::uint64_t key, std::uint64_t upstream, double weight);
 
-/// @brief Sorts upstreams nearest to a key first, by the regions' shares.
+/// @brief Sorts upstreams by their distance from a key, nearest first, weighted
+/// by the regions' shares.
 void RankByKey(std::vector<Candidate>& candidates,
                std::uint64_t key,
                const RegionShares& shares);
 
-/// @brief Keeps the few upstreams that a key stays with, also under overload,
-/// nearest first: spread over all it would be cold everywhere, and overload
-/// would feed on itself. Two are the nearest by the regions' shares; the last
-/// is in another region, for when the key's region is short of room.
+/// @brief Keeps the few upstreams that serve a key, nearest first, also under
+/// overload: a key spread over all upstreams would be cold on each of them, and
+/// the longer runs would increase the overload further. Two of the upstreams
+/// are the nearest by the regions' shares; the last one is in another region,
+/// for when the key's region lacks capacity.
 void KeepNearestToKey(std::vector<Candidate>& candidates,
                       std::uint64_t key,
                       const RegionShares& shares);
--- a/include/pathcleat/routing/latency_estimate.hpp
+++ b/include/pathcleat/routing/latency_estimate.hpp
@@ -5,7 +5,7 @@
 
 namespace pathcleat {
 
-/// @brief Moving average of a time that is measured now and then.
+/// @brief Moving average of a duration that is measured repeatedly.
 /// @ingroup routing
 class LatencyEstimate {
  public:
--- a/include/pathcleat/routing/limit_exchange.hpp
+++ b/include/pathcleat/routing/limit_exchange.hpp
@@ -10,16 +10,17 @@
 
 namespace pathcleat {
 
-/// @brief Joins what this host and others hear of the limits that upstreams
-/// name, so that all hosts go by the newest.
+/// @brief Joins the rate limits that this host and other hosts read in the
+/// answers of upstreams, so that all hosts apply the newest limit.
 ///
 /// Only the few hosts that send to a limited upstream get its answers. They
-/// tell what they heard of late in each round of heartbeats, and the reporters
-/// of each failure domain tell the other domains. Not thread-safe.
+/// report the limits they read recently in each round of heartbeats, and the
+/// reporters of each failure domain forward them to the other domains. Not
+/// thread-safe.
 /// @ingroup routing
 class LimitExchange final : public LimitPublisher {
  public:
-  /// @brief Told of each change of what holds for an upstream.
+  /// @brief Called with each change of the limit in force for an upstream.
   using OnChange = std::function<void(UpstreamState&, LimitChange)>;
 
   /// @param table must outlive this.
@@ -27,27 +28,28 @@
 
   void SetOnChange(OnChange on_change) { on_change_ = std::move(on_change); }
 
-  /// @brief Called when an answer here has told what others should know now.
-  void SetOnUpdate(std::function<void()> on_news) {
-    on_news_ = std::move(on_news);
+  /// @brief Sets the function called when an answer received here changed a
+  /// limit, which other hosts should learn now.
+  void SetOnUpdate(std::function<void()> on_update) {
+    on_update_ = std::move(on_update);
   }
 
-  /// @brief Lets limits lapse of which nobody has heard for long. To be called
-  /// a few times a second.
+  /// @brief Ends limits that no answer or report has confirmed for long. Call a
+  /// few times a second.
   void Tick(Time now);
 
-  /// @brief The upstreams that limits hold for, by id.
+  /// @brief Upstreams with a limit in force, by id.
   const std::map<std::string, UpstreamPtr>& limited_upstreams() const {
-    return in_force_;
+    return limited_upstreams_;
   }
 
-  /// @brief An answer here named a limit, requests a second.
+  /// @brief An answer received here named a limit, in requests a second.
   void OnLimitReported(const UpstreamPtr& upstream,
                        double per_second,
                        Time now);
 
-  /// @brief An answer here named none.
-  /// @param sent when its request was sent.
+  /// @brief An answer received here named no limit.
+  /// @param sent when the request of that answer was sent.
   void OnNoLimitReported(const UpstreamPtr& upstream, Time sent, Time now);
 
   LimitReport OwnLimits(Time now) override;
@@ -58,26 +60,28 @@
  private:
   using Upstreams = std::map<std::string, UpstreamPtr>;
 
-  LimitChange Take(const UpstreamPtr& upstream,
-                   const LimitObservation& sign,
-                   Time now);
-  void TakeOwn(const UpstreamPtr& upstream,
-               const LimitObservation& sign,
-               Time now);
-  void Note(const UpstreamPtr& upstream, LimitChange change);
-  LimitReport Report(bool pass_on,
-                     const Upstreams& told,
-                     const std::function<bool(const LimitObservation&)>& tells,
-                     Time now);
+  LimitChange Apply(const UpstreamPtr& upstream,
+                    const LimitObservation& observation,
+                    Time now);
+  void ApplyOwn(const UpstreamPtr& upstream,
+                const LimitObservation& observation,
+                Time now);
+  void RecordChange(const UpstreamPtr& upstream, LimitChange change);
+  LimitReport MakeReport(
+      bool forward_to_domain,
+      const Upstreams& upstreams,
+      const std::function<bool(const LimitObservation&)>& is_included,
+      Time now);
 
   UpstreamTable& table_;
   std::string host_;
   std::string domain_;
   OnChange on_change_;
-  std::function<void()> on_news_;
-  Upstreams recent_;       ///< whose newest sign is to be told, by id
-  Upstreams in_force_;     ///< by id
-  std::string last_told_;  ///< turns, where one report cannot hold all
+  std::function<void()> on_update_;
+  Upstreams
+      recently_observed_;  ///< by id; newest observation is to be reported
+  Upstreams limited_upstreams_;  ///< by id
+  std::string last_reported_;    ///< id; the next report starts after it
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/routing/limit_report.hpp
+++ b/include/pathcleat/routing/limit_report.hpp
@@ -12,16 +12,16 @@
 
 namespace pathcleat {
 
-/// @brief Stands for an upstream that names no limit.
+/// @brief LimitEntry::per_second of an upstream that names no limit.
 /// @ingroup routing
 inline constexpr float kNoRateLimit = -1;
 
-/// @brief What is known of one upstream's limit.
+/// @brief The newest observation of one upstream's rate limit.
 /// @ingroup routing
 struct LimitEntry {
-  std::string upstream_id;          ///< id
-  float per_second = kNoRateLimit;  ///< requests that it takes from all hosts
-  std::uint32_t age_ms = 0;         ///< since that was known to hold
+  std::string upstream_id;          ///< id of the upstream
+  float per_second = kNoRateLimit;  ///< requests it accepts from all hosts
+  std::uint32_t age_ms = 0;         ///< time since the observation
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -29,16 +29,18 @@
   }
 };
 
-/// @brief So many entries fit a datagram of 1,472 bytes, with ids of 16 bytes.
+/// @brief Most entries of a report: as many as fit a datagram of 1,472 bytes,
+/// with ids of 16 bytes.
 /// @ingroup routing
 inline constexpr std::size_t kMaxLimitEntries = 40;
 
-/// @brief What hosts tell each other of the limits that upstreams name.
+/// @brief Rate limits named by upstreams, as hosts report them to each other.
 /// @ingroup routing
 struct LimitReport {
-  std::string domain;              ///< of the host that makes it
-  std::string host;                ///< that makes it
-  bool forward_to_domain = false;  ///< the receiver is to tell its own domain
+  std::string domain;  ///< failure domain of the sender
+  std::string host;    ///< sender
+  bool forward_to_domain =
+      false;  ///< whether the receiver reports it to its own domain
   std::vector<LimitEntry> entries;
 
   template <class Archive>
@@ -47,27 +49,29 @@
   }
 };
 
-/// @brief A report's bytes (cereal, portable binary).
+/// @brief Encodes a report (cereal, portable binary).
 /// @ingroup routing
 std::string EncodeLimits(const LimitReport& report);
 
-/// @brief Reads a report; nothing if the bytes are none.
+/// @brief Decodes a report; nothing if the bytes are not a valid one.
 /// @ingroup routing
 std::optional<LimitReport> DecodeLimits(std::string_view bytes);
 
-/// @brief Who takes part in what hosts tell each other of limits.
+/// @brief Supplies the limits that this host reports to other hosts, and
+/// receives theirs.
 /// @ingroup routing
 class LimitPublisher {
  public:
   virtual ~LimitPublisher() = default;
 
-  /// @brief What answers have told this host of late.
+  /// @brief Limits that this host recently read in answers.
   virtual LimitReport OwnLimits(Time now) = 0;
 
-  /// @brief What the hosts of its failure domain have been told of late.
+  /// @brief Limits that hosts of this host's failure domain recently read in
+  /// answers.
   virtual LimitReport DomainLimits(Time now) = 0;
 
-  /// @brief The limits in force, for a host that has just started.
+  /// @brief Limits in force, for a host that has just started.
   virtual LimitReport LimitSnapshot(Time now) = 0;
 
   virtual void OnLimitReport(const LimitReport& report, Time now) = 0;
--- a/include/pathcleat/routing/list_delta.hpp
+++ b/include/pathcleat/routing/list_delta.hpp
@@ -10,9 +10,9 @@
 
 namespace pathcleat {
 
-/// @brief Hashes of the entries of a list in one version, in their order.
-/// Equal entries have equal marks on every host; an entry's own is told by its
-/// MarkOf.
+/// @brief Hashes of the entries of one version of a list, in list order. Equal
+/// entries have equal hashes on every host; an overload of ContentHash defines
+/// the hash of each type of entry.
 /// @ingroup routing
 using ListHashes = std::vector<std::uint64_t>;
 
@@ -21,66 +21,69 @@
 /// @ingroup routing
 template <class Entry>
 struct ListDeltaStep {
-  std::uint32_t copy_from = 0;   ///< place in the old list
-  std::uint32_t copy_count = 0;  ///< entries taken from there
+  std::uint32_t copy_from = 0;   ///< index in the old list
+  std::uint32_t copy_count = 0;  ///< number of entries copied from there
   std::vector<Entry> added;
 };
 
-/// @brief The marks of a list.
+/// @brief Hashes the entries of a list.
 /// @ingroup routing
 template <class Entry>
 ListHashes ContentHashes(const std::vector<Entry>& entries) {
-  ListHashes marks;
-  marks.reserve(entries.size());
+  ListHashes hashes;
+  hashes.reserve(entries.size());
   for (const Entry& entry : entries) {
-    marks.push_back(ContentHash(entry));
+    hashes.push_back(ContentHash(entry));
   }
-  return marks;
+  return hashes;
 }
 
-/// @brief One hash of all marks, to check a list that was put together.
+/// @brief One hash of all entry hashes, to verify a list that was assembled
+/// from steps.
 /// @ingroup routing
-inline std::uint64_t DigestOf(const ListHashes& marks) {
-  std::uint64_t digest = marks.size();
-  for (const std::uint64_t mark : marks) {
-    digest = MixHashes(digest, mark);
+inline std::uint64_t DigestOf(const ListHashes& hashes) {
+  std::uint64_t digest = hashes.size();
+  for (const std::uint64_t hash : hashes) {
+    digest = MixHashes(digest, hash);
   }
   return digest;
 }
 
-/// @brief What makes a new list of an old one, of which only the marks are
-/// known.
+/// @brief Computes the steps that make a new list of an old one, of which only
+/// the hashes are known.
+/// @param hashes of the new list.
 /// @ingroup routing
 template <class Entry>
 std::vector<ListDeltaStep<Entry>> ComputeListDelta(
-    const ListHashes& old_marks,
+    const ListHashes& old_hashes,
     const std::vector<Entry>& entries,
-    const ListHashes& marks) {
-  std::unordered_map<std::uint64_t, std::uint32_t> places;
-  for (std::uint32_t i = 0; i < old_marks.size(); ++i) {
-    places.emplace(old_marks[i], i);
+    const ListHashes& hashes) {
+  std::unordered_map<std::uint64_t, std::uint32_t> old_indexes;
+  for (std::uint32_t i = 0; i < old_hashes.size(); ++i) {
+    old_indexes.emplace(old_hashes[i], i);
   }
   std::vector<ListDeltaStep<Entry>> steps(1);
   for (std::size_t i = 0; i < entries.size(); ++i) {
-    const auto place = places.find(marks[i]);
-    if (place == places.end()) {
+    const auto old_index = old_indexes.find(hashes[i]);
+    if (old_index == old_indexes.end()) {
       steps.back().added.push_back(entries[i]);
       continue;
     }
     ListDeltaStep<Entry>& step = steps.back();
     if (step.added.empty() &&
-        step.copy_from + step.copy_count == place->second) {
+        step.copy_from + step.copy_count == old_index->second) {
       ++step.copy_count;
     } else {
-      steps.push_back({place->second, 1, {}});
+      steps.push_back({old_index->second, 1, {}});
     }
   }
   return steps;
 }
 
-/// @brief The new list.
-/// @param digest of the new list's marks.
-/// @return nothing if the steps do not lead to it from this old list.
+/// @brief Assembles the new list.
+/// @param digest of the new list's hashes.
+/// @return nothing if the steps, applied to this old list, do not result in the
+/// new list.
 /// @ingroup routing
 template <class Entry>
 std::optional<std::vector<Entry>> ApplyListDelta(
@@ -89,10 +92,10 @@
     std::uint64_t digest) {
   std::vector<Entry> entries;
   for (const ListDeltaStep<Entry>& step : steps) {
-    const bool has_places =
+    const bool is_in_range =
         step.copy_from <= old_entries.size() &&
         step.copy_count <= old_entries.size() - step.copy_from;
-    if (!has_places) {
+    if (!is_in_range) {
       return std::nullopt;
     }
     const auto from = old_entries.begin() + step.copy_from;
--- a/include/pathcleat/routing/pick.hpp
+++ b/include/pathcleat/routing/pick.hpp
@@ -16,78 +16,81 @@
 
 namespace pathcleat {
 
-/// @brief One request that wants an upstream.
+/// @brief A request for which an upstream is to be chosen.
 /// @ingroup routing
 struct PickRequest {
   const Route* route = nullptr;
-  const Account* account = nullptr;  ///< null: the caller is of none
+  const Account* account = nullptr;  ///< null: the caller has none
   std::string service;
-  std::uint64_t key = 0;  ///< hash of its affinity key, or of its id
-  bool sticky = false;    ///< whether key tells where it is served quickly
-  Duration time_left{0};
-  Duration caller_timeout{0};      ///< that the caller sent with it
-  std::set<std::string> excluded;  ///< ids already tried
-  VersionRulePtr versions;         ///< where it may go; null: to any
-  double shift_position = 0;       ///< of the caller in shifts, in [0, 1)
+  std::uint64_t key = 0;  ///< hash of the affinity key, or of the request id
+  bool sticky = false;    ///< whether it is served faster where its key is warm
+  Duration time_left{0};  ///< within the timeouts of route and caller
+  Duration caller_timeout{0};      ///< as the caller sent it
+  std::set<std::string> excluded;  ///< ids of upstreams already tried
+  VersionRulePtr versions;         ///< versions it may go to; null: any
+  double shift_position = 0;  ///< of the caller in traffic shifts, in [0, 1)
 
   Urgency urgency() const {
-    const auto of_account = account ? account->priority : std::nullopt;
-    return {of_account.value_or(route->priority), route->priority};
+    const auto account_priority = account ? account->priority : std::nullopt;
+    return {account_priority.value_or(route->priority), route->priority};
   }
 
-  /// @brief Whether it may run, or its answer be, in a region: what the route
-  /// allows and its account as well.
+  /// @brief Whether the request may run, or its answer be stored, in a region:
+  /// both the route and the account must allow it.
   bool MayRunIn(const std::string& region) const {
-    return IsAmong(route->allowed_regions, region) &&
-           (account == nullptr || IsAmong(account->allowed_regions, region));
+    return AllowsRegion(route->allowed_regions, region) &&
+           (account == nullptr ||
+            AllowsRegion(account->allowed_regions, region));
   }
 
-  /// @brief Until its caller gives up; a route may hold it for less.
+  /// @brief Time until the caller gives up. The route's timeout may be shorter.
   Duration CallerTimeLeft() const {
     const Duration allowed = std::min(route->timeout, caller_timeout);
     return caller_timeout - (allowed - time_left);
   }
 
  private:
-  // No regions named: all of them.
-  static bool IsAmong(const std::vector<std::string>& regions,
-                      const std::string& region) {
-    return regions.empty() ||
-           std::find(regions.begin(), regions.end(), region) != regions.end();
+  // An empty list allows all regions.
+  static bool AllowsRegion(const std::vector<std::string>& allowed_regions,
+                           const std::string& region) {
+    return allowed_regions.empty() ||
+           std::find(allowed_regions.begin(), allowed_regions.end(), region) !=
+               allowed_regions.end();
   }
 };
 
-/// @brief Why there is no upstream for a request.
+/// @brief Why no upstream was chosen for a request.
 /// @ingroup routing
 enum class PickFailure {
   kNone,
-  kNoUpstream,        ///< none is listed, open and thought alive
+  kNoUpstream,        ///< none is listed, open and presumed alive
   kTooLate,           ///< none would answer within the time left
-  kOverloaded,        ///< it would wait so long that it is late: come back
-  kShiftCap,          ///< to leave the region would pass a shift's cap
-  kHostStops,         ///< this host ends too soon: another one takes it
-  kCrashesUpstreams,  ///< upstreams that ran it have ended: none gets it
+  kOverloaded,        ///< the queue would make it late: the caller should retry
+  kShiftCap,          ///< leaving the region would exceed a shift's cap
+  kHostStops,         ///< this host stops too soon: another host serves it
+  kCrashesUpstreams,  ///< upstreams that ran it crashed: it is sent to none
 };
 
-/// @brief Stable lower-case name of a failure, as logs and metrics tell it.
+/// @brief Stable lower-case name of a failure, as used in logs and metrics.
 /// @ingroup routing
 const char* ReasonOf(PickFailure failure);
 
-/// @brief The choice, with the inputs that decided it.
+/// @brief The result of a choice, with the inputs that decided it.
 /// @ingroup routing
 struct Pick {
   UpstreamPtr upstream;  ///< null: see failure
   PickFailure failure = PickFailure::kNone;
   Duration expected_latency{0};  ///< until the answer
-  Duration expected_wait{0};     ///< of it, before a slot is free
+  Duration expected_wait{0};     ///< part of it until a slot is free
   Duration expected_latency_if_cold{
-      0};                   ///< until the answer, where its key is new
-  Duration retry_after{0};  ///< of a failure: when there may be room
+      0};  ///< until the answer, where its key is cold
+  Duration retry_after{
+      0};  ///< after a failure: delay until there may be capacity
   bool warm = false;
   WarmthEvidence warmth_evidence;  ///< of the upstream for the key
   bool leaves_region = false;
   int candidates = 0;
-  int passed_over = 0;  ///< upstreams whose bounded rate had no room
+  int passed_over = 0;  ///< upstreams whose rate bound was used up
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/routing/pinned_capacity.hpp
+++ b/include/pathcleat/routing/pinned_capacity.hpp
@@ -9,44 +9,48 @@
 
 namespace pathcleat {
 
-/// @brief How much of a region's room is taken by client accounts that may run
-/// nowhere else. What may run elsewhere is placed by the rest: where it was
-/// placed by all of it, one large account at home in the smallest region made
-/// that region's other callers wait or be refused while others had room. Told
-/// in steps, as all hosts are to place keys alike though each hears of the
-/// demand a little differently. Not thread-safe.
+/// @brief Computes which share of a region's slots is used by client accounts
+/// that may run in no other region. Requests that may run elsewhere are placed
+/// by the remaining slots: when they were placed by all slots, one large
+/// account restricted to the smallest region made other callers of that region
+/// wait or be refused while other regions had free slots. The share changes in
+/// steps, because all hosts must place keys alike although each receives
+/// slightly different figures of the demand. Not thread-safe.
 /// @ingroup routing
 class PinnedCapacity {
  public:
-  /// @brief A request was placed: from these the services' parts of all
-  /// requests and their run times are learned.
+  /// @brief Records a placed request. From these requests the services' shares
+  /// of all requests and their run times are estimated.
   void OnPlaced(const std::string& service, Duration run);
 
-  /// @brief How long a service's requests run of late, seconds; 0: not known.
+  /// @brief Recent mean run time of a service's requests, in seconds; 0 if
+  /// there were none.
   double RunSecondsOf(const std::string& service) const;
 
-  /// @brief Requests a second of accounts at home there, by region.
+  /// @brief Sets the demand of accounts that may run in one region alone, in
+  /// requests a second, by region.
   void SetDemand(const std::map<std::string, double>& per_second);
 
-  /// @brief The part of a region's slots of a service that is taken so, from 0
-  /// to nearly 1.
+  /// @brief Share of a region's slots of a service that is used by pinned
+  /// accounts, from 0 to 0.875.
   double ShareOf(const std::string& service,
                  const std::string& region,
                  double slots);
 
  private:
-  struct Use {
-    double requests = 0;     ///< of late, fading with each that is placed
-    double run_seconds = 0;  ///< on average of late
+  struct ServiceUsage {
+    double requests = 0;     ///< recent ones, decayed with each placed request
+    double run_seconds = 0;  ///< recent mean
   };
 
-  double Taken(const std::string& service,
-               const std::string& region,
-               double slots) const;
+  double ExactShare(const std::string& service,
+                    const std::string& region,
+                    double slots) const;
 
-  std::map<std::string, Use> uses_;       ///< by service
-  std::map<std::string, double> demand_;  ///< by region
-  std::map<std::pair<std::string, std::string>, double> told_;
+  std::map<std::string, ServiceUsage> usage_by_service_;
+  std::map<std::string, double> demand_by_region_;
+  std::map<std::pair<std::string, std::string>, double>
+      reported_shares_;  ///< by service and region
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/routing/rate_share.hpp
+++ b/include/pathcleat/routing/rate_share.hpp
@@ -10,29 +10,31 @@
 
 namespace pathcleat {
 
-/// @brief What all hosts together may send to one upstream.
+/// @brief The rate at which all hosts together may send to one upstream.
 /// @ingroup routing
 struct RateBound {
-  double per_second = 0;  ///< requests a second that it bears
-  double slack = 0;       ///< requests more in any one window
+  double per_second = 0;  ///< requests a second that the upstream can handle
+  double slack = 0;       ///< additional requests in any one window
 
-  /// @brief The bound that keeps both.
+  /// @brief The bound that satisfies both.
   RateBound MinWith(const RateBound& other) const {
     return {std::min(per_second, other.per_second),
             std::min(slack, other.slack)};
   }
 };
 
-/// @brief How many hosts send to an upstream of bounded rate at the same time.
-/// Each may send one request at once, and half of the slack is kept back for
-/// hosts that see each other come and go late.
+/// @brief How many hosts may send to an upstream of bounded rate at the same
+/// time. Each of them may send one request at once, and half of the slack is
+/// reserved because hosts learn late of hosts that start or stop.
 int RateSenderCount(double slack);
 
-/// @brief All hosts rank the senders to an upstream of bounded rate alike, near
-/// ones first, so that the few which send agree without talk. A service may
-/// grow by thousands of cold upstreams at one moment, and the fleet has as many
-/// hosts: ranking all for each was 2.6 million steps four times a second at 986
-/// hosts and 2,629 upstreams. Here ranking ends as soon as it is decided.
+/// @brief Decides which hosts send to an upstream of bounded rate. All hosts
+/// rank the possible senders alike, hosts in the upstream's region first, so
+/// that the few senders agree without coordination. A service may grow by
+/// thousands of cold upstreams at one moment, and the fleet has as many hosts:
+/// ranking all hosts for each upstream took 2.6 million steps four times a
+/// second at 986 hosts and 2,629 upstreams. Ranking therefore ends as soon as
+/// the result is certain.
 /// @ingroup routing
 class RateSenders {
  public:
@@ -40,37 +42,38 @@
   RateSenders(std::uint64_t self, std::string region)
       : self_(self), region_(std::move(region)) {}
 
-  /// @brief Another host that may send.
+  /// @brief Adds another host that may send.
   void AddHost(std::uint64_t hash, const std::string& region) {
     others_[region].push_back(hash);
-    ++count_;
+    ++other_count_;
   }
 
-  /// @brief How many hosts the fleet may have, this one and those that may be
-  /// cut off from here included. Without most of them this part of the fleet
-  /// takes no more than its part of a bound: another one may send as well.
-  void SetFleetSize(int hosts) { known_ = hosts; }
+  /// @brief Sets how many hosts the fleet may have, including this host and
+  /// hosts that it cannot reach. A host that sees fewer than about two thirds
+  /// of the fleet uses only the share of a bound that falls to the hosts it
+  /// sees, as the unseen hosts may send as well.
+  void SetFleetSize(int hosts) { fleet_size_ = hosts; }
 
   /// @brief Requests a second that this host may send to an upstream.
-  /// @return 0 if the sending is left to others.
+  /// @return 0 if only other hosts send.
   double Rate(const RateBound& bound,
               std::uint64_t upstream_hash,
               const std::string& upstream_region) const;
 
-  /// @brief Hosts that were ranked until now, to measure what it costs.
+  /// @brief Number of hosts ranked so far, to measure the cost of ranking.
   std::uint64_t ranked_count() const { return ranked_; }
 
  private:
-  double PartOfFleet() const;
-  int CountAhead(const std::vector<std::uint64_t>& hosts,
-                 std::uint64_t upstream_hash,
-                 int enough) const;
+  double FleetShare() const;
+  int CountHigherRanked(const std::vector<std::uint64_t>& hosts,
+                        std::uint64_t upstream_hash,
+                        int limit) const;
 
   std::uint64_t self_;
   std::string region_;
   std::map<std::string, std::vector<std::uint64_t>> others_;  ///< by region
-  int count_ = 0;
-  int known_ = 0;
+  int other_count_ = 0;
+  int fleet_size_ = 0;
   mutable std::uint64_t ranked_ = 0;
 };
 
--- a/include/pathcleat/routing/recent_keys.hpp
+++ b/include/pathcleat/routing/recent_keys.hpp
@@ -7,8 +7,8 @@
 
 namespace pathcleat {
 
-/// @brief The affinity keys that one upstream has served last, newest first:
-/// those it is expected to be quick at.
+/// @brief The affinity keys that one upstream served last, newest first: the
+/// keys for which it is expected to be warm.
 /// @ingroup routing
 class RecentKeys {
  public:
--- a/include/pathcleat/routing/region_shares.hpp
+++ b/include/pathcleat/routing/region_shares.hpp
@@ -9,47 +9,50 @@
 
 namespace pathcleat {
 
-/// @brief What a region has of a service, as all hosts see it alike.
+/// @brief Capacity of a region for one service; all hosts see the same.
 /// @ingroup routing
 struct RegionCapacity {
   double slots = 0;  ///< of its open upstreams
-  int hosts = 0;     ///< entry hosts alive in it; callers spread over them
+  int hosts =
+      0;  ///< entry hosts alive in it; callers are assumed to spread over them
   double pinned_share =
-      0;  ///< part of the slots taken by what may run nowhere else
+      0;  ///< share of the slots used by accounts that may run nowhere else
 };
 
-/// @brief Which part of a service's keys the regions serve for the callers of
-/// one region. Most of the keys go by room: they stay at home as far as the
-/// region's slots go, and the others where slots are left over. The rest goes
-/// to all upstreams alike. All hosts reckon alike without talk, from the
-/// list and the fleet. Not thread-safe.
+/// @brief Computes which share of a service's keys each region serves for the
+/// callers of one region. Most keys are placed by capacity: they stay in their
+/// own region as far as its slots suffice, and the others go where slots are
+/// left over. The remaining keys go to all upstreams alike. All hosts compute
+/// the same shares from the upstream list and the fleet, without coordination.
+/// Not thread-safe.
 /// @ingroup routing
 class RegionShares {
  public:
-  /// @param keeps_home whether regions count at all; else all upstreams weigh
+  /// @param prefers_home whether regions count; if not, upstreams are weighted
   /// by their slots alone.
-  RegionShares(std::string own_region, bool keeps_home)
-      : own_region_(std::move(own_region)), keeps_home_(keeps_home) {}
+  RegionShares(std::string own_region, bool prefers_home)
+      : own_region_(std::move(own_region)), prefers_home_(prefers_home) {}
 
-  /// @brief Reckons the shares anew; called a few times a second.
+  /// @brief Recomputes the shares; called a few times a second.
   void Update(const std::map<std::string, RegionCapacity>& regions);
 
-  /// @brief Part of the own region's keys for which it has slots, in [0, 1].
+  /// @brief Share of the own region's keys for which the region has slots, in
+  /// [0, 1].
   double HomeShare() const { return home_share_; }
 
-  /// @brief Weight of an upstream for the own region's keys.
+  /// @brief Weight of an upstream for keys of the own region.
   double WeightOf(const UpstreamState& upstream) const;
 
-  /// @brief Weight of an upstream for work that its key's region has no room
-  /// for.
+  /// @brief Weight of an upstream for requests for which their key's region has
+  /// no capacity.
   double SpillWeightOf(const UpstreamState& upstream) const;
 
  private:
   std::string own_region_;
-  bool keeps_home_;
+  bool prefers_home_;
   double home_share_ = 1;
-  std::map<std::string, double> weights_;  ///< of a slot, by region
-  std::map<std::string, double> spill_;    ///< of a slot, by region
+  std::map<std::string, double> weight_per_slot_;        ///< by region
+  std::map<std::string, double> spill_weight_per_slot_;  ///< by region
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/routing/request_profile.hpp
+++ b/include/pathcleat/routing/request_profile.hpp
@@ -7,15 +7,15 @@
 
 namespace pathcleat {
 
-/// @brief What this host has learned of one route's requests.
+/// @brief What this host has learned from one route's requests.
 /// @ingroup routing
 struct RequestProfile {
   RequestProfile(Duration target_latency, bool learns_warmth)
       : warmth(target_latency, learns_warmth) {}
 
-  WarmthModel warmth;            ///< run times, and where they are short
+  WarmthModel warmth;            ///< run times, warm and cold
   double answer_bytes = 1'000;   ///< moving average
-  UsualDeadline usual_deadline;  ///< that callers send with first tries
+  UsualDeadline usual_deadline;  ///< that callers send with first attempts
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/routing/retry_scheduler.hpp
+++ b/include/pathcleat/routing/retry_scheduler.hpp
@@ -8,46 +8,46 @@
 
 namespace pathcleat {
 
-/// @brief The latest return that is of use to a caller.
-/// @param caller_left until it gives up.
-/// @param service from a free slot to its answer.
+/// @brief The longest delay after which a retry is still of use to its caller.
+/// @param caller_left time until the caller gives up.
+/// @param service time from a free slot to the response.
 /// @ingroup routing
 Duration LatestRetry(Duration caller_left, Duration service);
 
-/// @brief When a refused request could be served, as far as its host knows.
-/// Times count from now.
+/// @brief When a refused request could be served, as far as this host can tell.
+/// All times count from now.
 /// @ingroup routing
 struct RetryWindow {
-  Duration earliest{0};  ///< until there is room for it
-  Duration latest_in_time{
-      0};               ///< latest return that is answered within the target
-  Duration latest{0};   ///< latest return that is of use to its caller
-  Duration spacing{0};  ///< between two returns that there is room for
+  Duration earliest{0};        ///< until there is capacity for it
+  Duration latest_in_time{0};  ///< latest retry answered within the target
+  Duration latest{0};          ///< latest retry of use to its caller
+  Duration spacing{0};  ///< between two retries that there is capacity for
 };
 
-/// @brief Tells refused requests when to come back: each to a place of its
-/// own, as room is expected. What can still be in time gets the first free
-/// place; what is late in any case the last one that it can use, so that the
-/// first ones stay for those whom they serve in time. Not thread-safe.
+/// @brief Assigns refused requests a time to retry, each a time of its own, as
+/// capacity is expected. A request that can still be answered within the target
+/// gets the first free time; a request that is late in any case gets the last
+/// free time that it can use, so that the first times stay free for requests
+/// that can be in time. Not thread-safe.
 /// @ingroup routing
 class RetryScheduler {
  public:
-  /// @brief Promises a place.
-  /// @return how long to stay away; never longer than window.latest.
+  /// @brief Reserves a time.
+  /// @return the delay until the retry; never longer than window.latest.
   Duration Reserve(const RetryWindow& window, Time now);
 
-  std::size_t reserved_count() const { return booked_.size(); }
+  std::size_t reserved_count() const { return reserved_.size(); }
 
  private:
-  // Bounds the memory and the search: a host of today's size refuses fewer in
-  // the longest time that callers stay away.
-  static constexpr std::size_t kMostBooked = 1'024;
+  // Bounds memory and search time: a host of typical size refuses fewer
+  // requests within the longest delay that callers accept.
+  static constexpr std::size_t kMaxReserved = 1'024;
 
-  // Places down to an eighth of the spacing apart; chosen, not measured beside
-  // other values.
-  static constexpr int kMostHalvings = 4;
+  // The spacing is tried whole, then halved up to three times, so that reserved
+  // times may be an eighth of it apart.
+  static constexpr int kMaxSpacings = 4;
 
-  Duration Place(const RetryWindow& window, Time now) const;
+  Duration ChooseDelay(const RetryWindow& window, Time now) const;
   std::optional<Duration> FirstFree(Duration from,
                                     Duration to,
                                     Duration spacing,
@@ -57,7 +57,7 @@
                                    Duration spacing,
                                    Time now) const;
 
-  std::multiset<Time> booked_;
+  std::multiset<Time> reserved_;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/routing/route.hpp
+++ b/include/pathcleat/routing/route.hpp
@@ -16,26 +16,29 @@
   double weight = 1;
 };
 
-/// @brief Which requests go where, and how they may be treated.
+/// @brief Which requests a route matches, where they go and how they may be
+/// treated.
 /// @ingroup routing
 struct Route {
   std::string name;
-  std::string host;         ///< of the Host field, without a port
+  std::string host;         ///< in the Host header, without a port
   std::string path_prefix;  ///< begins and ends with a slash
   std::vector<RouteSplit> splits;
   bool repeatable = false;  ///< may run more than once
   bool large_answers = false;
-  bool sticky = false;  ///< requests of one affinity key go together
-  /// Callers must hold a key of a client account, where there are accounts.
+  bool sticky =
+      false;  ///< requests of one affinity key go to the same upstreams
+  /// Whether callers must send a key of a client account, if there are
+  /// accounts.
   bool needs_account_key = true;
   int priority = 0;      ///< 0 is the most urgent
-  int max_attempts = 1;  ///< most upstreams that one request may go to
+  int max_attempts = 1;  ///< upstreams that one request may be sent to
   Duration timeout{5'000'000};
   Duration target_latency{1'000'000};
   std::vector<std::string> allowed_regions;  ///< empty: any region
 };
 
-/// @brief Hash of all fields of a route. Equal routes have equal marks on
+/// @brief Hash of all fields of a route. Equal routes have equal hashes on
 /// every host.
 /// @ingroup routing
 std::uint64_t ContentHash(const Route& route);
--- a/include/pathcleat/routing/route_table.hpp
+++ b/include/pathcleat/routing/route_table.hpp
@@ -12,12 +12,12 @@
 
 namespace pathcleat {
 
-/// @brief The routes in force, ready for look-ups. The version only rises.
+/// @brief The routes in force, indexed for look-ups. The version only rises.
 /// Not thread-safe.
 /// @ingroup routing
 class RouteTable {
  public:
-  /// @brief Takes a newer version over.
+  /// @brief Replaces the routes if the version is newer.
   /// @return false, and nothing changed, if it is not newer.
   bool ReplaceIfNewer(RoutingConfig config);
 
@@ -25,20 +25,21 @@
   std::uint64_t version() const { return config_ ? config_->version : 0; }
   const RoutingConfig& config() const { return *config_; }
 
-  /// @brief The accounts of the version in force, which the pointer keeps
-  /// alive.
+  /// @brief The accounts of the version in force. The pointer keeps that
+  /// version alive.
   AccountTable::Accounts accounts() const {
     return {config_, &config_->accounts};
   }
 
-  /// @brief The route of the host with the longest prefix that begins the
-  /// path; null if there is none. The pointer keeps its version alive.
-  /// @param host value of the Host field; a port in it is ignored.
+  /// @brief The host's route with the longest prefix of the path; null if there
+  /// is none. The pointer keeps its version alive.
+  /// @param host value of the Host header; a port in it is ignored.
   /// @param target request target; a query in it is ignored.
   std::shared_ptr<const Route> Find(std::string_view host,
                                     std::string_view target) const;
 
-  /// @brief A service's entry; null if the version has none of that name.
+  /// @brief A service's entry; null if the version in force has none of that
+  /// name.
   const ServiceInfo* FindService(std::string_view name) const;
 
  private:
@@ -48,8 +49,8 @@
   std::map<std::string, const ServiceInfo*, std::less<>> services_;
 };
 
-/// @brief Picks one of a route's splits so that each gets its weight.
-/// @param position where the request falls, in [0, 1).
+/// @brief Picks one of a route's splits, each in proportion to its weight.
+/// @param position of the request, in [0, 1).
 /// @return null for a route without splits.
 /// @ingroup routing
 const RouteSplit* PickSplit(const Route& route, double position);
--- a/include/pathcleat/routing/routing_config.hpp
+++ b/include/pathcleat/routing/routing_config.hpp
@@ -12,22 +12,23 @@
 
 namespace pathcleat {
 
-/// @brief What is known of a service beside its upstreams.
+/// @brief Settings of a service, apart from its upstreams.
 /// @ingroup routing
 struct ServiceInfo {
   std::string name;
   std::string health_path = "/health";
-  int max_connections = 0;     ///< an upstream, from all hosts; 0: no bound
-  double cold_per_second = 0;  ///< requests a cold upstream bears; 0: no bound
+  int max_connections = 0;  ///< to one upstream, from all hosts; 0: no bound
+  double cold_per_second =
+      0;  ///< requests a cold upstream can handle; 0: no bound
 };
 
-/// @brief One version of the routes, services and client accounts, whole.
+/// @brief One complete version of the routes, services and client accounts.
 /// @ingroup routing
 struct RoutingConfig {
-  std::uint64_t version = 0;  ///< rises; 0: none is known yet
+  std::uint64_t version = 0;  ///< only rises; 0: none received yet
   std::vector<Route> routes;
   std::vector<ServiceInfo> services;
-  std::vector<Account> accounts;  ///< none: callers need no keys
+  std::vector<Account> accounts;  ///< empty: callers need no keys
   HttpLimits caller_limits;
 };
 
--- a/src/pathcleat/routing/admission.cpp
+++ b/src/pathcleat/routing/admission.cpp
@@ -10,15 +10,16 @@
 }
 
 AdmissionDecision DecideAdmission(const AdmissionInput& input) {
-  const Duration spare = input.target_time_left - input.service_time;
-  if (spare >= Duration::zero() && input.queue_wait <= spare) {
+  const Duration slack = input.target_time_left - input.service_time;
+  if (slack >= Duration::zero() && input.queue_wait <= slack) {
     return AdmissionDecision::kAdmitInTime;
   }
-  const Duration place = WaitPerQueuedRequest(input);
-  const Duration usual = input.target_latency - input.usual_run_time;
-  const Duration longest = input.is_retry ? usual + place : usual;
-  const bool may_be_late = input.is_retry || spare < Duration::zero();
-  return may_be_late && input.queue_wait <= std::max(place, longest)
+  const Duration wait_per_request = WaitPerQueuedRequest(input);
+  const Duration usual_slack = input.target_latency - input.usual_run_time;
+  const Duration max_wait =
+      input.is_retry ? usual_slack + wait_per_request : usual_slack;
+  const bool may_be_late = input.is_retry || slack < Duration::zero();
+  return may_be_late && input.queue_wait <= std::max(wait_per_request, max_wait)
              ? AdmissionDecision::kAdmitLate
              : AdmissionDecision::kRefuse;
 }
--- a/src/pathcleat/routing/admission_control.cpp
+++ b/src/pathcleat/routing/admission_control.cpp
@@ -11,18 +11,19 @@
 
 constexpr Duration kSecond{1'000'000};
 
-Duration Times(Duration duration, double factor) {
+Duration Scale(Duration duration, double factor) {
   return Duration(static_cast<Duration::rep>(
       static_cast<double>(duration.count()) * factor));
 }
 
-// The part of what comes to an upstream that comes by this host.
+// This host's share of the requests in flight at an upstream.
 double OwnShare(const UpstreamState& upstream, Time now) {
   const double own = std::max(1, upstream.load.own_in_flight());
   return own / std::max(own, upstream.load.ExpectedRequests(now));
 }
 
-// Requests of one route are of several kinds where accounts differ in urgency.
+// The kind of a request by urgency. Where accounts have priorities of their
+// own, the requests of one route belong to several kinds.
 std::string KindOf(const PickRequest& request) {
   const bool by_account = request.account && request.account->priority;
   return by_account ? request.route->name + " " +
@@ -30,31 +31,33 @@
                     : request.route->name;
 }
 
-// Until the end of the target latency, from the caller's first try on.
-Duration TargetLeft(const PickRequest& request, const RequestProfile& profile) {
+// Time left until the target latency is over, counted from the caller's first
+// attempt.
+Duration TargetTimeLeft(const PickRequest& request,
+                        const RequestProfile& profile) {
   return request.route->target_latency -
          profile.usual_deadline.SinceFirstTry(request.caller_timeout);
 }
 
-// When an upstream that may not be sent to now may be, if that is known, and
-// how far apart.
-struct Opening {
-  Duration in{0};
-  Duration spacing{0};
+// When an unavailable upstream accepts requests again, and at what interval.
+struct Availability {
+  Duration delay{0};
+  Duration interval{0};
 };
 
-std::optional<Opening> OpeningOf(const UpstreamState& upstream,
-                                 Duration usual_run,
-                                 Time now) {
+std::optional<Availability> AvailabilityOf(const UpstreamState& upstream,
+                                           Duration usual_run,
+                                           Time now) {
   if (const auto retried = upstream.health.RetryTime()) {
-    return Opening{*retried - now, usual_run};
+    return Availability{*retried - now, usual_run};
   }
-  const auto takes = upstream.IsRateBounded(now)
-                         ? upstream.rate_share.TimeUntilAvailable(now)
-                         : std::nullopt;
-  if (takes) {
-    return Opening{*takes,
-                   Times(kSecond, 1 / upstream.rate_share.rate_per_second())};
+  const auto available_in = upstream.IsRateBounded(now)
+                                ? upstream.rate_share.TimeUntilAvailable(now)
+                                : std::nullopt;
+  if (available_in) {
+    return Availability{
+        *available_in,
+        Scale(kSecond, 1 / upstream.rate_share.rate_per_second())};
   }
   return std::nullopt;
 }
@@ -78,14 +81,15 @@
   input.usual_run_time = profile.warmth.RunTime(true);
   input.slots = pick.upstream->info.slots;
   input.target_latency = request.route->target_latency;
-  input.target_time_left = TargetLeft(request, profile);
+  input.target_time_left = TargetTimeLeft(request, profile);
   input.is_retry = input.target_time_left < input.target_latency;
   UrgencyTracker& urgency = urgency_[request.service];
   const std::string kind = KindOf(request);
   if (!input.is_retry) {
     urgency.OnFirstAttempt(kind, request.urgency(), now);
   }
-  // Where slots are free, nobody has to yield.
+  // A wait of at most one queue position counts as a free slot: no kind has to
+  // yield to a more urgent one.
   const bool yields = input.queue_wait > WaitPerQueuedRequest(input) &&
                       urgency.IsOverServed(kind, now);
   if (yields || DecideAdmission(input) == AdmissionDecision::kRefuse) {
@@ -103,9 +107,9 @@
   const double slots = std::max(1, pick.upstream->info.slots);
   RetryWindow window;
   window.earliest = pick.expected_wait;
-  window.latest_in_time = TargetLeft(request, profile) - service;
+  window.latest_in_time = TargetTimeLeft(request, profile) - service;
   window.latest = LatestRetry(request.CallerTimeLeft(), service);
-  window.spacing = Times(profile.warmth.RunTime(true),
+  window.spacing = Scale(profile.warmth.RunTime(true),
                          1 / (slots * OwnShare(*pick.upstream, now)));
   return pick.upstream->retry_scheduler.Reserve(window, now);
 }
@@ -118,29 +122,30 @@
   const Duration run = profile.warmth.RunTime(true);
   RetryWindow window;
   window.latest = LatestRetry(request.CallerTimeLeft(), run);
-  window.latest_in_time = TargetLeft(request, profile) - run;
+  window.latest_in_time = TargetTimeLeft(request, profile) - run;
   window.earliest = Duration::max();
   window.spacing = run;
-  RetryScheduler* book = &unknown_[request.service];
+  RetryScheduler* scheduler = &service_retries_[request.service];
   double bounded_rate = 0;
-  bool bounded_first = false;
+  bool earliest_is_bounded = false;
   for (const UpstreamPtr& upstream : open) {
     const bool bounded =
         !upstream->health.RetryTime() && upstream->IsRateBounded(now);
     bounded_rate += bounded ? upstream->rate_share.rate_per_second() : 0;
-    const auto opening = OpeningOf(*upstream, run, now);
-    if (opening && opening->in < window.earliest) {
-      window.earliest = opening->in;
-      window.spacing = opening->spacing;
-      bounded_first = bounded;
-      book = bounded ? &unknown_[request.service] : &upstream->retry_scheduler;
+    const auto availability = AvailabilityOf(*upstream, run, now);
+    if (availability && availability->delay < window.earliest) {
+      window.earliest = availability->delay;
+      window.spacing = availability->interval;
+      earliest_is_bounded = bounded;
+      scheduler = bounded ? &service_retries_[request.service]
+                          : &upstream->retry_scheduler;
     }
   }
-  if (bounded_first) {
-    // Who comes back may get any of them.
-    window.spacing = Times(kSecond, 1 / bounded_rate);
+  if (earliest_is_bounded) {
+    // A retry may be sent to any of the rate-bounded upstreams.
+    window.spacing = Scale(kSecond, 1 / bounded_rate);
   }
-  return book->Reserve(window, now);
+  return scheduler->Reserve(window, now);
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/routing/admission_control_test.cpp
+++ b/src/pathcleat/routing/admission_control_test.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-// When refused requests are told to come back, as the picker tells it.
+// Tests of the retry delays that the picker gives to refused requests.
 
 #include "pathcleat/routing/admission_control.hpp"
 
@@ -15,10 +15,10 @@
 const Time kStart{Duration(1'000'000)};
 constexpr Duration kDeadline{3'000'000};
 
-// One upstream of one region, and one host's view of it.
-class ReturnWorld {
+// One host with one upstream in its region.
+class RetryFixture {
  public:
-  ReturnWorld()
+  RetryFixture()
       : table_(std::map<std::string, std::string>{{"n", "north"}}),
         picker_(Settings(), table_) {
     route_.name = "route";
@@ -68,107 +68,108 @@
   UpstreamInfo info_;
 };
 
-// Checked to fail with the branch of cold upstreams taken out of OpeningOf:
-// both were told the last useful moment.
-Test(admission_control, cold_upstream_is_returned_to_at_its_rate) {
-  ReturnWorld world;
-  world.TurnCold(5);
-  cr_assert(world.Choose(kStart).upstream != nullptr);
-  world.upstream().rate_share.TryAcquire(kStart);
-  std::vector<Duration> told;
+// Guards against callers that are told to retry a cold upstream at the latest
+// useful time instead of at its rate. Fails without the rate-bounded branch of
+// AvailabilityOf.
+Test(admission_control, cold_upstream_is_retried_at_its_rate) {
+  RetryFixture fixture;
+  fixture.TurnCold(5);
+  cr_assert(fixture.Choose(kStart).upstream != nullptr);
+  fixture.upstream().rate_share.TryAcquire(kStart);
+  std::vector<Duration> delays;
   for (int i = 0; i < 3; ++i) {
-    const Pick refused = world.Choose(kStart);
+    const Pick refused = fixture.Choose(kStart);
     cr_assert(refused.failure == PickFailure::kNoUpstream);
-    told.push_back(refused.retry_after);
+    delays.push_back(refused.retry_after);
   }
-  std::sort(told.begin(), told.end());
-  // The next is let through after 0.2 s, and one each 0.2 s after it.
+  std::sort(delays.begin(), delays.end());
+  // The upstream accepts the next request after 0.2 s, then one every 0.2 s.
   constexpr Duration kPeriod{200'000};
-  cr_assert_geq(told[0], kPeriod);
-  cr_assert_geq(told[1] - told[0], kPeriod);
-  cr_assert_geq(told[2] - told[1], kPeriod);
-  cr_assert_leq(told[2], kDeadline / 3);
+  cr_assert_geq(delays[0], kPeriod);
+  cr_assert_geq(delays[1] - delays[0], kPeriod);
+  cr_assert_geq(delays[2] - delays[1], kPeriod);
+  cr_assert_leq(delays[2], kDeadline / 3);
 }
 
-// Guards against callers that are all told to come back to one upstream of
-// bounded rate while others open as well.
-Test(admission_control, returns_are_spaced_by_all_bounded_upstreams) {
-  ReturnWorld world;
-  world.route().target_latency = Duration(2'000'000);
-  world.TurnCold(5);
-  UpstreamInfo other = world.upstream().info;
+// Guards against callers that are all told to retry when one rate-bounded
+// upstream accepts requests, although other upstreams accept some too.
+Test(admission_control,
+     retries_are_spaced_by_the_rate_of_all_bounded_upstreams) {
+  RetryFixture fixture;
+  fixture.route().target_latency = Duration(2'000'000);
+  fixture.TurnCold(5);
+  UpstreamInfo other = fixture.upstream().info;
   other.id = "n1";
-  world.table().Put(other, kStart);
-  for (const UpstreamPtr& upstream : world.table().All()) {
+  fixture.table().Put(other, kStart);
+  for (const UpstreamPtr& upstream : fixture.table().All()) {
     upstream->rate_share.SetRate(5, kStart);
     upstream->rate_share.TryAcquire(kStart);
   }
-  std::vector<Duration> told;
+  std::vector<Duration> delays;
   for (int i = 0; i < 3; ++i) {
-    told.push_back(world.Choose(kStart).retry_after);
+    delays.push_back(fixture.Choose(kStart).retry_after);
   }
-  std::sort(told.begin(), told.end());
-  // Each lets one through every 0.2 s, so together every 0.1 s.
-  constexpr Duration kApart{100'000};
-  cr_assert_eq(told[1] - told[0], kApart);
-  cr_assert_eq(told[2] - told[1], kApart);
+  std::sort(delays.begin(), delays.end());
+  // Each upstream accepts a request every 0.2 s, both together every 0.1 s.
+  constexpr Duration kSpacing{100'000};
+  cr_assert_eq(delays[1] - delays[0], kSpacing);
+  cr_assert_eq(delays[2] - delays[1], kSpacing);
 }
 
-// Checked to fail with RetryTime taken out of OpeningOf.
-Test(admission_control, failed_upstream_is_returned_to_when_it_is_tried) {
-  ReturnWorld world;
-  world.route().target_latency = Duration(2'000'000);
-  world.upstream().health.OnFailure(kStart);
-  world.upstream().health.OnFailure(kStart);
-  const Pick refused = world.Choose(kStart);
+// Fails without RetryTime in AvailabilityOf.
+Test(admission_control, failed_upstream_is_retried_at_its_retry_time) {
+  RetryFixture fixture;
+  fixture.route().target_latency = Duration(2'000'000);
+  fixture.upstream().health.OnFailure(kStart);
+  fixture.upstream().health.OnFailure(kStart);
+  const Pick refused = fixture.Choose(kStart);
   cr_assert(refused.failure == PickFailure::kNoUpstream);
   cr_assert(kStart + refused.retry_after ==
-            *world.upstream().health.RetryTime());
-  cr_assert(world.Choose(kStart + refused.retry_after).upstream != nullptr);
+            *fixture.upstream().health.RetryTime());
+  cr_assert(fixture.Choose(kStart + refused.retry_after).upstream != nullptr);
 }
 
-Test(admission_control, where_nothing_is_known_it_is_the_last_useful_moment) {
-  ReturnWorld world;
-  world.table().Remove("n0");
-  const Pick refused = world.Choose(kStart);
+Test(admission_control, without_an_estimate_the_latest_useful_time_is_given) {
+  RetryFixture fixture;
+  fixture.table().Remove("n0");
+  const Pick refused = fixture.Choose(kStart);
   cr_assert(refused.failure == PickFailure::kNoUpstream);
   cr_assert(refused.retry_after == kDeadline / 3);
-  cr_assert(world.Choose(kStart).retry_after < refused.retry_after);
+  cr_assert(fixture.Choose(kStart).retry_after < refused.retry_after);
 }
 
-// Checked to fail with window.latest = request.time_left in RetryDelayForQueue.
-Test(admission_control, nobody_is_told_what_it_cannot_use) {
-  cr_assert(Holds("told <= a third of the deadline, for any queue", [] {
-    ReturnWorld world;
+// Fails with window.latest = request.time_left in RetryDelayForQueue.
+Test(admission_control, retry_delay_is_never_longer_than_the_caller_can_use) {
+  cr_assert(Holds("delay <= a third of the deadline, for any queue", [] {
+    RetryFixture fixture;
     const int queue = *rc::gen::inRange(0, 60);
     for (int i = 0; i < queue; ++i) {
-      world.upstream().load.OnSent();
+      fixture.upstream().load.OnSent();
     }
     for (int i = 0; i < 20; ++i) {
       const Duration deadline(*rc::gen::inRange(0, 6'000'000));
-      const Pick pick = world.Choose(kStart, deadline);
+      const Pick pick = fixture.Choose(kStart, deadline);
       RC_ASSERT(pick.upstream || pick.retry_after * 3 <= deadline);
     }
   }));
 }
 
-// Checked to fail with Book replaced by its window's room in
-// RetryDelayForQueue.
-Test(admission_control, those_refused_for_a_queue_come_one_by_one) {
-  ReturnWorld world;
+// Fails with Reserve replaced by window.earliest in RetryDelayForQueue.
+Test(admission_control, requests_refused_for_a_queue_retry_at_different_times) {
+  RetryFixture fixture;
   constexpr int kQueue = 12;
   for (int i = 0; i < kQueue; ++i) {
-    world.upstream().load.OnSent();
+    fixture.upstream().load.OnSent();
   }
-  std::vector<Duration> told;
+  std::vector<Duration> delays;
   for (int i = 0; i < 6; ++i) {
-    const Pick refused = world.Choose(kStart);
+    const Pick refused = fixture.Choose(kStart);
     cr_assert(refused.failure == PickFailure::kOverloaded);
-    told.push_back(refused.retry_after);
+    delays.push_back(refused.retry_after);
   }
-  std::sort(told.begin(), told.end());
-  for (std::size_t i = 1; i < told.size(); ++i) {
-    cr_assert_gt(told[i] - told[i - 1], Duration(20'000));
+  std::sort(delays.begin(), delays.end());
+  for (std::size_t i = 1; i < delays.size(); ++i) {
+    cr_assert_gt(delays[i] - delays[i - 1], Duration(20'000));
   }
 }
 
--- a/src/pathcleat/routing/admission_test.cpp
+++ b/src/pathcleat/routing/admission_test.cpp
@@ -9,7 +9,7 @@
 constexpr Duration kTarget{400'000};
 constexpr Duration kUsualRun{150'000};
 
-AdmissionInput FirstTry(Duration wait, Duration service) {
+AdmissionInput FirstAttempt(Duration wait, Duration service) {
   AdmissionInput input;
   input.queue_wait = wait;
   input.service_time = service;
@@ -20,33 +20,34 @@
   return input;
 }
 
-Test(admission, first_try_waits_as_long_as_it_is_in_time) {
+Test(admission, first_attempt_waits_as_long_as_it_is_in_time) {
   const Duration service{160'000};
-  cr_assert(DecideAdmission(FirstTry(kTarget - service, service)) ==
+  cr_assert(DecideAdmission(FirstAttempt(kTarget - service, service)) ==
             AdmissionDecision::kAdmitInTime);
-  cr_assert(DecideAdmission(FirstTry(kTarget - service + Duration(1),
-                                     service)) == AdmissionDecision::kRefuse);
+  cr_assert(
+      DecideAdmission(FirstAttempt(kTarget - service + Duration(1), service)) ==
+      AdmissionDecision::kRefuse);
 }
 
-// Checked to fail with may_be_late true for all, and with it false for all.
-Test(admission, late_for_its_run_alone_waits_as_long_as_a_usual_one) {
+// Fails with may_be_late always true, and with it always false.
+Test(admission, request_with_long_run_time_waits_as_long_as_a_usual_one) {
   const Duration service{500'000};
-  const Duration longest = kTarget - kUsualRun;
-  cr_assert(DecideAdmission(FirstTry(longest, service)) ==
+  const Duration max_wait = kTarget - kUsualRun;
+  cr_assert(DecideAdmission(FirstAttempt(max_wait, service)) ==
             AdmissionDecision::kAdmitLate);
-  cr_assert(DecideAdmission(FirstTry(longest + Duration(1), service)) ==
+  cr_assert(DecideAdmission(FirstAttempt(max_wait + Duration(1), service)) ==
             AdmissionDecision::kRefuse);
   const Duration in_time{350'000};
-  cr_assert(DecideAdmission(FirstTry(longest, in_time)) ==
+  cr_assert(DecideAdmission(FirstAttempt(max_wait, in_time)) ==
             AdmissionDecision::kRefuse);
 }
 
-// Checked to fail with input.is_retry let through in Admit, and without the
-// place.
-Test(admission, return_waits_one_place_longer_than_a_usual_first_try) {
-  const Duration place = kUsualRun / 3;
+// Fails if DecideAdmission admits every retry, and without the extra queue
+// position.
+Test(admission, retry_waits_one_position_longer_than_a_usual_first_attempt) {
+  const Duration wait_per_request = kUsualRun / 3;
   AdmissionInput input =
-      FirstTry(kTarget - kUsualRun + place, Duration(160'000));
+      FirstAttempt(kTarget - kUsualRun + wait_per_request, Duration(160'000));
   input.is_retry = true;
   input.target_time_left = Duration(-600'000);
   cr_assert(DecideAdmission(input) == AdmissionDecision::kAdmitLate);
@@ -54,8 +55,8 @@
   cr_assert(DecideAdmission(input) == AdmissionDecision::kRefuse);
 }
 
-Test(admission, free_slot_is_open_to_all) {
-  cr_assert(Holds("nobody is refused where nothing waits", [] {
+Test(admission, no_request_is_refused_while_a_slot_is_free) {
+  cr_assert(Holds("no request is refused without a queue", [] {
     AdmissionInput input;
     input.service_time = Duration(*rc::gen::inRange(0, 3'000'000));
     input.usual_run_time = Duration(*rc::gen::inRange(0, 1'000'000));
@@ -67,17 +68,19 @@
   }));
 }
 
-Test(admission, whoever_may_wait_may_wait_less) {
-  cr_assert(Holds("a shorter wait is not refused where a longer is not", [] {
-    AdmissionInput input = FirstTry(Duration(*rc::gen::inRange(0, 900'000)),
-                                    Duration(*rc::gen::inRange(0, 900'000)));
-    input.is_retry = *rc::gen::arbitrary<bool>();
-    if (DecideAdmission(input) != AdmissionDecision::kRefuse) {
-      input.queue_wait -= Duration(
-          *rc::gen::inRange(0, static_cast<int>(input.queue_wait.count()) + 1));
-      RC_ASSERT(DecideAdmission(input) != AdmissionDecision::kRefuse);
-    }
-  }));
+Test(admission, shorter_wait_is_admitted_where_a_longer_one_is) {
+  cr_assert(
+      Holds("a request admitted to a wait is admitted to a shorter one", [] {
+        AdmissionInput input =
+            FirstAttempt(Duration(*rc::gen::inRange(0, 900'000)),
+                         Duration(*rc::gen::inRange(0, 900'000)));
+        input.is_retry = *rc::gen::arbitrary<bool>();
+        if (DecideAdmission(input) != AdmissionDecision::kRefuse) {
+          input.queue_wait -= Duration(*rc::gen::inRange(
+              0, static_cast<int>(input.queue_wait.count()) + 1));
+          RC_ASSERT(DecideAdmission(input) != AdmissionDecision::kRefuse);
+        }
+      }));
 }
 
 }  // namespace
--- a/src/pathcleat/routing/average_load.cpp
+++ b/src/pathcleat/routing/average_load.cpp
@@ -7,29 +7,29 @@
 namespace pathcleat {
 namespace {
 
-// As for the usual load of one upstream: bursts last a few seconds.
-constexpr double kFadeMicros = 2'000'000;
-// No load is assumed with the weight of one report: a single one proves
-// little, and after a silence the average falls to nothing.
-constexpr double kIdleReports = 1;
+// Bursts last a few seconds, as for the usual load of one upstream.
+constexpr double kDecayMicros = 2'000'000;
+// Weight of the assumption that upstreams are idle, in reports: a single report
+// proves little, and without new reports the average falls to zero.
+constexpr double kIdleReportWeight = 1;
 
 }  // namespace
 
-double AverageLoad::FadedBy(Time now) const {
-  const auto age = static_cast<double>((now - faded_).count());
-  return std::exp(-std::max(0.0, age) / kFadeMicros);
+double AverageLoad::DecayFactor(Time now) const {
+  const auto age = static_cast<double>((now - decayed_at_).count());
+  return std::exp(-std::max(0.0, age) / kDecayMicros);
 }
 
-void AverageLoad::OnReport(double others, Time now) {
-  const double faded = FadedBy(now);
-  reports_ = reports_ * faded + 1;
-  sum_ = sum_ * faded + others;
-  faded_ = now;
+void AverageLoad::OnReport(double other_requests, Time now) {
+  const double decay = DecayFactor(now);
+  reports_ = reports_ * decay + 1;
+  sum_ = sum_ * decay + other_requests;
+  decayed_at_ = now;
 }
 
 double AverageLoad::Value(Time now) const {
-  const double faded = FadedBy(now);
-  return sum_ * faded / (reports_ * faded + kIdleReports);
+  const double decay = DecayFactor(now);
+  return sum_ * decay / (reports_ * decay + kIdleReportWeight);
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/routing/key_placement.cpp
+++ b/src/pathcleat/routing/key_placement.cpp
@@ -11,12 +11,13 @@
 namespace pathcleat {
 namespace {
 
-// Upstreams of a key by the regions' shares. One measured about the same on
-// three sites (docs/DECISIONS.md, rounds).
-constexpr std::size_t kNearUpstreams = 2;
+// Upstreams of a key that are chosen by the regions' shares; one instead of two
+// made little difference on three sites.
+constexpr std::size_t kNearestUpstreams = 2;
 
-// Upstreams without a share come after those that have one.
-constexpr double kBeyondShares = 1e3;
+// Added to the distance of upstreams without a share, so that they rank after
+// those that have one.
+constexpr double kNoShareOffset = 1e3;
 
 bool IsNearer(const Candidate& a, const Candidate& b) {
   return a.distance < b.distance;
@@ -29,32 +30,33 @@
   if (weight > 0) {
     return KeyDistance(key, upstream.hash, weight);
   }
-  return kBeyondShares +
+  return kNoShareOffset +
          KeyDistance(key, upstream.hash, shares.SpillWeightOf(upstream));
 }
 
-void MeasureAll(std::vector<Candidate>& candidates,
-                std::uint64_t key,
-                const RegionShares& shares) {
+void SetDistances(std::vector<Candidate>& candidates,
+                  std::uint64_t key,
+                  const RegionShares& shares) {
   for (Candidate& candidate : candidates) {
     candidate.distance = DistanceOf(*candidate.upstream, key, shares);
   }
 }
 
-// Moves the nearest candidate outside a region to a place, if there is one.
+// Moves the nearest candidate outside a region to an index, if there is one at
+// or after it.
 void MoveNearestOutside(std::vector<Candidate>& candidates,
                         const std::string& region,
-                        std::size_t place) {
+                        std::size_t index) {
   auto best = candidates.end();
-  for (auto at = candidates.begin() + static_cast<std::ptrdiff_t>(place);
-       at != candidates.end(); ++at) {
-    if (at->upstream->region != region &&
-        (best == candidates.end() || IsNearer(*at, *best))) {
-      best = at;
+  for (auto it = candidates.begin() + static_cast<std::ptrdiff_t>(index);
+       it != candidates.end(); ++it) {
+    if (it->upstream->region != region &&
+        (best == candidates.end() || IsNearer(*it, *best))) {
+      best = it;
     }
   }
   if (best != candidates.end()) {
-    std::iter_swap(candidates.begin() + static_cast<std::ptrdiff_t>(place),
+    std::iter_swap(candidates.begin() + static_cast<std::ptrdiff_t>(index),
                    best);
   }
 }
@@ -65,7 +67,7 @@
   if (weight <= 0) {
     return std::numeric_limits<double>::infinity();
   }
-  // From (0, 1]: the logarithm of zero is no distance.
+  // In (0, 1], as the logarithm of zero is not finite.
   const double unit = 1 - ToUnitInterval(MixHashes(key, upstream));
   return -std::log(unit) / weight;
 }
@@ -73,24 +75,24 @@
 void RankByKey(std::vector<Candidate>& candidates,
                std::uint64_t key,
                const RegionShares& shares) {
-  MeasureAll(candidates, key, shares);
+  SetDistances(candidates, key, shares);
   std::sort(candidates.begin(), candidates.end(), IsNearer);
 }
 
 void KeepNearestToKey(std::vector<Candidate>& candidates,
                       std::uint64_t key,
                       const RegionShares& shares) {
-  MeasureAll(candidates, key, shares);
-  const std::size_t kept = std::min(kNearUpstreams + 1, candidates.size());
+  SetDistances(candidates, key, shares);
+  const std::size_t kept = std::min(kNearestUpstreams + 1, candidates.size());
   std::partial_sort(candidates.begin(),
                     candidates.begin() + static_cast<std::ptrdiff_t>(kept),
                     candidates.end(), IsNearer);
-  if (kept <= kNearUpstreams) {
+  if (kept <= kNearestUpstreams) {
     return;
   }
   const std::string& region = candidates.front().upstream->region;
   if (candidates[1].upstream->region == region) {
-    MoveNearestOutside(candidates, region, kNearUpstreams);
+    MoveNearestOutside(candidates, region, kNearestUpstreams);
   }
   candidates.resize(kept);
 }
--- a/src/pathcleat/routing/key_placement_test.cpp
+++ b/src/pathcleat/routing/key_placement_test.cpp
@@ -36,7 +36,7 @@
   return shares;
 }
 
-Test(key_placement, an_upstream_is_nearest_to_keys_by_its_weight) {
+Test(key_placement, upstream_is_nearest_to_a_share_of_keys_by_its_weight) {
   int first = 0;
   constexpr int kKeys = 20'000;
   for (int i = 0; i < kKeys; ++i) {
--- a/src/pathcleat/routing/kind_regions_test.cpp
+++ b/src/pathcleat/routing/kind_regions_test.cpp
@@ -1,15 +1,15 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-// When callers of most kinds stop and refused downloads come back, the regions
-// of all requests together change at one moment: downloads stay in their
-// region, what else there was went to others too. No kind may change its own
-// regions by that: the shares go by slots and hosts, never by how much is
-// asked.
+// Guards against one kind of request changing its regions when other traffic
+// ends: once most callers stop and refused downloads are retried, the regions
+// of all requests together change at once, as downloads stay in their region
+// while part of the other traffic went to other regions. The shares of a kind
+// depend on slots and hosts, never on demand.
 
 #include <map>
 
 #include "pathcleat/core/hash.hpp"
 #include "pathcleat/routing/upstream_picker.hpp"
-#include "picker_world.hpp"
+#include "picker_fixture.hpp"
 #include "property.hpp"
 
 namespace pathcleat {
@@ -18,10 +18,10 @@
 constexpr std::uint64_t kLargeBytes = 90'000;
 constexpr int kRequests = 400;
 
-// A region that is short of room beside two that are not.
-class ThreeRegions {
+// A region with few slots beside two with many.
+class ThreeRegionFixture {
  public:
-  ThreeRegions()
+  ThreeRegionFixture()
       : table_({{"n", "north"}, {"s", "south"}, {"w", "west"}}),
         picker_(Settings(), table_) {
     page_.name = "page";
@@ -44,8 +44,8 @@
     LearnSize();
   }
 
-  // Regions of requests of one kind, asked at a time.
-  std::map<std::string, int> Regions(const Route& route, Time now) {
+  // Number of requests of one kind that each region gets, all sent at once.
+  std::map<std::string, int> CountByRegion(const Route& route, Time now) {
     std::map<std::string, int> regions;
     for (int i = 0; i < kRequests; ++i) {
       const Pick pick =
@@ -85,18 +85,19 @@
 };
 
 Test(upstream_picker, kinds_keep_their_regions_when_other_traffic_ends) {
-  ThreeRegions world;
-  const auto pages = world.Regions(world.page(), kStart);
-  const auto downloads = world.Regions(world.download(), kStart);
+  ThreeRegionFixture fixture;
+  const auto pages = fixture.CountByRegion(fixture.page(), kStart);
+  const auto downloads = fixture.CountByRegion(fixture.download(), kStart);
   cr_assert_eq(downloads.at("north"), kRequests);
   cr_assert_gt(pages.at("south") + pages.at("west"), kRequests / 2);
-  // Pages end; downloads come on alone, and after seconds of silence.
+  // Pages end; downloads continue alone, also after seconds without requests.
   constexpr Duration kSecond{1'000'000};
   for (const int seconds : {1, 2, 4, 30}) {
     const Time now = kStart + seconds * kSecond;
-    cr_assert(world.Regions(world.download(), now) == downloads);
+    cr_assert(fixture.CountByRegion(fixture.download(), now) == downloads);
   }
-  cr_assert(world.Regions(world.page(), kStart + 31 * kSecond) == pages);
+  cr_assert(fixture.CountByRegion(fixture.page(), kStart + 31 * kSecond) ==
+            pages);
 }
 
 }  // namespace
--- a/src/pathcleat/routing/limit_exchange.cpp
+++ b/src/pathcleat/routing/limit_exchange.cpp
@@ -9,10 +9,11 @@
 namespace {
 
 // Four rounds of heartbeats, as datagrams get lost.
-constexpr Duration kToldFor{2'000'000};
-// A report is on its way for less than this: what it tells must not look newer
-// than it is, or hosts that repeat each other would keep it fresh.
-constexpr Duration kLongestWay{100'000};
+constexpr Duration kReportWindow{2'000'000};
+// A report takes less than this to arrive. The receiver adds it to the age of
+// each entry: an observation that looked newer than it is would be kept alive
+// by hosts that repeat it to each other.
+constexpr Duration kMaxTransitTime{100'000};
 
 std::uint32_t AgeMs(Time at, Time now) {
   const auto age =
@@ -30,7 +31,7 @@
 void LimitExchange::OnLimitReported(const UpstreamPtr& upstream,
                                     double per_second,
                                     Time now) {
-  TakeOwn(upstream, {per_second, now, host_, domain_}, now);
+  ApplyOwn(upstream, {per_second, now, host_, domain_}, now);
 }
 
 void LimitExchange::OnNoLimitReported(const UpstreamPtr& upstream,
@@ -38,39 +39,40 @@
                                       Time now) {
   if (upstream->limit.observation() &&
       upstream->limit.observation()->per_second) {
-    TakeOwn(upstream, {std::nullopt, sent, host_, domain_}, now);
+    ApplyOwn(upstream, {std::nullopt, sent, host_, domain_}, now);
   }
 }
 
-void LimitExchange::TakeOwn(const UpstreamPtr& upstream,
-                            const LimitObservation& sign,
-                            Time now) {
-  const LimitChange change = Take(upstream, sign, now);
-  if (change != LimitChange::kNone && on_news_) {
-    on_news_();
+void LimitExchange::ApplyOwn(const UpstreamPtr& upstream,
+                             const LimitObservation& observation,
+                             Time now) {
+  const LimitChange change = Apply(upstream, observation, now);
+  if (change != LimitChange::kNone && on_update_) {
+    on_update_();
   }
 }
 
-LimitChange LimitExchange::Take(const UpstreamPtr& upstream,
-                                const LimitObservation& sign,
-                                Time now) {
-  const LimitChange change = table_.UpdateLimit(upstream, sign, now);
+LimitChange LimitExchange::Apply(const UpstreamPtr& upstream,
+                                 const LimitObservation& observation,
+                                 Time now) {
+  const LimitChange change = table_.UpdateLimit(upstream, observation, now);
   const LimitObservation* newest = upstream->limit.observation();
-  if (newest != nullptr && newest->observed_at == sign.observed_at) {
-    recent_[upstream->info.id] = upstream;
+  if (newest != nullptr && newest->observed_at == observation.observed_at) {
+    recently_observed_[upstream->info.id] = upstream;
   }
-  Note(upstream, change);
+  RecordChange(upstream, change);
   return change;
 }
 
-void LimitExchange::Note(const UpstreamPtr& upstream, LimitChange change) {
+void LimitExchange::RecordChange(const UpstreamPtr& upstream,
+                                 LimitChange change) {
   if (change == LimitChange::kNone) {
     return;
   }
   if (change == LimitChange::kEnded) {
-    in_force_.erase(upstream->info.id);
+    limited_upstreams_.erase(upstream->info.id);
   } else {
-    in_force_[upstream->info.id] = upstream;
+    limited_upstreams_[upstream->info.id] = upstream;
   }
   if (on_change_) {
     on_change_(*upstream, change);
@@ -78,68 +80,75 @@
 }
 
 void LimitExchange::Tick(Time now) {
-  std::vector<UpstreamPtr> lapsed;
-  std::erase_if(in_force_, [&lapsed, now](const auto& named) {
-    const bool over =
-        named.second->removed || !named.second->limit.IsInForce(now);
-    if (over && !named.second->removed) {
-      lapsed.push_back(named.second);
+  std::vector<UpstreamPtr> expired;
+  std::erase_if(limited_upstreams_, [&expired, now](const auto& entry) {
+    const bool ended =
+        entry.second->removed || !entry.second->limit.IsInForce(now);
+    if (ended && !entry.second->removed) {
+      expired.push_back(entry.second);
     }
-    return over;
+    return ended;
   });
-  for (const UpstreamPtr& upstream : lapsed) {
-    Note(upstream, LimitChange::kEnded);
+  for (const UpstreamPtr& upstream : expired) {
+    RecordChange(upstream, LimitChange::kEnded);
   }
 }
 
-// What finds no room is told first the next time.
-LimitReport LimitExchange::Report(
-    bool pass_on,
-    const Upstreams& told,
-    const std::function<bool(const LimitObservation&)>& tells,
+// Entries that do not fit come first in the next report.
+LimitReport LimitExchange::MakeReport(
+    bool forward_to_domain,
+    const Upstreams& upstreams,
+    const std::function<bool(const LimitObservation&)>& is_included,
     Time now) {
-  LimitReport report{domain_, host_, pass_on, {}};
-  auto next = told.upper_bound(last_told_);
-  for (std::size_t i = 0; i < told.size(); ++i, ++next) {
-    if (next == told.end()) {
-      next = told.begin();
+  LimitReport report{domain_, host_, forward_to_domain, {}};
+  auto next = upstreams.upper_bound(last_reported_);
+  for (std::size_t i = 0; i < upstreams.size(); ++i, ++next) {
+    if (next == upstreams.end()) {
+      next = upstreams.begin();
     }
-    const LimitObservation& sign = *next->second->limit.observation();
-    if (!tells(sign)) {
+    const LimitObservation& observation = *next->second->limit.observation();
+    if (!is_included(observation)) {
       continue;
     }
     if (report.entries.size() == kMaxLimitEntries) {
-      last_told_ = report.entries.back().upstream_id;
+      last_reported_ = report.entries.back().upstream_id;
       break;
     }
-    const float per_second =
-        sign.per_second ? static_cast<float>(*sign.per_second) : kNoRateLimit;
+    const float per_second = observation.per_second
+                                 ? static_cast<float>(*observation.per_second)
+                                 : kNoRateLimit;
     report.entries.push_back(
-        {next->first, per_second, AgeMs(sign.observed_at, now)});
+        {next->first, per_second, AgeMs(observation.observed_at, now)});
   }
   return report;
 }
 
 LimitReport LimitExchange::OwnLimits(Time now) {
-  std::erase_if(recent_, [now](const auto& named) {
-    return named.second->removed ||
-           now - named.second->limit.observation()->observed_at > kToldFor;
+  std::erase_if(recently_observed_, [now](const auto& entry) {
+    return entry.second->removed ||
+           now - entry.second->limit.observation()->observed_at > kReportWindow;
   });
-  return Report(
-      false, recent_,
-      [this](const LimitObservation& sign) { return sign.host == host_; }, now);
+  return MakeReport(
+      false, recently_observed_,
+      [this](const LimitObservation& observation) {
+        return observation.host == host_;
+      },
+      now);
 }
 
 LimitReport LimitExchange::DomainLimits(Time now) {
-  return Report(
-      true, recent_,
-      [this](const LimitObservation& sign) { return sign.domain == domain_; },
+  return MakeReport(
+      true, recently_observed_,
+      [this](const LimitObservation& observation) {
+        return observation.domain == domain_;
+      },
       now);
 }
 
 LimitReport LimitExchange::LimitSnapshot(Time now) {
-  return Report(
-      false, in_force_, [](const LimitObservation&) { return true; }, now);
+  return MakeReport(
+      false, limited_upstreams_, [](const LimitObservation&) { return true; },
+      now);
 }
 
 void LimitExchange::OnLimitReport(const LimitReport& report, Time now) {
@@ -148,15 +157,15 @@
     if (!upstream) {
       continue;
     }
-    LimitObservation sign;
+    LimitObservation observation;
     if (entry.per_second >= 0) {
-      sign.per_second = static_cast<double>(entry.per_second);
+      observation.per_second = static_cast<double>(entry.per_second);
     }
-    sign.observed_at =
-        now - std::chrono::milliseconds(entry.age_ms) - kLongestWay;
-    sign.host = report.host;
-    sign.domain = report.domain;
-    Take(upstream, sign, now);
+    observation.observed_at =
+        now - std::chrono::milliseconds(entry.age_ms) - kMaxTransitTime;
+    observation.host = report.host;
+    observation.domain = report.domain;
+    Apply(upstream, observation, now);
   }
 }
 
--- a/src/pathcleat/routing/link_limits.cpp
+++ b/src/pathcleat/routing/link_limits.cpp
@@ -6,17 +6,17 @@
 
 namespace pathcleat {
 
-LinkLimits::LinkLimits(std::map<std::string, int> most_in_flight)
-    : most_(std::move(most_in_flight)) {}
+LinkLimits::LinkLimits(std::map<std::string, int> max_in_flight)
+    : max_in_flight_(std::move(max_in_flight)) {}
 
 bool LinkLimits::HasCapacity(const std::string& region) const {
-  const auto most = most_.find(region);
-  if (most == most_.end()) {
+  const auto limit = max_in_flight_.find(region);
+  if (limit == max_in_flight_.end()) {
     return true;
   }
   const auto used = in_flight_.find(region);
   return (used == in_flight_.end() ? 0 : used->second) <
-         most->second / std::max(1, sharers_);
+         limit->second / std::max(1, host_count_);
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/routing/list_delta_test.cpp
+++ b/src/pathcleat/routing/list_delta_test.cpp
@@ -9,8 +9,9 @@
 namespace pathcleat {
 namespace {
 
-// Routes of few different contents, so that lists share many and repeat some.
-std::vector<Route> AnyRoutes() {
+// Routes with few different contents, so that lists share many routes and
+// repeat some.
+std::vector<Route> GenerateRoutes() {
   std::vector<Route> routes;
   const auto numbers =
       *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 12));
@@ -24,7 +25,7 @@
   return routes;
 }
 
-std::size_t AddedIn(const std::vector<ListDeltaStep<Route>>& steps) {
+std::size_t AddedCount(const std::vector<ListDeltaStep<Route>>& steps) {
   std::size_t added = 0;
   for (const ListDeltaStep<Route>& step : steps) {
     added += step.added.size();
@@ -32,17 +33,17 @@
   return added;
 }
 
-// Checked to fail with the order of a step's two parts turned round.
+// Fails with a step's added entries placed before the copied ones.
 Test(list_delta, steps_lead_from_any_list_to_any_other) {
   cr_assert(Holds("the new list in its order", [] {
-    const auto old_routes = AnyRoutes();
-    const auto routes = AnyRoutes();
-    const ListHashes marks = ContentHashes(routes);
+    const auto old_routes = GenerateRoutes();
+    const auto routes = GenerateRoutes();
+    const ListHashes hashes = ContentHashes(routes);
     const auto steps =
-        ComputeListDelta(ContentHashes(old_routes), routes, marks);
-    const auto made = ApplyListDelta(old_routes, steps, DigestOf(marks));
-    RC_ASSERT(made.has_value());
-    RC_ASSERT(ContentHashes(*made) == marks);
+        ComputeListDelta(ContentHashes(old_routes), routes, hashes);
+    const auto result = ApplyListDelta(old_routes, steps, DigestOf(hashes));
+    RC_ASSERT(result.has_value());
+    RC_ASSERT(ContentHashes(*result) == hashes);
   }));
 }
 
@@ -51,16 +52,17 @@
   for (std::size_t i = 0; i < routes.size(); ++i) {
     routes[i].name = std::to_string(i);
   }
-  const ListHashes old_marks = ContentHashes(routes);
+  const ListHashes old_hashes = ContentHashes(routes);
   routes[700].allowed_regions = {"north"};
-  const auto steps = ComputeListDelta(old_marks, routes, ContentHashes(routes));
-  cr_assert_eq(AddedIn(steps), 1U);
+  const auto steps =
+      ComputeListDelta(old_hashes, routes, ContentHashes(routes));
+  cr_assert_eq(AddedCount(steps), 1U);
   cr_assert_eq(steps.size(), 2U);
 }
 
-// Each field counts: a host that took a route for unchanged would go on by
-// the old one.
-Test(list_delta, routes_that_differ_in_any_field_have_other_marks) {
+// Guards against a host that takes a changed route for an unchanged one and
+// keeps using the old one: every field counts.
+Test(list_delta, routes_that_differ_in_any_field_have_different_hashes) {
   const Route plain{"n", "h", "/p/", {{"s", 1}}};
   std::vector<Route> routes(14, plain);
   routes[1].name = "o";
@@ -78,23 +80,24 @@
   routes[13].needs_account_key = false;
   routes.push_back(plain);
   routes.back().allowed_regions = {"north"};
-  ListHashes marks = ContentHashes(routes);
-  std::sort(marks.begin(), marks.end());
-  cr_assert(std::adjacent_find(marks.begin(), marks.end()) == marks.end());
+  ListHashes hashes = ContentHashes(routes);
+  std::sort(hashes.begin(), hashes.end());
+  cr_assert(std::adjacent_find(hashes.begin(), hashes.end()) == hashes.end());
 }
 
-// Checked to fail with the digest's comparison taken out.
+// Fails without the comparison of digests in ApplyListDelta.
 Test(list_delta, steps_of_another_list_are_refused) {
   const std::vector<Route> old_routes(3);
   std::vector<Route> routes(3);
   routes[0].name = "new";
-  const ListHashes marks = ContentHashes(routes);
-  const auto steps = ComputeListDelta(ContentHashes(old_routes), routes, marks);
+  const ListHashes hashes = ContentHashes(routes);
+  const auto steps =
+      ComputeListDelta(ContentHashes(old_routes), routes, hashes);
   std::vector<Route> other(3);
   other[0].name = "other";
-  cr_assert(ApplyListDelta(old_routes, steps, DigestOf(marks)).has_value());
-  cr_assert_not(ApplyListDelta(other, steps, DigestOf(marks)).has_value());
-  cr_assert_not(ApplyListDelta<Route>({}, steps, DigestOf(marks)).has_value());
+  cr_assert(ApplyListDelta(old_routes, steps, DigestOf(hashes)).has_value());
+  cr_assert_not(ApplyListDelta(other, steps, DigestOf(hashes)).has_value());
+  cr_assert_not(ApplyListDelta<Route>({}, steps, DigestOf(hashes)).has_value());
 }
 
 }  // namespace
--- a/src/pathcleat/routing/pinned_capacity.cpp
+++ b/src/pathcleat/routing/pinned_capacity.cpp
@@ -7,75 +7,80 @@
 namespace pathcleat {
 namespace {
 
-// Of so many requests placed here, a few seconds' worth at a host of today.
-constexpr double kRequestsKept = 100;
-// What an account's demand is followed by, each time that it is told, four
-// times a second: about two seconds.
-constexpr double kFollow = 0.12;
-// Steps in which the taken part is told, and how far it must lie beyond one.
+// Recent requests that the averages cover: a few seconds of traffic at a
+// typical host.
+constexpr double kAveragedRequests = 100;
+// Weight of each new figure of the demand. Figures arrive four times a second,
+// so the estimate follows the demand within about 2 s.
+constexpr double kDemandWeight = 0.12;
+// Step of the reported share.
 constexpr double kStep = 0.125;
-constexpr double kBeyondStep = 0.75;
-// Something is left to the others always: a region has its own callers.
-constexpr double kMostTaken = 0.875;
+// The reported share changes once the exact share is more than this many steps
+// away from it.
+constexpr double kHysteresisSteps = 0.75;
+// Some slots are always left to other requests, as each region has callers of
+// its own.
+constexpr double kMaxShare = 0.875;
 
 }  // namespace
 
 void PinnedCapacity::OnPlaced(const std::string& service, Duration run) {
-  for (auto& [name, use] : uses_) {
-    use.requests *= 1 - 1 / kRequestsKept;
+  for (auto& [name, usage] : usage_by_service_) {
+    usage.requests *= 1 - 1 / kAveragedRequests;
   }
-  Use& use = uses_[service];
+  ServiceUsage& usage = usage_by_service_[service];
   const double seconds = std::chrono::duration<double>(run).count();
-  const double weight =
-      use.requests > 0 ? std::max(1 / kRequestsKept, 1 / (use.requests + 1))
-                       : 1;
-  use.run_seconds += (seconds - use.run_seconds) * weight;
-  use.requests += 1;
+  const double weight = usage.requests > 0 ? std::max(1 / kAveragedRequests,
+                                                      1 / (usage.requests + 1))
+                                           : 1;
+  usage.run_seconds += (seconds - usage.run_seconds) * weight;
+  usage.requests += 1;
 }
 
 double PinnedCapacity::RunSecondsOf(const std::string& service) const {
-  const auto use = uses_.find(service);
-  return use == uses_.end() ? 0 : use->second.run_seconds;
+  const auto usage = usage_by_service_.find(service);
+  return usage == usage_by_service_.end() ? 0 : usage->second.run_seconds;
 }
 
 void PinnedCapacity::SetDemand(
     const std::map<std::string, double>& per_second) {
-  for (auto& [region, demand] : demand_) {
+  for (auto& [region, demand] : demand_by_region_) {
     const auto now = per_second.find(region);
     const double target = now == per_second.end() ? 0 : now->second;
-    demand += (target - demand) * kFollow;
+    demand += (target - demand) * kDemandWeight;
   }
   for (const auto& [region, demand] : per_second) {
-    demand_.try_emplace(region, demand * kFollow);
+    demand_by_region_.try_emplace(region, demand * kDemandWeight);
   }
 }
 
-double PinnedCapacity::Taken(const std::string& service,
-                             const std::string& region,
-                             double slots) const {
-  const auto demand = demand_.find(region);
-  const auto use = uses_.find(service);
-  if (demand == demand_.end() || use == uses_.end() || slots <= 0) {
+double PinnedCapacity::ExactShare(const std::string& service,
+                                  const std::string& region,
+                                  double slots) const {
+  const auto demand = demand_by_region_.find(region);
+  const auto usage = usage_by_service_.find(service);
+  if (demand == demand_by_region_.end() || usage == usage_by_service_.end() ||
+      slots <= 0) {
     return 0;
   }
   double requests = 0;
-  for (const auto& [name, other] : uses_) {
+  for (const auto& [name, other] : usage_by_service_) {
     requests += other.requests;
   }
-  const double busy = demand->second * use->second.requests / requests *
-                      use->second.run_seconds;
-  return std::min(kMostTaken, busy / slots);
+  const double busy = demand->second * usage->second.requests / requests *
+                      usage->second.run_seconds;
+  return std::min(kMaxShare, busy / slots);
 }
 
 double PinnedCapacity::ShareOf(const std::string& service,
                                const std::string& region,
                                double slots) {
-  const double taken = Taken(service, region, slots);
-  double& told = told_[{service, region}];
-  if (std::abs(taken - told) > kStep * kBeyondStep) {
-    told = std::round(taken / kStep) * kStep;
+  const double exact = ExactShare(service, region, slots);
+  double& reported = reported_shares_[{service, region}];
+  if (std::abs(exact - reported) > kStep * kHysteresisSteps) {
+    reported = std::round(exact / kStep) * kStep;
   }
-  return told;
+  return reported;
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/routing/rate_share.cpp
+++ b/src/pathcleat/routing/rate_share.cpp
@@ -8,56 +8,61 @@
 namespace pathcleat {
 namespace {
 
-constexpr double kSlackPart = 0.5;
-// Two parts of a fleet that do not hear each other never hold this many both.
-constexpr double kMostOfFleet = 0.67;
+constexpr double kSenderSlackShare = 0.5;
+// Two parts of a fleet that cannot reach each other never both have this share
+// of the hosts.
+constexpr double kMajorityShare = 0.67;
 
 }  // namespace
 
 int RateSenderCount(double slack) {
-  return std::max(1, static_cast<int>(slack * kSlackPart));
+  return std::max(1, static_cast<int>(slack * kSenderSlackShare));
 }
 
-double RateSenders::PartOfFleet() const {
-  const double part = (count_ + 1.0) / std::max(1, known_);
-  return part < kMostOfFleet ? part : 1;
+double RateSenders::FleetShare() const {
+  const double fleet_share = (other_count_ + 1.0) / std::max(1, fleet_size_);
+  return fleet_share < kMajorityShare ? fleet_share : 1;
 }
 
-int RateSenders::CountAhead(const std::vector<std::uint64_t>& hosts,
-                            std::uint64_t upstream_hash,
-                            int enough) const {
-  const std::uint64_t own = MixHashes(upstream_hash, self_);
-  int ahead = 0;
+int RateSenders::CountHigherRanked(const std::vector<std::uint64_t>& hosts,
+                                   std::uint64_t upstream_hash,
+                                   int limit) const {
+  const std::uint64_t own_rank = MixHashes(upstream_hash, self_);
+  int higher_ranked = 0;
   for (const std::uint64_t host : hosts) {
-    if (ahead >= enough) {
+    if (higher_ranked >= limit) {
       break;
     }
     ++ranked_;
-    ahead += MixHashes(upstream_hash, host) > own ? 1 : 0;
+    higher_ranked += MixHashes(upstream_hash, host) > own_rank ? 1 : 0;
   }
-  return ahead;
+  return higher_ranked;
 }
 
 double RateSenders::Rate(const RateBound& bound,
                          std::uint64_t upstream_hash,
                          const std::string& upstream_region) const {
-  const double part = PartOfFleet();
-  const int senders = std::min(RateSenderCount(bound.slack * part), count_ + 1);
-  const bool near = region_ == upstream_region;
-  int ahead = 0;
+  const double fleet_share = FleetShare();
+  const int senders =
+      std::min(RateSenderCount(bound.slack * fleet_share), other_count_ + 1);
+  const bool is_near = region_ == upstream_region;
+  int higher_ranked = 0;
   for (const auto& [region, hosts] : others_) {
     if (region == upstream_region) {
-      // To a host from elsewhere all of these are ahead.
-      ahead += near ? CountAhead(hosts, upstream_hash, senders)
-                    : static_cast<int>(hosts.size());
+      // For a host of another region, all hosts of the upstream's region rank
+      // higher.
+      higher_ranked += is_near
+                           ? CountHigherRanked(hosts, upstream_hash, senders)
+                           : static_cast<int>(hosts.size());
     }
   }
   for (const auto& [region, hosts] : others_) {
-    if (!near && region != upstream_region && ahead < senders) {
-      ahead += CountAhead(hosts, upstream_hash, senders - ahead);
+    if (!is_near && region != upstream_region && higher_ranked < senders) {
+      higher_ranked +=
+          CountHigherRanked(hosts, upstream_hash, senders - higher_ranked);
     }
   }
-  return ahead < senders ? bound.per_second * part / senders : 0;
+  return higher_ranked < senders ? bound.per_second * fleet_share / senders : 0;
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/routing/rate_share_test.cpp
+++ b/src/pathcleat/routing/rate_share_test.cpp
@@ -10,10 +10,10 @@
 namespace pathcleat {
 namespace {
 
-// A living host, as a candidate to send to a cold upstream.
+// An alive host that may send to a cold upstream.
 struct RateSender {
   std::uint64_t hash = 0;
-  bool near = false;  ///< in the upstream's region
+  bool near = false;  ///< whether it is in the upstream's region
 };
 
 double RateOf(const RateBound& bound,
@@ -33,16 +33,16 @@
 constexpr Duration kStep{10'000};
 constexpr Duration kWindow{1'000'000};
 
-// One host of a fleet, with its own share of a cold upstream.
+// One host of a fleet with its share of the rate of a cold upstream.
 struct Sender {
-  RateSender place;
-  TokenBucket share{0, 1};
+  RateSender candidate;
+  TokenBucket bucket{0, 1};
 };
 
-std::vector<Sender> Fleet(int count, int near) {
+std::vector<Sender> MakeFleet(int count, int near) {
   std::vector<Sender> fleet(count);
   for (int i = 0; i < count; ++i) {
-    fleet[i].place = {StableHash("host-" + std::to_string(i)), i < near};
+    fleet[i].candidate = {StableHash("host-" + std::to_string(i)), i < near};
   }
   return fleet;
 }
@@ -52,28 +52,28 @@
   std::vector<RateSender> others;
   for (std::size_t i = 0; i < fleet.size(); ++i) {
     if (i != self) {
-      others.push_back(fleet[i].place);
+      others.push_back(fleet[i].candidate);
     }
   }
   return others;
 }
 
-// With a share of its own at each of 80 hosts, each with one request saved up,
-// a cold upstream got 80 at once (FAILBACK on the grown deployments).
+// Guards against bursts to a cold upstream: when each of 80 hosts had a share
+// of its own, with one request saved up, the upstream got 80 requests at once.
 Test(rate_share, all_hosts_together_keep_the_bound_in_every_second) {
-  cr_assert(Holds("any second, any fleet", [] {
+  cr_assert(Holds("the bound in any second, for any fleet", [] {
     const int count = *rc::gen::inRange(1, 100);
-    std::vector<Sender> fleet = Fleet(count, count / 3);
+    std::vector<Sender> fleet = MakeFleet(count, count / 3);
     const RateBound bound{double(*rc::gen::inRange(1, 20)), 5};
     const Time start{Duration(1'000'000)};
     for (std::size_t i = 0; i < fleet.size(); ++i) {
-      fleet[i].share.SetRate(
-          RateOf(bound, 7, fleet[i].place, OthersOf(fleet, i)), start);
+      fleet[i].bucket.SetRate(
+          RateOf(bound, 7, fleet[i].candidate, OthersOf(fleet, i)), start);
     }
     std::deque<Time> sent;
     for (Time now = start; now < start + 3 * kWindow; now += kStep) {
       for (Sender& sender : fleet) {
-        if (sender.share.TryAcquire(now)) {
+        if (sender.bucket.TryAcquire(now)) {
           sent.push_back(now);
         }
       }
@@ -85,19 +85,20 @@
   }));
 }
 
-Test(rate_share, near_hosts_send_and_somebody_always_does) {
+Test(rate_share, near_hosts_send_first_and_there_is_always_a_sender) {
   cr_assert(Holds("senders", [] {
     const int count = *rc::gen::inRange(1, 40);
     const int near = *rc::gen::inRange(0, count + 1);
-    const std::vector<Sender> fleet = Fleet(count, near);
+    const std::vector<Sender> fleet = MakeFleet(count, near);
     const RateBound bound{4, 5};
     int senders = 0;
     double rate = 0;
     for (std::size_t i = 0; i < fleet.size(); ++i) {
-      const double own = RateOf(bound, 11, fleet[i].place, OthersOf(fleet, i));
+      const double own =
+          RateOf(bound, 11, fleet[i].candidate, OthersOf(fleet, i));
       senders += own > 0 ? 1 : 0;
       rate += own;
-      RC_ASSERT(own <= 0 || fleet[i].place.near ||
+      RC_ASSERT(own <= 0 || fleet[i].candidate.near ||
                 near < RateSenderCount(bound.slack));
     }
     RC_ASSERT(senders == std::min(count, RateSenderCount(bound.slack)));
@@ -105,65 +106,69 @@
   }));
 }
 
-// By the definition: near hosts first, then by hash; the first few send.
-bool Sends(const RateBound& bound,
-           std::uint64_t upstream_hash,
-           const std::vector<Sender>& fleet,
-           std::size_t self) {
+// Reference ranking by the definition: near hosts first, then by hash; the
+// highest ranked hosts send.
+bool IsSender(const RateBound& bound,
+              std::uint64_t upstream_hash,
+              const std::vector<Sender>& fleet,
+              std::size_t self) {
   const auto rank = [&](const RateSender& host) {
     return std::pair(host.near, MixHashes(upstream_hash, host.hash));
   };
-  int ahead = 0;
+  int higher_ranked = 0;
   for (const Sender& other : fleet) {
-    ahead += rank(other.place) > rank(fleet[self].place) ? 1 : 0;
+    higher_ranked +=
+        rank(other.candidate) > rank(fleet[self].candidate) ? 1 : 0;
   }
-  return ahead <
+  return higher_ranked <
          std::min(RateSenderCount(bound.slack), static_cast<int>(fleet.size()));
 }
 
-Test(rate_share, ranking_that_ends_early_is_the_same) {
+Test(rate_share, ranking_that_ends_early_has_the_same_result) {
   cr_assert(Holds("who sends", [] {
     const int count = *rc::gen::inRange(1, 60);
-    const std::vector<Sender> fleet = Fleet(count, *rc::gen::inRange(0, count));
+    const std::vector<Sender> fleet =
+        MakeFleet(count, *rc::gen::inRange(0, count));
     const RateBound bound{4, double(*rc::gen::inRange(1, 20))};
     const auto upstream = *rc::gen::arbitrary<std::uint64_t>();
     for (std::size_t i = 0; i < fleet.size(); ++i) {
       const double rate =
-          RateOf(bound, upstream, fleet[i].place, OthersOf(fleet, i));
-      RC_ASSERT((rate > 0) == Sends(bound, upstream, fleet, i));
+          RateOf(bound, upstream, fleet[i].candidate, OthersOf(fleet, i));
+      RC_ASSERT((rate > 0) == IsSender(bound, upstream, fleet, i));
     }
   }));
 }
 
-// Guards against parts of a fleet that do not hear each other and each take the
+// Guards against parts of a fleet that cannot reach each other and each use the
 // whole bound.
-Test(rate_share, halves_that_do_not_hear_each_other_keep_the_bound) {
+Test(rate_share, parts_of_a_fleet_that_cannot_reach_each_other_keep_the_bound) {
   cr_assert(Holds("the sum over both parts", [] {
     const int count = *rc::gen::inRange(2, 60);
     const int in_first = *rc::gen::inRange(1, count);
-    const std::vector<Sender> fleet = Fleet(count, count);
+    const std::vector<Sender> fleet = MakeFleet(count, count);
     const RateBound bound{double(*rc::gen::inRange(1, 20)), 8};
     double rate = 0;
     int senders = 0;
     for (int i = 0; i < count; ++i) {
-      RateSenders part(fleet[i].place.hash, "near");
-      part.SetFleetSize(count);
+      RateSenders visible(fleet[i].candidate.hash, "near");
+      visible.SetFleetSize(count);
       for (int other = 0; other < count; ++other) {
         if (other != i && (other < in_first) == (i < in_first)) {
-          part.AddHost(fleet[other].place.hash, "near");
+          visible.AddHost(fleet[other].candidate.hash, "near");
         }
       }
-      const double own = part.Rate(bound, 7, "near");
+      const double own = visible.Rate(bound, 7, "near");
       rate += own;
       senders += own > 0 ? 1 : 0;
     }
-    // Of one part of most hosts and one of the others at most.
+    // The full bound from the majority part, and at most a third from the other
+    // part.
     RC_ASSERT(rate <= bound.per_second * 1.34);
     RC_ASSERT(senders <= bound.slack);
   }));
 }
 
-// Hosts ranked for each of many cold upstreams in three regions.
+// Mean number of hosts ranked for each of many cold upstreams in three regions.
 double RankedFor(int hosts) {
   constexpr int kUpstreams = 900;
   const auto region = [](int i) { return "region-" + std::to_string(i % 3); };
@@ -177,12 +182,13 @@
   return static_cast<double>(senders.ranked_count()) / kUpstreams;
 }
 
-// At 986 hosts and 2,629 upstreams that join at one moment all hosts were busy
-// with ranking alone. Checked to fail without the end in CountAhead.
+// Guards against a ranking that costs more with each host: at 986 hosts and
+// 2,629 upstreams that joined at once, all hosts were busy with ranking alone.
+// Fails without the early end in CountHigherRanked.
 Test(rate_share, ranking_does_not_grow_with_the_hosts) {
-  constexpr double kMost = 20;
-  cr_assert_leq(RankedFor(100), kMost);
-  cr_assert_leq(RankedFor(1'000), kMost);
+  constexpr double kMaxRanked = 20;
+  cr_assert_leq(RankedFor(100), kMaxRanked);
+  cr_assert_leq(RankedFor(1'000), kMaxRanked);
 }
 
 }  // namespace
--- a/src/pathcleat/routing/region_shares_test.cpp
+++ b/src/pathcleat/routing/region_shares_test.cpp
@@ -15,16 +15,18 @@
   return upstream;
 }
 
-// Weight of all slots of a region for the keys of another.
-double Part(const RegionShares& shares,
-            const std::string& region,
-            const RegionCapacity& room) {
-  return room.slots > 0 ? shares.WeightOf(UpstreamIn(region, 1)) * room.slots
-                        : 0;
+// Share of the own region's keys that a region serves: the weight of all its
+// slots.
+double RegionWeight(const RegionShares& shares,
+                    const std::string& region,
+                    const RegionCapacity& capacity) {
+  return capacity.slots > 0
+             ? shares.WeightOf(UpstreamIn(region, 1)) * capacity.slots
+             : 0;
 }
 
 Test(region_shares, all_keys_have_an_upstream) {
-  cr_assert(Holds("the parts of all regions add up to one", [] {
+  cr_assert(Holds("the weights of all regions add up to one", [] {
     std::map<std::string, RegionCapacity> regions;
     double slots = 0;
     for (const std::string name : {"a", "b", "c"}) {
@@ -36,72 +38,74 @@
     RegionShares shares("a", true);
     shares.Update(regions);
     double sum = 0;
-    for (const auto& [name, room] : regions) {
-      sum += Part(shares, name, room);
+    for (const auto& [name, capacity] : regions) {
+      sum += RegionWeight(shares, name, capacity);
     }
     RC_ASSERT(std::abs(sum - 1) < 1e-9);
   }));
 }
 
-// An account at home in the smallest region fills half of it: other callers of
-// that region are placed as if it had half of its slots. Checked to fail with
-// room.bound left out of SlotsLeft.
-Test(region_shares, room_that_others_are_bound_to_is_left_to_them) {
+// Guards against other callers being placed on slots that a pinned account
+// uses. An account restricted to the smallest region uses half of it: other
+// callers are placed as if the region had half of its slots. Fails with
+// capacity.pinned_share left out of UnpinnedSlots.
+Test(region_shares, slots_of_pinned_accounts_are_left_to_them) {
   std::map<std::string, RegionCapacity> regions{
       {"north", {156, 20}}, {"west", {744, 24}}, {"south", {624, 22}}};
   RegionShares north("north", true);
   north.Update(regions);
-  const double before = Part(north, "north", regions["north"]);
+  const double before = RegionWeight(north, "north", regions["north"]);
   regions["north"].pinned_share = 0.5;
   north.Update(regions);
-  const double after = Part(north, "north", regions["north"]);
+  const double after = RegionWeight(north, "north", regions["north"]);
   cr_assert_gt(after, before * 0.45);
   cr_assert_lt(after, before * 0.58);
   double sum = 0;
-  for (const auto& [name, room] : regions) {
-    sum += Part(north, name, room);
+  for (const auto& [name, capacity] : regions) {
+    sum += RegionWeight(north, name, capacity);
   }
   cr_assert_float_eq(sum, 1, 1e-9);
 }
 
-// Checked to fail with kHomePull at 0.
-Test(region_shares, region_with_room_keeps_most_of_its_keys) {
+// Fails with kCapacityPlacedShare at 0.
+Test(region_shares, region_with_capacity_keeps_most_of_its_keys) {
   const std::map<std::string, RegionCapacity> regions{
       {"north", {10, 4}}, {"west", {40, 4}}, {"south", {50, 4}}};
   RegionShares south("south", true);
   south.Update(regions);
   cr_assert_eq(south.HomeShare(), 1);
-  cr_assert_gt(Part(south, "south", regions.at("south")), 0.7);
+  cr_assert_gt(RegionWeight(south, "south", regions.at("south")), 0.7);
   RegionShares north("north", true);
   north.Update(regions);
-  // Ten slots, while its callers need a third of a hundred.
+  // The region has 10 slots, while its callers need a third of 100.
   cr_assert_float_eq(north.HomeShare(), 0.3, 1e-9);
-  cr_assert_lt(Part(north, "north", regions.at("north")), 0.3);
+  cr_assert_lt(RegionWeight(north, "north", regions.at("north")), 0.3);
 }
 
-// No decision overloads a region: what all regions send to one together is
-// its part of all slots, give or take a fifth.
+// Guards against shares that together overload a region: what all regions send
+// to one region is within a fifth of its share of all slots.
 Test(region_shares, regions_are_about_equally_busy) {
   const std::map<std::string, RegionCapacity> regions{
       {"north", {10, 4}}, {"west", {40, 4}}, {"south", {50, 4}}};
-  for (const auto& [target, room] : regions) {
+  for (const auto& [target, capacity] : regions) {
     double sent = 0;
     for (const auto& [from, unused] : regions) {
       RegionShares shares(from, true);
       shares.Update(regions);
-      sent += Part(shares, target, room) / 3;
+      sent += RegionWeight(shares, target, capacity) / 3;
     }
-    cr_assert_float_eq(sent, room.slots / 100, 0.2 * room.slots / 100,
+    cr_assert_float_eq(sent, capacity.slots / 100, 0.2 * capacity.slots / 100,
                        "%s gets %f of all", target.c_str(), sent);
   }
 }
 
-Test(region_shares, without_regions_slots_alone_count) {
+Test(region_shares, without_home_preference_slots_alone_count) {
   const std::map<std::string, RegionCapacity> regions{{"north", {10, 4}},
                                                       {"south", {30, 4}}};
   RegionShares shares("north", false);
   shares.Update(regions);
-  cr_assert_float_eq(Part(shares, "north", regions.at("north")), 0.25, 1e-9);
+  cr_assert_float_eq(RegionWeight(shares, "north", regions.at("north")), 0.25,
+                     1e-9);
 }
 
 Test(region_shares, region_without_upstreams_sends_all_elsewhere) {
@@ -109,7 +113,8 @@
                                                       {"south", {30, 4}}};
   RegionShares shares("north", true);
   shares.Update(regions);
-  cr_assert_float_eq(Part(shares, "south", regions.at("south")), 1, 1e-9);
+  cr_assert_float_eq(RegionWeight(shares, "south", regions.at("south")), 1,
+                     1e-9);
 }
 
 }  // namespace
--- a/src/pathcleat/routing/retry_scheduler.cpp
+++ b/src/pathcleat/routing/retry_scheduler.cpp
@@ -7,31 +7,32 @@
 namespace pathcleat {
 namespace {
 
-// Callers heed Retry-After up to a third of what they have left (the users'
-// protocol page): to name a later time would only be untrue.
-constexpr int kHeededPart = 3;
+// Callers accept a Retry-After of up to a third of their remaining time; they
+// ignore a later time.
+constexpr int kAcceptedDelayDivisor = 3;
 
 }  // namespace
 
 Duration LatestRetry(Duration caller_left, Duration service) {
-  const Duration heeded = caller_left / kHeededPart;
-  const Duration answered = caller_left - service;
-  return std::max(Duration::zero(), std::min(heeded, answered));
+  const Duration accepted = caller_left / kAcceptedDelayDivisor;
+  const Duration in_time = caller_left - service;
+  return std::max(Duration::zero(), std::min(accepted, in_time));
 }
 
 Duration RetryScheduler::Reserve(const RetryWindow& window, Time now) {
-  booked_.erase(booked_.begin(), booked_.lower_bound(now));
+  reserved_.erase(reserved_.begin(), reserved_.lower_bound(now));
   const Duration latest = std::max(window.latest, Duration::zero());
-  const Duration room = std::max(window.earliest, Duration::zero());
-  const Duration place =
-      Place({room, window.latest_in_time, latest, window.spacing}, now);
-  if (booked_.size() < kMostBooked) {
-    booked_.insert(now + place);
+  const Duration earliest = std::max(window.earliest, Duration::zero());
+  const Duration delay = ChooseDelay(
+      {earliest, window.latest_in_time, latest, window.spacing}, now);
+  if (reserved_.size() < kMaxReserved) {
+    reserved_.insert(now + delay);
   }
-  return place;
+  return delay;
 }
 
-Duration RetryScheduler::Place(const RetryWindow& window, Time now) const {
+Duration RetryScheduler::ChooseDelay(const RetryWindow& window,
+                                     Time now) const {
   const Duration in_time = std::min(window.latest_in_time, window.latest);
   if (window.earliest <= in_time) {
     if (const auto first =
@@ -39,12 +40,13 @@
       return *first;
     }
   }
-  // Without a place of its own it gets one between two others, so that those
-  // who must come anyway do not come together.
+  // If there is no free time at the full spacing, the request gets a time
+  // between two reserved ones, so that retries that exceed the capacity do not
+  // arrive together.
   Duration from =
       window.earliest <= window.latest ? window.earliest : Duration::zero();
   Duration spacing = window.spacing;
-  for (int i = 0; i < kMostHalvings; ++i) {
+  for (int i = 0; i < kMaxSpacings; ++i) {
     if (const auto last = LastFree(from, window.latest, spacing, now)) {
       return *last;
     }
@@ -57,24 +59,24 @@
                                                   Duration to,
                                                   Duration spacing,
                                                   Time now) const {
-  Time place = now + from;
-  for (auto next = booked_.upper_bound(place - spacing);
-       next != booked_.end() && *next < place + spacing; ++next) {
-    place = *next + spacing;
+  Time time = now + from;
+  for (auto next = reserved_.upper_bound(time - spacing);
+       next != reserved_.end() && *next < time + spacing; ++next) {
+    time = *next + spacing;
   }
-  return place <= now + to ? std::optional(place - now) : std::nullopt;
+  return time <= now + to ? std::optional(time - now) : std::nullopt;
 }
 
 std::optional<Duration> RetryScheduler::LastFree(Duration from,
                                                  Duration to,
                                                  Duration spacing,
                                                  Time now) const {
-  Time place = now + to;
-  auto next = std::make_reverse_iterator(booked_.lower_bound(place + spacing));
-  for (; next != booked_.rend() && *next > place - spacing; ++next) {
-    place = *next - spacing;
+  Time time = now + to;
+  auto next = std::make_reverse_iterator(reserved_.lower_bound(time + spacing));
+  for (; next != reserved_.rend() && *next > time - spacing; ++next) {
+    time = *next - spacing;
   }
-  return place >= now + from ? std::optional(place - now) : std::nullopt;
+  return time >= now + from ? std::optional(time - now) : std::nullopt;
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/routing/retry_scheduler_test.cpp
+++ b/src/pathcleat/routing/retry_scheduler_test.cpp
@@ -13,9 +13,9 @@
 const Time kStart{Duration(1'000'000)};
 constexpr Duration kSpacing{50'000};
 
-RetryWindow LateWindow(Duration room, Duration latest) {
+RetryWindow LateWindow(Duration earliest, Duration latest) {
   RetryWindow window;
-  window.earliest = room;
+  window.earliest = earliest;
   window.latest_in_time = Duration(-1);
   window.latest = latest;
   window.spacing = kSpacing;
@@ -26,8 +26,8 @@
   return Duration(count);
 }
 
-Test(comeback, latest_return_is_heeded_and_leaves_time_for_the_answer) {
-  cr_assert(Holds("a third of what is left, less if the answer takes it", [] {
+Test(retry_scheduler, latest_retry_is_accepted_and_leaves_time_for_the_answer) {
+  cr_assert(Holds("a third of the time left, less if the answer needs it", [] {
     const Duration left = Micros(*rc::gen::inRange(0, 10'000'000));
     const Duration service = Micros(*rc::gen::inRange(0, 5'000'000));
     const Duration latest = LatestRetry(left, service);
@@ -37,10 +37,10 @@
   }));
 }
 
-// Checked to fail with `place` in Book taken from window.room alone.
-Test(comeback, nobody_is_told_to_come_later_than_is_of_use) {
-  cr_assert(Holds("0 <= told <= latest", [] {
-    RetryScheduler comeback;
+// Fails with `delay` in Reserve taken from window.earliest alone.
+Test(retry_scheduler, no_retry_is_later_than_is_of_use_to_its_caller) {
+  cr_assert(Holds("0 <= delay <= latest", [] {
+    RetryScheduler scheduler;
     Time now = kStart;
     const int requests = *rc::gen::inRange(1, 60);
     for (int i = 0; i < requests; ++i) {
@@ -50,96 +50,98 @@
       window.latest_in_time = Micros(*rc::gen::inRange(-500'000, 1'000'000));
       window.latest = Micros(*rc::gen::inRange(0, 1'000'000));
       window.spacing = Micros(*rc::gen::inRange(0, 200'000));
-      const Duration told = comeback.Reserve(window, now);
-      RC_ASSERT(told >= Duration(0));
-      RC_ASSERT(told <= window.latest);
+      const Duration delay = scheduler.Reserve(window, now);
+      RC_ASSERT(delay >= Duration(0));
+      RC_ASSERT(delay <= window.latest);
     }
   }));
 }
 
-// Checked to fail with booked_.insert taken out of Book.
-Test(comeback, each_gets_a_place_of_its_own_while_there_are_places) {
-  cr_assert(Holds("returns are a spacing apart", [] {
-    RetryScheduler comeback;
-    std::set<Duration> told;
-    const Duration room = Micros(*rc::gen::inRange(0, 100'000));
-    const Duration latest = room + kSpacing * 19;
+// Fails without reserved_.insert in Reserve.
+Test(retry_scheduler, each_retry_gets_a_time_of_its_own_while_times_are_free) {
+  cr_assert(Holds("retries are a spacing apart", [] {
+    RetryScheduler scheduler;
+    std::set<Duration> delays;
+    const Duration earliest = Micros(*rc::gen::inRange(0, 100'000));
+    const Duration latest = earliest + kSpacing * 19;
     for (int i = 0; i < 20; ++i) {
-      const Duration after = comeback.Reserve(LateWindow(room, latest), kStart);
-      RC_ASSERT(after >= room);
-      RC_ASSERT(std::all_of(told.begin(), told.end(), [&](Duration other) {
-        return std::chrono::abs(other - after) >= kSpacing;
+      const Duration delay =
+          scheduler.Reserve(LateWindow(earliest, latest), kStart);
+      RC_ASSERT(delay >= earliest);
+      RC_ASSERT(std::all_of(delays.begin(), delays.end(), [&](Duration other) {
+        return std::chrono::abs(other - delay) >= kSpacing;
       }));
-      told.insert(after);
+      delays.insert(delay);
     }
   }));
 }
 
-// Checked to fail with kMostHalvings = 1: all the rest came together.
-Test(comeback, without_places_left_they_still_do_not_come_together) {
-  RetryScheduler comeback;
-  std::set<Duration> told;
-  constexpr int kPlaces = 10;
-  constexpr int kRequests = kPlaces * 8;
+// Fails with kMaxSpacings = 1: all further retries arrive together.
+Test(retry_scheduler, retries_beyond_the_free_times_do_not_arrive_together) {
+  RetryScheduler scheduler;
+  std::set<Duration> delays;
+  constexpr int kTimes = 10;
+  constexpr int kRequests = kTimes * 8;
   for (int i = 0; i < kRequests; ++i) {
-    told.insert(comeback.Reserve(
-        LateWindow(Duration(0), kSpacing * (kPlaces - 1)), kStart));
+    delays.insert(scheduler.Reserve(
+        LateWindow(Duration(0), kSpacing * (kTimes - 1)), kStart));
   }
-  cr_assert_geq(told.size(), static_cast<std::size_t>(kPlaces * 7));
+  cr_assert_geq(delays.size(), static_cast<std::size_t>(kTimes * 7));
 }
 
-// The earliest places stay for those who can be in time at all. Checked to
-// fail with FirstFree in place of LastFree.
-Test(comeback, those_who_can_be_in_time_come_first) {
-  RetryScheduler comeback;
+// Guards against late requests that occupy the times at which others would be
+// in time. Fails with FirstFree in place of LastFree.
+Test(retry_scheduler, early_times_stay_free_for_requests_that_can_be_in_time) {
+  RetryScheduler scheduler;
   RetryWindow late = LateWindow(Duration(100'000), Duration(800'000));
   late.latest_in_time = Duration(50'000);
   RetryWindow early = late;
   early.latest_in_time = Duration(200'000);
   for (int i = 0; i < 10; ++i) {
-    cr_assert_gt(comeback.Reserve(late, kStart), early.latest_in_time);
+    cr_assert_gt(scheduler.Reserve(late, kStart), early.latest_in_time);
   }
-  cr_assert(comeback.Reserve(early, kStart) == Duration(100'000));
-  cr_assert(comeback.Reserve(early, kStart) == Duration(150'000));
-  cr_assert(comeback.Reserve(early, kStart) == Duration(200'000));
-  cr_assert_gt(comeback.Reserve(early, kStart), early.latest_in_time);
+  cr_assert(scheduler.Reserve(early, kStart) == Duration(100'000));
+  cr_assert(scheduler.Reserve(early, kStart) == Duration(150'000));
+  cr_assert(scheduler.Reserve(early, kStart) == Duration(200'000));
+  cr_assert_gt(scheduler.Reserve(early, kStart), early.latest_in_time);
 }
 
-// Those with the earlier deadline can only use the earlier places; those with
-// a later one leave them free. Checked to fail with FirstFree in place of
-// LastFree.
-Test(comeback, a_later_deadline_leaves_the_place_of_an_earlier_one) {
-  RetryScheduler comeback;
+// Guards against requests with a later deadline that occupy the early times,
+// the only ones that requests with an earlier deadline can use. Fails with
+// FirstFree in place of LastFree.
+Test(retry_scheduler, later_deadline_leaves_the_times_of_an_earlier_one_free) {
+  RetryScheduler scheduler;
   for (int i = 0; i < 4; ++i) {
-    comeback.Reserve(LateWindow(Duration(0), Duration(800'000)), kStart);
+    scheduler.Reserve(LateWindow(Duration(0), Duration(800'000)), kStart);
   }
   const Duration latest{100'000};
-  std::set<Duration> told;
+  std::set<Duration> delays;
   for (int i = 0; i < 3; ++i) {
-    told.insert(comeback.Reserve(LateWindow(Duration(0), latest), kStart));
+    delays.insert(scheduler.Reserve(LateWindow(Duration(0), latest), kStart));
   }
-  cr_assert(told == std::set<Duration>(
-                        {Duration(0), Duration(50'000), Duration(100'000)}));
+  cr_assert(delays == std::set<Duration>(
+                          {Duration(0), Duration(50'000), Duration(100'000)}));
 }
 
-Test(comeback, without_room_in_time_the_last_useful_moment_is_told) {
-  RetryScheduler comeback;
+Test(retry_scheduler,
+     without_capacity_in_time_the_latest_useful_time_is_given) {
+  RetryScheduler scheduler;
   const Duration latest{700'000};
-  cr_assert(comeback.Reserve(LateWindow(Duration(9'000'000), latest), kStart) ==
-            latest);
+  cr_assert(scheduler.Reserve(LateWindow(Duration(9'000'000), latest),
+                              kStart) == latest);
 }
 
-// Checked to fail with kMostBooked taken out of Book.
-Test(comeback, memory_is_bounded) {
-  RetryScheduler comeback;
+// Fails without kMaxReserved in Reserve.
+Test(retry_scheduler, memory_is_bounded) {
+  RetryScheduler scheduler;
   constexpr int kRequests = 5'000;
   for (int i = 0; i < kRequests; ++i) {
-    comeback.Reserve(LateWindow(Duration(0), Duration(1'000'000)), kStart);
+    scheduler.Reserve(LateWindow(Duration(0), Duration(1'000'000)), kStart);
   }
-  cr_assert_leq(comeback.reserved_count(), 1'024U);
-  comeback.Reserve(LateWindow(Duration(0), Duration(1'000'000)),
-                   kStart + Duration(2'000'000));
-  cr_assert_eq(comeback.reserved_count(), 1U);
+  cr_assert_leq(scheduler.reserved_count(), 1'024U);
+  scheduler.Reserve(LateWindow(Duration(0), Duration(1'000'000)),
+                    kStart + Duration(2'000'000));
+  cr_assert_eq(scheduler.reserved_count(), 1U);
 }
 
 }  // namespace
--- a/src/pathcleat/routing/route.cpp
+++ b/src/pathcleat/routing/route.cpp
@@ -6,28 +6,28 @@
 namespace pathcleat {
 
 std::uint64_t ContentHash(const Route& route) {
-  FieldHash mark;
-  mark.Add(route.name);
-  mark.Add(route.host);
-  mark.Add(route.path_prefix);
-  mark.Add(route.splits.size());
+  FieldHash field_hash;
+  field_hash.Add(route.name);
+  field_hash.Add(route.host);
+  field_hash.Add(route.path_prefix);
+  field_hash.Add(route.splits.size());
   for (const RouteSplit& split : route.splits) {
-    mark.Add(split.service);
-    mark.Add(split.weight);
+    field_hash.Add(split.service);
+    field_hash.Add(split.weight);
   }
-  mark.Add(route.repeatable);
-  mark.Add(route.large_answers);
-  mark.Add(route.sticky);
-  mark.Add(route.needs_account_key);
-  mark.Add(route.priority);
-  mark.Add(route.max_attempts);
-  mark.Add(route.timeout.count());
-  mark.Add(route.target_latency.count());
-  mark.Add(route.allowed_regions.size());
+  field_hash.Add(route.repeatable);
+  field_hash.Add(route.large_answers);
+  field_hash.Add(route.sticky);
+  field_hash.Add(route.needs_account_key);
+  field_hash.Add(route.priority);
+  field_hash.Add(route.max_attempts);
+  field_hash.Add(route.timeout.count());
+  field_hash.Add(route.target_latency.count());
+  field_hash.Add(route.allowed_regions.size());
   for (const std::string& region : route.allowed_regions) {
-    mark.Add(region);
+    field_hash.Add(region);
   }
-  return mark.hash();
+  return field_hash.hash();
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/routing/route_table_test.cpp
+++ b/src/pathcleat/routing/route_table_test.cpp
@@ -55,8 +55,9 @@
   }));
 }
 
-// A route in use outlives the version that brought it.
-Test(route_table, route_under_way_outlives_its_version) {
+// Guards against a dangling route: a request may still use a route after a
+// newer version has replaced it.
+Test(route_table, route_in_use_outlives_its_version) {
   RouteTable table;
   table.ReplaceIfNewer(ConfigAt(1));
   const auto route = table.Find("a.example", "/x/");
@@ -67,7 +68,7 @@
   cr_assert(table.Find("a.example", "/x/") == nullptr);
 }
 
-// Checked to fail with the correction in SplitBalancer::Choose taken out.
+// Fails without the correction in SplitBalancer::Choose.
 Test(split_balancer, shares_keep_their_weights_with_few_popular_keys) {
   cr_assert(Holds("within 0.1 of the weight over 400 requests", [] {
     Route route = RouteAt("a.example", "/");
