--- a/include/pathcleat/calls/abort_cause.hpp
+++ b/include/pathcleat/calls/abort_cause.hpp
@@ -3,19 +3,19 @@
 
 namespace pathcleat {
 
-/// @brief Why this host ended an exchange at an upstream that may have been
-/// at work on it.
+/// @brief Why this host aborted an exchange while the upstream may have been
+/// working on the request.
 /// @ingroup calls
 enum class AbortCause {
-  kFailoverTimeout,  ///< silent for far longer than expected, another one asked
-  kCallerLeft,       ///< the caller left, and the work may be repeated
-  kDeadline,         ///< the caller's deadline or the route's time-out
-  kSilentConnection,  ///< neither bytes nor acknowledgements came
-  kBadAnswer,         ///< what came was no answer, or another request's
-  kHostStops,         ///< a planned stop is over
+  kFailoverTimeout,   ///< no answer for far longer than expected; failed over
+  kCallerLeft,        ///< the caller left, and the request is repeatable
+  kDeadline,          ///< the caller's deadline or the route's time-out
+  kSilentConnection,  ///< neither bytes nor TCP acknowledgements arrived
+  kBadAnswer,         ///< invalid answer, or one to another request
+  kHostStops,         ///< the grace time of a planned stop is over
 };
 
-/// @brief Name of the cause, as in the metrics.
+/// @brief The name of the cause in the metrics.
 const char* ToString(AbortCause cause);
 
 }  // namespace pathcleat
--- a/include/pathcleat/calls/connection_pool.hpp
+++ b/include/pathcleat/calls/connection_pool.hpp
@@ -13,70 +13,73 @@
 
 namespace pathcleat {
 
-/// @brief A request that is late and of which bytes have waited for so long
-/// for an acknowledgement went into silence: twice TCP's shortest pause before
-/// a retransmission.
+/// @brief A connection counts as silent if a request on it is late and bytes
+/// have been unacknowledged for this long: twice TCP's shortest pause before a
+/// retransmission.
 /// @ingroup calls
 inline constexpr Duration kMinSilence{400'000};
 
-/// @brief Kept connections to the upstreams, by upstream. The last one used
-/// is used first, so that those not needed grow old and are closed.
+/// @brief Idle connections, by upstream. The most recently used one is reused
+/// first, so that surplus connections age and are closed.
 /// @ingroup calls
 class ConnectionPool {
  public:
   explicit ConnectionPool(boost::asio::io_context& loop) : loop_(loop) {}
 
-  /// @brief A connection for one request: a kept one or one not yet open.
-  /// @param repeatable whether the request may be sent again where it is lost;
-  /// else no connection is used that may have been forgotten at rest.
+  /// @brief Returns a connection for one request: an idle one or a new one that
+  /// is not open yet.
+  /// @param repeatable whether the request may be sent again if it is lost; for
+  /// others no connection is used that the upstream may have dropped while
+  /// idle.
   HttpClientPtr Acquire(const UpstreamInfo& upstream,
                         bool repeatable,
                         Time now);
 
-  /// @brief A kept connection was gone when it was used.
-  /// @param rested since its last use.
+  /// @brief Called when an idle connection turned out to be closed on reuse.
+  /// @param idle_time time since its last use.
   void OnStaleConnection(const UpstreamInfo& upstream,
-                         Duration rested,
+                         Duration idle_time,
                          Time now);
 
-  /// @brief A connection not yet open, though others are kept.
+  /// @brief Returns a new connection that is not open yet, even if idle ones
+  /// exist.
   HttpClientPtr Create(const UpstreamInfo& upstream);
 
-  /// @brief Gives a connection back after its answer.
+  /// @brief Returns a connection to the pool after its answer.
   void Release(const std::string& upstream_id, const HttpClientPtr& client);
 
-  /// @brief Closes the kept connections of an upstream.
+  /// @brief Closes the idle connections to an upstream.
   void CloseConnections(const std::string& upstream_id);
 
-  /// @brief A connection to an upstream was found silent. What is kept to it
-  /// and was not heard lately is closed; with two upstreams so at about the
-  /// same time, what is kept to all.
-  /// @return whether it was opened since the upstream's last silence: others
-  /// tell nothing new of the upstream.
+  /// @brief Called when a connection to an upstream was found silent. Closes
+  /// the idle connections to it that have received nothing recently; if another
+  /// upstream fell silent at about the same time, those to all upstreams.
+  /// @return whether the connection was opened after the upstream's last
+  /// silence; connections opened before it show nothing new about the upstream.
   bool OnSilentConnection(const std::string& upstream_id,
                           const HttpClient& client,
                           Time now);
 
-  /// @brief Connections found silent so far.
-  std::uint64_t silent_connections() const { return silent_; }
+  /// @brief Number of connections found silent so far.
+  std::uint64_t silent_connections() const { return silent_count_; }
 
-  /// @brief Closes what has been idle for too long.
+  /// @brief Closes connections that have been idle for too long.
   void CloseIdle(Time now);
 
  private:
-  using Kept = std::vector<HttpClientPtr>;
+  using Connections = std::vector<HttpClientPtr>;
 
-  HttpClientPtr TakeKept(const UpstreamInfo& upstream, Time now);
+  HttpClientPtr AcquireIdle(const UpstreamInfo& upstream, Time now);
   static bool IsFresh(const HttpClient& client, Time now);
-  static void CloseUnheard(Kept& kept, Time now);
-  bool IsOtherSilent(const std::string& upstream_id, Time now) const;
+  static void CloseUnresponsive(Connections& connections, Time now);
+  bool IsOtherUpstreamSilent(const std::string& upstream_id, Time now) const;
   void Discard(const HttpClientPtr& client);
 
   boost::asio::io_context& loop_;
-  std::map<std::string, Kept> idle_;
-  std::map<std::string, Time> silences_;         ///< the last one, by upstream
-  std::map<std::string, IdleReuseLimit> rests_;  ///< by service
-  std::uint64_t silent_ = 0;
+  std::map<std::string, Connections> idle_;
+  std::map<std::string, Time> last_silences_;                ///< by upstream
+  std::map<std::string, IdleReuseLimit> idle_reuse_limits_;  ///< by service
+  std::uint64_t silent_count_ = 0;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/calls/failover_timeout.hpp
+++ b/include/pathcleat/calls/failover_timeout.hpp
@@ -7,21 +7,22 @@
 
 namespace pathcleat {
 
-/// @brief Least time that an attempt is given before another is made. Users'
+/// @brief Minimum time for an attempt before another one is made. Routes'
 /// target latencies lie between 0.2 and 1 s.
 /// @ingroup calls
 constexpr Duration kMinAttemptTime{400'000};
 
-/// @brief How long an upstream may stay silent before another one is asked:
-/// far longer than expected, but so that the other one has as much time again.
-/// @param expected time until the answer, when it was sent.
+/// @brief How long to wait for an upstream before another one is tried: far
+/// longer than expected, but at most half of the time left, so that the other
+/// one has as much. Never less than twice the expected time.
+/// @param expected time from sending to the answer, as expected when sending.
 /// @param left time until the caller must be answered.
 /// @ingroup calls
 inline Duration FailoverTimeoutFor(Duration expected, Duration left) {
   constexpr int kExpectedMultiple = 4;
-  const Duration longest =
+  const Duration preferred =
       std::max(kMinAttemptTime, expected * kExpectedMultiple);
-  return std::max(std::min(longest, left / 2), expected * 2);
+  return std::max(std::min(preferred, left / 2), expected * 2);
 }
 
 }  // namespace pathcleat
--- a/include/pathcleat/calls/header_names.hpp
+++ b/include/pathcleat/calls/header_names.hpp
@@ -6,22 +6,22 @@
 namespace pathcleat {
 
 /// @brief Names of the header fields that callers, hosts and upstreams
-/// exchange. The defaults are the project's own; an adapter may name others.
-/// An empty name means that nobody sends that field.
+/// exchange. The defaults are those of this project; an adapter may set others.
+/// An empty name means that the field is not used.
 /// @ingroup calls
 struct HeaderNames {
   std::string request_id = "X-Request-Id";
-  std::string deadline_ms = "X-Deadline-Ms";  ///< time left
+  std::string deadline_ms = "X-Deadline-Ms";  ///< time left until the deadline
   std::string affinity_key = "X-Affinity-Key";
   std::string expect_upstream = "X-Expect-Upstream";
   std::string upstream_id = "X-Upstream-Id";
   std::string account = "X-Account";     ///< name of the caller's account
   std::string load = "X-Upstream-Load";  ///< running,waiting,slots
   std::string rate_limit =
-      "X-Upstream-Limit";  ///< requests a second that it takes
+      "X-Upstream-Limit";  ///< requests per second that the upstream accepts
   std::string not_run = "X-Not-Run";
   std::string cold_ms = "X-Cold-Ms";
-  std::string signature;  ///< every whole answer carries it
+  std::string signature;  ///< present in every complete answer
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/calls/idempotency_key_row.hpp
+++ b/include/pathcleat/calls/idempotency_key_row.hpp
@@ -10,27 +10,26 @@
 
 namespace pathcleat {
 
-/// @brief An idempotency key's row as it lies in the table service.
+/// @brief Row of an idempotency key in the table service.
 /// @ingroup calls
 struct IdempotencyKeyRow {
   KeyState state = KeyState::kRunning;
   std::string token;
   std::uint64_t fingerprint = 0;
-  std::uint64_t deadline_wall_micros =
-      0;                ///< the request must have ended by then
-  HttpResponse answer;  ///< for kFinished
+  std::uint64_t deadline_wall_micros = 0;  ///< when the request must have ended
+  HttpResponse answer;                     ///< for kFinished
 };
 
-/// @brief Name of the row of a service's key.
+/// @brief Name of the row of a key of a service.
 /// @ingroup calls
 std::string IdempotencyKeyRowName(const std::string& service,
                                   const std::string& key);
 
-/// @brief JSON form of a row; bodies are kept in base64.
+/// @brief JSON form of a row, with the body in base64.
 /// @ingroup calls
 std::string ToJson(const IdempotencyKeyRow& row);
 
-/// @brief The row of a JSON text; no value if it is not one.
+/// @brief Parses a row from its JSON form; no value if the text is invalid.
 /// @ingroup calls
 std::optional<IdempotencyKeyRow> IdempotencyKeyRowFromJson(
     const std::string& text);
--- a/include/pathcleat/calls/idempotency_key_store.hpp
+++ b/include/pathcleat/calls/idempotency_key_store.hpp
@@ -21,7 +21,7 @@
   std::uint64_t version = 0;
 };
 
-/// @brief Result of a claim; the action is final (not kPut or kRead).
+/// @brief Result of a claim; the action is final (neither kPut nor kRead).
 /// @ingroup calls
 struct ClaimResult {
   KeyAction action = KeyAction::kRefuseNotRun;
@@ -29,7 +29,7 @@
   HttpResponse stored_response;  ///< for kReplayAnswer
 };
 
-/// @brief A request's claim to its idempotency key.
+/// @brief Input of a claim: a request and its idempotency key.
 /// @ingroup calls
 struct KeyClaimRequest {
   std::string row_name;
@@ -37,8 +37,8 @@
   std::uint64_t deadline_wall_micros = 0;
 };
 
-/// @brief Keeps idempotency keys in the table service: one conditional write
-/// to claim, one to settle. Lives in one thread's event loop.
+/// @brief Stores idempotency keys in the table service: one conditional write
+/// claims a key, another one settles it. Lives in the thread of one event loop.
 /// @ingroup calls
 class IdempotencyKeyStore {
  public:
@@ -46,38 +46,41 @@
                       TableStore& store,
                       EventLog& events);
 
-  /// @brief Claims a key; the callback comes once.
+  /// @brief Claims a key; the callback is called once.
   void Claim(const KeyClaimRequest& request,
              std::function<void(ClaimResult)> callback);
 
-  /// @brief The request ran: keeps its answer for repeats.
+  /// @brief Settles the key of a request that ran: stores its answer for
+  /// repeated requests.
   void MarkFinished(ClaimedKey key, const HttpResponse& answer);
 
-  /// @brief The request may have run: it will not be run again.
+  /// @brief Settles the key of a request that may have run: it will not be run
+  /// again.
   void MarkUnknown(ClaimedKey key);
 
-  /// @brief The request was certainly not run: the key may be used again.
+  /// @brief Releases the key of a request that certainly did not run: the key
+  /// may be used again.
   void Release(const ClaimedKey& key);
 
-  /// @brief Settling writes not yet done.
-  int pending_writes() const { return pending_; }
+  /// @brief Number of settling writes that are not done yet.
+  int pending_writes() const { return pending_writes_; }
 
  private:
-  struct Claiming;
-  using ClaimingPtr = std::shared_ptr<Claiming>;
+  struct PendingClaim;
+  using PendingClaimPtr = std::shared_ptr<PendingClaim>;
 
-  void Step(const ClaimingPtr& claiming, KeyAction action);
-  void Put(const ClaimingPtr& claiming);
-  void Read(const ClaimingPtr& claiming);
-  void Settle(const ClaimedKey& key, int tries_left);
-  void Delete(const ClaimedKey& key, int tries_left);
+  void Step(const PendingClaimPtr& pending_claim, KeyAction action);
+  void Put(const PendingClaimPtr& pending_claim);
+  void Read(const PendingClaimPtr& pending_claim);
+  void Settle(const ClaimedKey& key, int retries_left);
+  void Delete(const ClaimedKey& key, int retries_left);
 
-  void After(std::function<void()> step);
+  void RetryLater(std::function<void()> retry);
 
   boost::asio::io_context& loop_;
   TableStore& store_;
   EventLog& events_;
-  int pending_ = 0;
+  int pending_writes_ = 0;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/calls/idle_reuse_limit.hpp
+++ b/include/pathcleat/calls/idle_reuse_limit.hpp
@@ -5,27 +5,28 @@
 
 namespace pathcleat {
 
-/// @brief How long a kept connection may have rested before it is used for work
-/// that must not be repeated. Upstreams may forget a resting connection without
-/// a word: what is sent on it is lost, and nobody can tell whether it has run.
-/// Learned from connections that broke at their first use after a rest; what is
-/// not seen again is forgotten. Not thread-safe.
+/// @brief How long a connection may have been idle before it is reused for a
+/// request that must not be repeated. Upstreams may drop an idle connection
+/// silently: a request sent on it is lost, and nobody can tell whether it has
+/// run. The limit is learned from connections that broke at their first use
+/// after an idle time, and rises again while no further one is seen. Not
+/// thread-safe.
 /// @ingroup calls
 class IdleReuseLimit {
  public:
-  /// @brief A connection that had rested so long was gone.
-  void OnStaleConnection(Duration rested, Time now);
+  /// @brief Called when a connection broke on reuse after this idle time.
+  void OnStaleConnection(Duration idle_time, Time now);
 
-  /// @brief The longest rest that is trusted now.
+  /// @brief The longest idle time after which a connection may be reused.
   Duration MaxIdle(Time now) const;
 
  private:
-  Duration least_ = kTrusted;
-  Time learned_;
+  Duration limit_ = kMaxLimit;
+  Time updated_at_;
 
-  // What is trusted where nothing was seen: more than any kept connection
-  // rests.
-  static constexpr Duration kTrusted{60'000'000};
+  // Limit while no stale connection has been seen: longer than any connection
+  // is kept idle.
+  static constexpr Duration kMaxLimit{60'000'000};
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/calls/in_flight_requests.hpp
+++ b/include/pathcleat/calls/in_flight_requests.hpp
@@ -8,21 +8,21 @@
 
 namespace pathcleat {
 
-/// @brief A caller's request under way, as its host sees it. It leaves the
-/// list that it is in when it is destroyed.
+/// @brief A caller's request in flight, as its host sees it. It removes itself
+/// from its list when it is destroyed.
 /// @ingroup calls
 class InFlightRequest
     : public boost::intrusive::list_base_hook<
           boost::intrusive::link_mode<boost::intrusive::auto_unlink>> {
  public:
-  /// @brief The host's process ends: the caller must be told now what is
-  /// known.
+  /// @brief Called when the process of the host is about to exit: the caller
+  /// must be answered now with the outcome as far as it is known.
   virtual void OnHostShutdown() = 0;
 
-  /// @brief When its caller must have an answer.
+  /// @brief When the caller must have its answer.
   virtual Time deadline() const = 0;
 
-  /// @brief That time is over.
+  /// @brief Called when the deadline has passed.
   virtual void OnDeadline() = 0;
 
   InFlightRequest() = default;
@@ -31,20 +31,20 @@
   virtual ~InFlightRequest() = default;
 };
 
-/// @brief The callers' requests under way at a host.
+/// @brief The callers' requests in flight at a host.
 /// @ingroup calls
 class InFlightRequests {
  public:
   void Add(InFlightRequest& request) { requests_.push_back(request); }
 
-  /// @brief Tells each request that the host ends. Requests may leave
-  /// meanwhile.
+  /// @brief Notifies each request that the host is about to exit. Requests may
+  /// be removed during the call.
   void OnHostShutdown() {
     ForEach([](InFlightRequest& request) { request.OnHostShutdown(); });
   }
 
-  /// @brief Ends those whose deadline was before this time. Requests may leave
-  /// meanwhile.
+  /// @brief Ends the requests whose deadline was before this time. Requests may
+  /// be removed during the call.
   void EndOverdue(Time before) {
     ForEach([before](InFlightRequest& request) {
       if (request.deadline() < before) {
@@ -58,15 +58,15 @@
       boost::intrusive::list<InFlightRequest,
                              boost::intrusive::constant_time_size<false>>;
 
-  template <class Step>
-  void ForEach(const Step& step) {
-    List told;
-    told.swap(requests_);
-    while (!told.empty()) {
-      InFlightRequest& request = told.front();
-      told.pop_front();
+  template <class Action>
+  void ForEach(const Action& action) {
+    List remaining;
+    remaining.swap(requests_);
+    while (!remaining.empty()) {
+      InFlightRequest& request = remaining.front();
+      remaining.pop_front();
       requests_.push_back(request);
-      step(request);
+      action(request);
     }
   }
 
--- a/include/pathcleat/calls/pick_request.hpp
+++ b/include/pathcleat/calls/pick_request.hpp
@@ -9,9 +9,10 @@
 
 namespace pathcleat {
 
-/// @brief What the choice of an upstream needs to know of a caller's request.
-/// Its service is not chosen yet.
-/// @param request_id stands for the key where the route has none.
+/// @brief Makes the input for the choice of an upstream from a caller's
+/// request. The service is not set yet.
+/// @param request_id replaces the affinity key where the route or the request
+/// has none.
 /// @ingroup calls
 PickRequest MakePickRequest(const HeaderNames& names,
                             const HttpExchange& exchange,
--- a/include/pathcleat/calls/run_tracker.hpp
+++ b/include/pathcleat/calls/run_tracker.hpp
@@ -3,22 +3,22 @@
 
 namespace pathcleat {
 
-/// @brief Whether a request may have run. Each send counts as a run until it
-/// is known that it was none, so that what is forgotten to be noted makes an
-/// answer promise too little, and never too much.
+/// @brief Tracks whether a request may have run. Each send counts as a run
+/// until the opposite is known, so that a missing OnNotRun call makes an answer
+/// promise too little and never too much.
 /// @ingroup calls
 class RunTracker {
  public:
-  void OnSent() { ++sends_; }
+  void OnSent() { ++possible_runs_; }
 
-  /// @brief A send was no run: no byte left this host, or the upstream says
-  /// that it did not run it.
-  void OnNotRun() { --sends_; }
+  /// @brief Called when a send was certainly no run: no byte left this host, or
+  /// the upstream said that it did not run the request.
+  void OnNotRun() { --possible_runs_; }
 
-  bool MayHaveRun() const { return sends_ > 0; }
+  bool MayHaveRun() const { return possible_runs_ > 0; }
 
  private:
-  int sends_ = 0;  ///< not known to have been no run
+  int possible_runs_ = 0;  ///< sends that may have run
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/calls/shutdown_schedule.hpp
+++ b/include/pathcleat/calls/shutdown_schedule.hpp
@@ -5,54 +5,57 @@
 
 namespace pathcleat {
 
-/// @brief How long a request's work may take.
+/// @brief How long the work of a request may take.
 /// @ingroup calls
 struct WorkTimes {
-  Duration expected{0};    ///< until its answer
-  Duration target{0};      ///< until which an answer has its full worth
-  bool repeatable = true;  ///< what is ended early can be done again elsewhere
+  Duration expected{0};    ///< time until the answer
+  Duration target{0};      ///< target latency of the route
+  bool repeatable = true;  ///< may run again elsewhere if it is ended early
 };
 
-/// @brief When a host that is being stopped takes callers, lets upstreams
-/// work, gives its last answers and ends. Fixed when the stop begins: neither
-/// a second signal nor new settings move it. Not thread-safe.
+/// @brief When a host that is shutting down stops accepting callers, ends the
+/// work of upstreams, gives its final answers and exits. The times are fixed
+/// when the shutdown begins: neither a second signal nor new settings change
+/// them. Not thread-safe.
 ///
-/// A host knows when its process must end. So work that would not surely be
-/// done by then is not begun, and work that is begun ends at its upstream
-/// while there is still time to pass on how it ended.
+/// A host has a fixed time by which its process must end. Work that might not
+/// be done by then is not started, and work in progress is ended at its
+/// upstream while there is still time to report the outcome to the caller.
 /// @ingroup calls
 class ShutdownSchedule {
  public:
-  /// @brief The stop begins. Only the first call counts.
+  /// @brief Begins the shutdown. Only the first call has an effect.
   /// @param grace from now until the process is killed.
   void Begin(Time now, Duration grace);
 
-  /// @brief Whether the stop bounds a request that must be answered by
-  /// `deadline`: its own time would end too late.
+  /// @brief Whether the shutdown shortens the time of a request that must be
+  /// answered by `deadline`.
   bool ShortensDeadline(Time deadline) const;
 
   /// @brief Until when an upstream may work on a request that must be answered
   /// by `deadline`.
   Time WorkDeadline(Time deadline) const;
 
-  /// @brief Whether a request that must be answered by `deadline` may be begun.
+  /// @brief Whether a request that must be answered by `deadline` may be
+  /// started.
   bool MayStart(const WorkTimes& times, Time deadline, Time now) const;
 
-  /// @brief Until when new callers are taken.
+  /// @brief Until when new callers are accepted.
   Time accepts_until() const { return accepts_until_; }
 
-  /// @brief When all that is still unanswered is answered with what is known.
-  Time final_answer_time() const { return last_answers_; }
+  /// @brief When all unanswered requests are answered with the outcome as far
+  /// as it is known.
+  Time final_answer_time() const { return final_answer_time_; }
 
-  /// @brief When the process ends, whatever is left.
-  Time exit_time() const { return ends_; }
+  /// @brief When the process exits, even if requests are left.
+  Time exit_time() const { return exit_time_; }
 
  private:
   bool begun_ = false;
   Time accepts_until_;
-  Time work_ends_;
-  Time last_answers_;
-  Time ends_;
+  Time work_deadline_;
+  Time final_answer_time_;
+  Time exit_time_;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/calls/unknown_headers.hpp
+++ b/include/pathcleat/calls/unknown_headers.hpp
@@ -11,20 +11,22 @@
 
 namespace pathcleat {
 
-/// @brief Finds header fields of upstreams' answers that neither HTTP nor the
-/// adapter knows: what an upstream tells, and no host reads. Not thread-safe.
+/// @brief Finds header fields of upstreams' answers that are defined neither by
+/// HTTP nor by the adapter: data that upstreams send and hosts ignore. Not
+/// thread-safe.
 /// @ingroup calls
 class UnknownHeaders {
  public:
   explicit UnknownHeaders(const HeaderNames& names);
 
-  /// @brief The unknown fields of an answer, each name once in a process.
+  /// @brief Returns the unknown fields of an answer, each name once per
+  /// process.
   HttpHeaders FindNew(const HttpHeaders& headers);
 
  private:
-  static constexpr std::size_t kMostNames = 128;
+  static constexpr std::size_t kMaxNames = 128;
 
-  std::set<std::string> seen_;  ///< lower case; known ones among them
+  std::set<std::string> seen_names_;  ///< lower case; known names included
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/calls/upstream_protocol.hpp
+++ b/include/pathcleat/calls/upstream_protocol.hpp
@@ -13,75 +13,79 @@
 
 namespace pathcleat {
 
-/// @brief The time that a caller says it will wait, if it says one. Zero if it
-/// waits no longer (0 or less), a day if it names more than that; what is no
-/// number is as good as missing.
+/// @brief The time that a caller will wait for its answer, if the request
+/// states one. Zero for values of 0 or less, a day for values above a day; text
+/// that is not a number counts as missing.
 /// @ingroup calls
 std::optional<Duration> CallerTimeout(const HeaderNames& names,
                                       const HttpRequest& request);
 
-/// @brief Whose a request is, as upstreams are told.
+/// @brief Metadata of a request that decides what is sent to the upstream with
+/// it.
 /// @ingroup calls
 struct RequestMetadata {
   std::string request_id;
-  const Account* account = nullptr;   ///< null: the caller is of none
-  bool strips_authorization = false;  ///< callers' keys are of client accounts
+  const Account* account = nullptr;   ///< null if the caller has no account
+  bool strips_authorization = false;  ///< it holds an API key
   bool repeatable = false;
 };
 
-/// @brief The request as an upstream gets it: end-to-end fields, the request
-/// id, the account's name, the time left in milliseconds (never a time of day)
-/// and the upstream meant. What the caller says of its account is not passed
-/// on, nor is its key.
+/// @brief Makes the request for an upstream: end-to-end fields, the request id,
+/// the account's name, the time left in milliseconds (a duration, not a time of
+/// day) and the id of the upstream meant. The account that the caller states
+/// and the API key are not passed on.
 /// @ingroup calls
 HttpRequest MakeUpstreamRequest(const HeaderNames& names,
                                 const HttpRequest& request,
-                                const RequestMetadata& origin,
+                                const RequestMetadata& metadata,
                                 const std::string& upstream_id,
                                 Duration left);
 
-/// @brief Tells a request's own answers from others' that arrive late: those
-/// with another id. An answer without an id is taken for its own.
+/// @brief Makes a predicate that accepts the answers to one request and rejects
+/// late answers to other requests, which carry another id. An answer without an
+/// id is accepted.
 /// @ingroup calls
 HttpClient::Matcher MakeResponseMatcher(const HeaderNames& names,
                                         const std::string& request_id);
 
-/// @brief The load that an upstream tells in an answer, if it tells any.
+/// @brief Parses the load that an upstream reports in an answer, if any.
 /// @ingroup calls
 std::optional<LoadReport> ParseLoadReport(const HeaderNames& names,
                                           const HttpResponse& response);
 
-/// @brief What an answer says of a limit of requests a second.
+/// @brief The rate limit header of an answer.
 /// @ingroup calls
 struct RateLimitHeader {
   bool present = false;
-  std::optional<double> per_second;  ///< nothing: what is present is no limit
+  std::optional<double> per_second;  ///< none if absent or invalid
 };
 
-/// @brief The limit that an upstream names in an answer. Of several the lowest
-/// holds.
+/// @brief Parses the rate limit that an upstream states in an answer. Of
+/// several headers the lowest valid limit applies.
 /// @ingroup calls
 RateLimitHeader ParseRateLimit(const HeaderNames& names,
                                const HttpResponse& response);
 
-/// @brief Whether the upstream says that it has not run the request.
+/// @brief Whether the upstream states that it has not run the request.
 /// @ingroup calls
 bool IsNotRun(const HeaderNames& names, const HttpResponse& response);
 
-/// @brief Whether a success carries what every whole answer carries.
+/// @brief Whether the answer is no success or carries the signature that all
+/// complete answers have.
 /// @ingroup calls
 bool IsCompleteAnswer(const HeaderNames& names, const HttpResponse& response);
 
-/// @brief A refusal that certainly was not run, and when to come back.
+/// @brief Makes the refusal of a request that certainly did not run, with the
+/// delay before a retry.
 /// @ingroup calls
 HttpResponse NotRunResponse(const std::string& reason, Duration retry_after);
 
-/// @brief Why requests beyond their account's limit are refused, as logs and
-/// metrics tell it.
+/// @brief The reason of refusals beyond an account's limit, as in logs and
+/// metrics.
 /// @ingroup calls
 inline constexpr const char* kAccountLimitReason = "account_limit";
 
-/// @brief The refusal of a request beyond its account's limit.
+/// @brief Makes the refusal of a request beyond its account's limit.
 /// @ingroup calls
 HttpResponse OverLimitResponse(Duration retry_after);
 
--- a/src/pathcleat/calls/connection_pool.cpp
+++ b/src/pathcleat/calls/connection_pool.cpp
@@ -8,58 +8,62 @@
 namespace pathcleat {
 namespace {
 
-// Idle time after which a connection is not used, where the upstream says
-// nothing of its own.
-constexpr Duration kLongestIdle{4'000'000};
-// An upstream's stated time, less this, is relied on.
+// Idle time after which a connection is not reused if the upstream states no
+// keep-alive time-out of its own.
+constexpr Duration kMaxIdleTime{4'000'000};
+// Safety margin that is subtracted from an upstream's stated keep-alive
+// time-out.
 constexpr Duration kKeepAliveMargin{1'500'000};
-// Connections from before a silence are all gone after this time: TCP finds
-// the idle ones and those under way (kAckTimeout, and a second for the first
-// probe).
-constexpr Duration kLongestSilence = kAckTimeout * 2;
-constexpr std::uint64_t kLargestAnswer = 64ULL * 1024 * 1024;
+// After this time, all connections opened before a silence are closed: TCP
+// detects silent ones that are in use within kAckTimeout, and idle ones a
+// second later, after the first keep-alive probe.
+constexpr Duration kSilenceTtl = kAckTimeout * 2;
+constexpr std::uint64_t kMaxAnswerBytes = 64ULL * 1024 * 1024;
 
 HttpLimits AnswerLimits() {
   HttpLimits limits;
-  limits.max_body_bytes = kLargestAnswer;
+  limits.max_body_bytes = kMaxAnswerBytes;
   return limits;
 }
 
 }  // namespace
 
 bool ConnectionPool::IsFresh(const HttpClient& client, Time now) {
-  const Duration stated = client.keep_alive_timeout();
-  const Duration longest =
-      stated > Duration::zero()
-          ? std::max(stated - kKeepAliveMargin, kKeepAliveMargin / 2)
-          : kLongestIdle;
-  return client.IsReusable() && now - client.idle_since() < longest;
+  const Duration stated_timeout = client.keep_alive_timeout();
+  const Duration max_idle_time =
+      stated_timeout > Duration::zero()
+          ? std::max(stated_timeout - kKeepAliveMargin, kKeepAliveMargin / 2)
+          : kMaxIdleTime;
+  return client.IsReusable() && now - client.idle_since() < max_idle_time;
 }
 
 HttpClientPtr ConnectionPool::Acquire(const UpstreamInfo& upstream,
                                       bool repeatable,
                                       Time now) {
-  HttpClientPtr kept = TakeKept(upstream, now);
-  if (!kept) {
+  HttpClientPtr connection = AcquireIdle(upstream, now);
+  if (!connection) {
     return Create(upstream);
   }
-  const Duration rested = now - kept->idle_since();
-  if (!repeatable && rested > rests_[upstream.service].MaxIdle(now)) {
-    // The last one used is the first one taken: others rested for longer.
-    Release(upstream.id, kept);
+  const Duration idle_time = now - connection->idle_since();
+  if (!repeatable &&
+      idle_time > idle_reuse_limits_[upstream.service].MaxIdle(now)) {
+    // The most recently used connection comes first: all others have been idle
+    // for longer.
+    Release(upstream.id, connection);
     return Create(upstream);
   }
-  return kept;
+  return connection;
 }
 
 void ConnectionPool::OnStaleConnection(const UpstreamInfo& upstream,
-                                       Duration rested,
+                                       Duration idle_time,
                                        Time now) {
-  rests_[upstream.service].OnStaleConnection(rested, now);
+  idle_reuse_limits_[upstream.service].OnStaleConnection(idle_time, now);
 }
 
-// Null: none is kept that may be used.
-HttpClientPtr ConnectionPool::TakeKept(const UpstreamInfo& upstream, Time now) {
+// Returns null if no idle connection may be used.
+HttpClientPtr ConnectionPool::AcquireIdle(const UpstreamInfo& upstream,
+                                          Time now) {
   auto& idle = idle_[upstream.id];
   while (!idle.empty()) {
     HttpClientPtr client = std::move(idle.back());
@@ -98,61 +102,61 @@
 }
 
 void ConnectionPool::Discard(const HttpClientPtr& client) {
-  silent_ += client->IsSilent() ? 1 : 0;
+  silent_count_ += client->IsSilent() ? 1 : 0;
   client->Cancel();
 }
 
 bool ConnectionPool::OnSilentConnection(const std::string& upstream_id,
                                         const HttpClient& client,
                                         Time now) {
-  ++silent_;
-  const auto last = silences_.find(upstream_id);
-  if (last != silences_.end() && client.opened_at() <= last->second) {
+  ++silent_count_;
+  const auto last = last_silences_.find(upstream_id);
+  if (last != last_silences_.end() && client.opened_at() <= last->second) {
     return false;
   }
-  silences_[upstream_id] = now;
-  if (!IsOtherSilent(upstream_id, now)) {
-    CloseUnheard(idle_[upstream_id], now);
+  last_silences_[upstream_id] = now;
+  if (!IsOtherUpstreamSilent(upstream_id, now)) {
+    CloseUnresponsive(idle_[upstream_id], now);
     return true;
   }
-  for (auto& [upstream, kept] : idle_) {
-    CloseUnheard(kept, now);
+  for (auto& [upstream, connections] : idle_) {
+    CloseUnresponsive(connections, now);
   }
   return true;
 }
 
-bool ConnectionPool::IsOtherSilent(const std::string& upstream_id,
-                                   Time now) const {
-  return std::any_of(silences_.begin(), silences_.end(),
+bool ConnectionPool::IsOtherUpstreamSilent(const std::string& upstream_id,
+                                           Time now) const {
+  return std::any_of(last_silences_.begin(), last_silences_.end(),
                      [&upstream_id, now](const auto& silence) {
                        return silence.first != upstream_id &&
                               now - silence.second < kAckTimeout;
                      });
 }
 
-// What was silent has been so for this time at least: what has been heard
-// since is trusted.
-void ConnectionPool::CloseUnheard(Kept& kept, Time now) {
-  std::erase_if(kept, [now](const HttpClientPtr& client) {
-    const bool unheard = now - client->last_byte_at() >= kMinSilence;
-    if (unheard) {
+// A silence is detected after kMinSilence at the earliest, so connections that
+// have received bytes within that time still work.
+void ConnectionPool::CloseUnresponsive(Connections& connections, Time now) {
+  std::erase_if(connections, [now](const HttpClientPtr& client) {
+    const bool is_unresponsive = now - client->last_byte_at() >= kMinSilence;
+    if (is_unresponsive) {
       client->Cancel();
     }
-    return unheard;
+    return is_unresponsive;
   });
 }
 
 void ConnectionPool::CloseIdle(Time now) {
-  std::erase_if(silences_, [now](const auto& silence) {
-    return now - silence.second >= kLongestSilence;
+  std::erase_if(last_silences_, [now](const auto& silence) {
+    return now - silence.second >= kSilenceTtl;
   });
   for (auto entry = idle_.begin(); entry != idle_.end();) {
     std::erase_if(entry->second, [this, now](const HttpClientPtr& client) {
-      const bool stale = !IsFresh(*client, now);
-      if (stale) {
+      const bool is_stale = !IsFresh(*client, now);
+      if (is_stale) {
         Discard(client);
       }
-      return stale;
+      return is_stale;
     });
     entry = entry->second.empty() ? idle_.erase(entry) : std::next(entry);
   }
--- a/src/pathcleat/calls/connection_pool_test.cpp
+++ b/src/pathcleat/calls/connection_pool_test.cpp
@@ -12,7 +12,7 @@
 namespace pathcleat {
 namespace {
 
-struct PoolWorld {
+struct PoolFixture {
   boost::asio::io_context loop{1};
   HttpServer server{loop, [](const HttpExchangePtr& exchange) {
                       exchange->Respond(TextResponse(200, "done\n"));
@@ -20,7 +20,7 @@
   std::string address;
   ConnectionPool pool{loop};
 
-  PoolWorld() {
+  PoolFixture() {
     const std::string ip = UniqueLoopbackAddress();
     TryOr(
         [&]() -> Result<void> {
@@ -39,7 +39,7 @@
     return upstream;
   }
 
-  HttpClientPtr Opened(const std::string& id) {
+  HttpClientPtr OpenConnection(const std::string& id) {
     const HttpClientPtr client = pool.Create(Upstream(id));
     bool done = false;
     client->Send({"GET", "/", {{"Host", "test"}}, ""}, {},
@@ -49,9 +49,11 @@
     return client;
   }
 
-  void Keep(const std::string& id) { pool.Release(id, Opened(id)); }
+  void AddIdleConnection(const std::string& id) {
+    pool.Release(id, OpenConnection(id));
+  }
 
-  bool Keeps(const std::string& id) {
+  bool HasIdleConnection(const std::string& id) {
     const HttpClientPtr client =
         pool.Acquire(Upstream(id), true, BootClock::now());
     const bool kept = client->IsReusable();
@@ -59,60 +61,69 @@
     return kept;
   }
 
-  void AwaitUnheard(const HttpClientPtr& client) {
+  void WaitUntilSilent(const HttpClientPtr& client) {
     cr_assert(WaitUntil(loop, [&client] {
       return BootClock::now() - client->last_byte_at() > kMinSilence;
     }));
   }
 };
 
-// What was kept before a silence is not trusted, what was heard since is.
-// Checked to fail with CloseUnheard closing nothing.
-Test(upstream_pool, connections_from_before_a_silence_are_not_used) {
-  PoolWorld world;
-  const HttpClientPtr silent = world.Opened("u");
-  world.Keep("u");
-  world.Keep("u");
-  world.AwaitUnheard(
-      world.pool.Acquire(world.Upstream("u"), true, BootClock::now()));
-  cr_assert(world.Keeps("u"));
-  cr_assert(world.pool.OnSilentConnection("u", *silent, BootClock::now()));
-  cr_assert_not(world.Keeps("u"));
-  world.Keep("u");
-  // The others that are found tell nothing new.
-  cr_assert_not(world.pool.OnSilentConnection("u", *silent, BootClock::now()));
-  cr_assert(world.Keeps("u"));
-  cr_assert_eq(world.pool.silent_connections(), 2U);
+// Guards against reusing connections that a network fault has silenced: idle
+// ones from before a silence are closed, those with bytes received since stay.
+// Fails with CloseUnresponsive switched off.
+Test(connection_pool, connections_opened_before_a_silence_are_not_reused) {
+  PoolFixture fixture;
+  const HttpClientPtr silent = fixture.OpenConnection("u");
+  fixture.AddIdleConnection("u");
+  fixture.AddIdleConnection("u");
+  fixture.WaitUntilSilent(
+      fixture.pool.Acquire(fixture.Upstream("u"), true, BootClock::now()));
+  cr_assert(fixture.HasIdleConnection("u"));
+  cr_assert(fixture.pool.OnSilentConnection("u", *silent, BootClock::now()));
+  cr_assert_not(fixture.HasIdleConnection("u"));
+  fixture.AddIdleConnection("u");
+  // Further connections from before the same silence show nothing new.
+  cr_assert_not(
+      fixture.pool.OnSilentConnection("u", *silent, BootClock::now()));
+  cr_assert(fixture.HasIdleConnection("u"));
+  cr_assert_eq(fixture.pool.silent_connections(), 2U);
 }
 
-// Checked to fail with IsOtherSilent returning false.
-Test(upstream_pool, silence_of_two_upstreams_is_taken_for_all) {
-  PoolWorld world;
-  const HttpClientPtr first = world.Opened("a");
-  const HttpClientPtr second = world.Opened("b");
-  const HttpClientPtr last = world.Opened("c");
-  world.pool.Release("c", last);
-  world.AwaitUnheard(last);
-  world.pool.OnSilentConnection("a", *first, BootClock::now());
-  cr_assert(world.Keeps("c"));
-  world.pool.OnSilentConnection("b", *second, BootClock::now());
-  cr_assert_not(world.Keeps("c"));
+// Guards against reusing silenced connections after a network fault at this
+// host, which shows as silence of two upstreams at about the same time. Fails
+// with IsOtherUpstreamSilent switched off.
+Test(connection_pool, silence_of_two_upstreams_closes_idle_connections_to_all) {
+  PoolFixture fixture;
+  const HttpClientPtr first = fixture.OpenConnection("a");
+  const HttpClientPtr second = fixture.OpenConnection("b");
+  const HttpClientPtr last = fixture.OpenConnection("c");
+  fixture.pool.Release("c", last);
+  fixture.WaitUntilSilent(last);
+  fixture.pool.OnSilentConnection("a", *first, BootClock::now());
+  cr_assert(fixture.HasIdleConnection("c"));
+  fixture.pool.OnSilentConnection("b", *second, BootClock::now());
+  cr_assert_not(fixture.HasIdleConnection("c"));
 }
 
-// Work that may be repeated finds out by itself, at no cost to its caller.
-// Checked to fail with the comparison left out of UpstreamPool::Take.
-Test(upstream_pool, work_that_runs_once_avoids_connections_that_may_be_gone) {
-  constexpr Duration kRest{200'000};
-  PoolWorld world;
-  world.Keep("u");
-  const Time later = BootClock::now() + kRest;
-  cr_assert(world.pool.Acquire(world.Upstream("u"), false, later)->IsReusable(),
-            "nothing was forgotten yet");
-  world.Keep("u");
-  world.pool.OnStaleConnection(world.Upstream("u"), kRest, later);
+// Guards against losing unrepeatable requests on connections that the upstream
+// has dropped while idle. Repeatable ones may use them, as they are sent again
+// at no cost to the caller. Fails without the comparison with MaxIdle in
+// ConnectionPool::Acquire.
+Test(connection_pool,
+     unrepeatable_requests_avoid_connections_that_may_be_stale) {
+  constexpr Duration kIdleTime{200'000};
+  PoolFixture fixture;
+  fixture.AddIdleConnection("u");
+  const Time later = BootClock::now() + kIdleTime;
+  cr_assert(
+      fixture.pool.Acquire(fixture.Upstream("u"), false, later)->IsReusable(),
+      "no stale connection was found yet");
+  fixture.AddIdleConnection("u");
+  fixture.pool.OnStaleConnection(fixture.Upstream("u"), kIdleTime, later);
   cr_assert_not(
-      world.pool.Acquire(world.Upstream("u"), false, later)->IsReusable());
-  cr_assert(world.pool.Acquire(world.Upstream("u"), true, later)->IsReusable());
+      fixture.pool.Acquire(fixture.Upstream("u"), false, later)->IsReusable());
+  cr_assert(
+      fixture.pool.Acquire(fixture.Upstream("u"), true, later)->IsReusable());
 }
 
 }  // namespace
--- a/src/pathcleat/calls/idempotency_key_store.cpp
+++ b/src/pathcleat/calls/idempotency_key_store.cpp
@@ -12,22 +12,23 @@
 namespace pathcleat {
 namespace {
 
-// Clocks of hosts may differ by this much before a repeat is told "unknown"
-// of a request that still runs; it is never run a second time either way.
+// Largest expected difference between the clocks of hosts. With a larger one, a
+// repeat of a request that still runs may be answered as "unknown"; the request
+// is never run a second time either way.
 constexpr std::uint64_t kClockSkewMicros = 5'000'000;
-// Settling is tried for about a minute.
-constexpr int kSettleTries = 30;
-constexpr std::chrono::seconds kSettleAgainAfter{2};
+// Settling is retried for about a minute.
+constexpr int kMaxSettleRetries = 30;
+constexpr std::chrono::seconds kSettleRetryInterval{2};
 
 }  // namespace
 
-struct IdempotencyKeyStore::Claiming {
+struct IdempotencyKeyStore::PendingClaim {
   KeyClaim claim;
   KeyClaimRequest request;
-  HttpResponse kept;
+  HttpResponse stored_response;
   std::function<void(ClaimResult)> callback;
 
-  IdempotencyKeyRow Row() const {
+  IdempotencyKeyRow MakeRow() const {
     IdempotencyKeyRow row;
     row.token = claim.token();
     row.fingerprint = request.fingerprint;
@@ -41,57 +42,59 @@
                                          EventLog& events)
     : loop_(loop), store_(store), events_(events) {}
 
-void IdempotencyKeyStore::After(std::function<void()> step) {
+void IdempotencyKeyStore::RetryLater(std::function<void()> retry) {
   auto timer =
-      std::make_shared<boost::asio::steady_timer>(loop_, kSettleAgainAfter);
-  timer->async_wait(
-      [timer, step = std::move(step)](const boost::system::error_code& error) {
-        if (!error) {
-          step();
-        }
-      });
+      std::make_shared<boost::asio::steady_timer>(loop_, kSettleRetryInterval);
+  timer->async_wait([timer, retry = std::move(retry)](
+                        const boost::system::error_code& error) {
+    if (!error) {
+      retry();
+    }
+  });
 }
 
 void IdempotencyKeyStore::Claim(const KeyClaimRequest& request,
                                 std::function<void(ClaimResult)> callback) {
-  auto claiming = std::make_shared<Claiming>(
-      Claiming{KeyClaim(RandomToken(), request.fingerprint),
-               request,
-               {},
-               std::move(callback)});
-  Step(claiming, claiming->claim.Start());
+  auto pending_claim = std::make_shared<PendingClaim>(
+      PendingClaim{KeyClaim(RandomToken(), request.fingerprint),
+                   request,
+                   {},
+                   std::move(callback)});
+  Step(pending_claim, pending_claim->claim.Start());
 }
 
-void IdempotencyKeyStore::Step(const ClaimingPtr& claiming, KeyAction action) {
+void IdempotencyKeyStore::Step(const PendingClaimPtr& pending_claim,
+                               KeyAction action) {
   if (action == KeyAction::kPut) {
-    Put(claiming);
+    Put(pending_claim);
     return;
   }
   if (action == KeyAction::kRead) {
-    Read(claiming);
+    Read(pending_claim);
     return;
   }
   ClaimResult result;
   result.action = action;
-  result.stored_response = claiming->kept;
-  result.claimed = {claiming->request.row_name, claiming->Row(),
-                    claiming->claim.version()};
-  claiming->callback(std::move(result));
+  result.stored_response = pending_claim->stored_response;
+  result.claimed = {pending_claim->request.row_name, pending_claim->MakeRow(),
+                    pending_claim->claim.version()};
+  pending_claim->callback(std::move(result));
 }
 
-void IdempotencyKeyStore::Put(const ClaimingPtr& claiming) {
-  store_.Write(claiming->request.row_name, 0, ToJson(claiming->Row()),
-               [this, claiming](const TableWriteResult& write) {
-                 Step(claiming,
-                      claiming->claim.OnPut(write.outcome, write.version));
+void IdempotencyKeyStore::Put(const PendingClaimPtr& pending_claim) {
+  store_.Write(pending_claim->request.row_name, 0,
+               ToJson(pending_claim->MakeRow()),
+               [this, pending_claim](const TableWriteResult& write) {
+                 Step(pending_claim,
+                      pending_claim->claim.OnPut(write.outcome, write.version));
                });
 }
 
-void IdempotencyKeyStore::Read(const ClaimingPtr& claiming) {
-  ReadRow(store_, claiming->request.row_name,
-          [this, claiming](const RowReadResult& read) {
+void IdempotencyKeyStore::Read(const PendingClaimPtr& pending_claim) {
+  ReadRow(store_, pending_claim->request.row_name,
+          [this, pending_claim](const RowReadResult& read) {
             if (read.outcome != StoreOutcome::kDone) {
-              Step(claiming, KeyClaim::OnReadFailed());
+              Step(pending_claim, KeyClaim::OnReadFailed());
               return;
             }
             ObservedKey observed;
@@ -102,9 +105,9 @@
               observed.fingerprint = row->fingerprint;
               observed.is_overdue =
                   WallMicros() > row->deadline_wall_micros + kClockSkewMicros;
-              claiming->kept = row->answer;
+              pending_claim->stored_response = row->answer;
             }
-            Step(claiming, claiming->claim.OnRead(observed));
+            Step(pending_claim, pending_claim->claim.OnRead(observed));
           });
 }
 
@@ -112,57 +115,59 @@
                                        const HttpResponse& answer) {
   key.row.state = KeyState::kFinished;
   key.row.answer = answer;
-  ++pending_;
-  Settle(key, kSettleTries);
+  ++pending_writes_;
+  Settle(key, kMaxSettleRetries);
 }
 
 void IdempotencyKeyStore::MarkUnknown(ClaimedKey key) {
   key.row.state = KeyState::kUnknown;
-  ++pending_;
-  Settle(key, kSettleTries);
+  ++pending_writes_;
+  Settle(key, kMaxSettleRetries);
 }
 
 void IdempotencyKeyStore::Release(const ClaimedKey& key) {
-  ++pending_;
-  Delete(key, kSettleTries);
+  ++pending_writes_;
+  Delete(key, kMaxSettleRetries);
 }
 
-void IdempotencyKeyStore::Settle(const ClaimedKey& key, int tries_left) {
+void IdempotencyKeyStore::Settle(const ClaimedKey& key, int retries_left) {
   store_.Write(
       key.row_name, key.version, ToJson(key.row),
-      [this, key, tries_left](const TableWriteResult& write) {
-        // A conflict means that an earlier try, whose answer was lost, had
-        // taken effect: nobody else writes a claimed row.
+      [this, key, retries_left](const TableWriteResult& write) {
+        // A conflict means that an earlier attempt, whose response was lost,
+        // has taken effect: no other process writes a claimed row.
         const bool done = write.outcome == StoreOutcome::kDone ||
                           write.outcome == StoreOutcome::kConflict;
-        if (done || tries_left == 0) {
-          --pending_;
+        if (done || retries_left == 0) {
+          --pending_writes_;
         }
         if (done) {
           return;
         }
-        if (tries_left == 0) {
+        if (retries_left == 0) {
           events_.Record(EventCode::kKeyWriteFailed, key.row_name,
-                         "the answer could not be kept; repeats are told "
-                         "unknown");
+                         "the outcome could not be stored; repeated requests "
+                         "are answered as unknown");
           return;
         }
-        After([this, key, tries_left] { Settle(key, tries_left - 1); });
+        RetryLater(
+            [this, key, retries_left] { Settle(key, retries_left - 1); });
       });
 }
 
-void IdempotencyKeyStore::Delete(const ClaimedKey& key, int tries_left) {
-  store_.Delete(
-      key.row_name, key.version,
-      [this, key, tries_left](const TableWriteResult& write) {
-        const bool done = write.outcome == StoreOutcome::kDone ||
-                          write.outcome == StoreOutcome::kConflict;
-        if (done || tries_left == 0) {
-          --pending_;
-          return;
-        }
-        After([this, key, tries_left] { Delete(key, tries_left - 1); });
-      });
+void IdempotencyKeyStore::Delete(const ClaimedKey& key, int retries_left) {
+  store_.Delete(key.row_name, key.version,
+                [this, key, retries_left](const TableWriteResult& write) {
+                  const bool done = write.outcome == StoreOutcome::kDone ||
+                                    write.outcome == StoreOutcome::kConflict;
+                  if (done || retries_left == 0) {
+                    --pending_writes_;
+                    return;
+                  }
+                  RetryLater([this, key, retries_left] {
+                    Delete(key, retries_left - 1);
+                  });
+                });
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/calls/idle_reuse_limit.cpp
+++ b/src/pathcleat/calls/idle_reuse_limit.cpp
@@ -7,28 +7,29 @@
 namespace pathcleat {
 namespace {
 
-// A connection may have been forgotten long before it was used: half of its
-// rest is trusted, and less after the next one.
-constexpr int kPartTrusted = 2;
-constexpr Duration kShortest{10'000};
-// The limit doubles in this time; incidents seen lasted 5 to 6 s. A new
-// connection costs an upstream a millisecond, lost work a caller all of it.
-constexpr double kDoublesInMicros = 3'000'000;
+// An upstream may have dropped a connection long before its reuse: the limit is
+// set to half of the idle time, and lower after the next stale connection.
+constexpr int kLimitDivisor = 2;
+constexpr Duration kMinLimit{10'000};
+// The limit doubles within this time, as upstreams dropped idle connections for
+// 5 to 6 s in incidents. A new connection costs an upstream a millisecond, a
+// lost request costs its caller the whole work.
+constexpr double kDoublingTimeMicros = 3'000'000;
 
 }  // namespace
 
-void IdleReuseLimit::OnStaleConnection(Duration rested, Time now) {
-  least_ = std::clamp(rested / kPartTrusted, kShortest, MaxIdle(now));
-  learned_ = now;
+void IdleReuseLimit::OnStaleConnection(Duration idle_time, Time now) {
+  limit_ = std::clamp(idle_time / kLimitDivisor, kMinLimit, MaxIdle(now));
+  updated_at_ = now;
 }
 
 Duration IdleReuseLimit::MaxIdle(Time now) const {
-  const auto age = static_cast<double>((now - learned_).count());
-  const double doublings = std::max(0.0, age) / kDoublesInMicros;
-  constexpr double kEnough = 16;
-  const double longest = static_cast<double>(least_.count()) *
-                         std::exp2(std::min(doublings, kEnough));
-  return std::min(kTrusted, Duration(static_cast<Duration::rep>(longest)));
+  const auto age = static_cast<double>((now - updated_at_).count());
+  const double doublings = std::max(0.0, age) / kDoublingTimeMicros;
+  constexpr double kMaxDoublings = 16;
+  const double limit = static_cast<double>(limit_.count()) *
+                       std::exp2(std::min(doublings, kMaxDoublings));
+  return std::min(kMaxLimit, Duration(static_cast<Duration::rep>(limit)));
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/calls/idle_reuse_limit_test.cpp
+++ b/src/pathcleat/calls/idle_reuse_limit_test.cpp
@@ -9,19 +9,20 @@
 const Time kStart(std::chrono::seconds(1'000));
 constexpr Duration kSecond{1'000'000};
 
-Test(rest_limit, any_rest_is_trusted_where_nothing_was_seen) {
+Test(idle_reuse_limit, is_long_while_no_stale_connection_was_seen) {
   cr_assert_gt(IdleReuseLimit().MaxIdle(kStart), 10 * kSecond);
 }
 
-// Upstreams that forget after 0.15 s: one connection in use after 0.2 s of rest
-// is gone, and from then on none is used that rested for 0.15 s.
-Test(rest_limit, one_forgotten_connection_holds_the_others_back) {
+// Guards against losing several requests to one fault: upstreams drop
+// connections after 0.15 s; one found stale after 0.2 s must stop the reuse of
+// all that were idle for 0.15 s.
+Test(idle_reuse_limit, falls_below_the_drop_time_after_one_stale_connection) {
   IdleReuseLimit limit;
   limit.OnStaleConnection(kSecond / 5, kStart);
   cr_assert_lt(limit.MaxIdle(kStart + kSecond / 2), kSecond * 3 / 20);
 }
 
-Test(rest_limit, each_one_more_shortens_what_is_trusted) {
+Test(idle_reuse_limit, falls_with_each_further_stale_connection) {
   IdleReuseLimit limit;
   limit.OnStaleConnection(4 * kSecond, kStart);
   const Duration first = limit.MaxIdle(kStart);
@@ -29,7 +30,7 @@
   cr_assert_lt(limit.MaxIdle(kStart), first * 6 / 10);
 }
 
-Test(rest_limit, longer_rest_does_not_lengthen_it) {
+Test(idle_reuse_limit, does_not_rise_with_a_longer_stale_idle_time) {
   IdleReuseLimit limit;
   limit.OnStaleConnection(kSecond / 10, kStart);
   const Duration before = limit.MaxIdle(kStart);
@@ -37,7 +38,7 @@
   cr_assert_leq(limit.MaxIdle(kStart), before);
 }
 
-Test(rest_limit, what_is_not_seen_again_is_forgotten) {
+Test(idle_reuse_limit, rises_again_without_further_stale_connections) {
   IdleReuseLimit limit;
   limit.OnStaleConnection(kSecond / 5, kStart);
   cr_assert_gt(limit.MaxIdle(kStart + 20 * kSecond), 4 * kSecond);
--- a/src/pathcleat/calls/pick_request.cpp
+++ b/src/pathcleat/calls/pick_request.cpp
@@ -7,7 +7,8 @@
 namespace pathcleat {
 namespace {
 
-// A caller's /24 block: callers of one household or club share caches.
+// Position of a caller by its /24 block: callers of one household or
+// organization share caches.
 double CallerPosition(const std::string& caller) {
   return UnitIntervalHash(
       std::string_view(caller).substr(0, caller.rfind('.')));
--- a/src/pathcleat/calls/unknown_headers.cpp
+++ b/src/pathcleat/calls/unknown_headers.cpp
@@ -8,7 +8,7 @@
 
 using boost::algorithm::to_lower_copy;
 
-// Of an answer, as HTTP defines them (RFC 9110 to 9112).
+// Header fields of answers that HTTP defines (RFC 9110 to 9112).
 std::set<std::string> HttpFields() {
   return {"accept-ranges",
           "age",
@@ -39,19 +39,20 @@
 
 }  // namespace
 
-UnknownHeaders::UnknownHeaders(const HeaderNames& names) : seen_(HttpFields()) {
+UnknownHeaders::UnknownHeaders(const HeaderNames& names)
+    : seen_names_(HttpFields()) {
   for (const std::string& name :
        {names.request_id, names.upstream_id, names.load, names.rate_limit,
         names.not_run, names.cold_ms, names.signature}) {
-    seen_.insert(to_lower_copy(name));
+    seen_names_.insert(to_lower_copy(name));
   }
 }
 
 HttpHeaders UnknownHeaders::FindNew(const HttpHeaders& headers) {
   HttpHeaders found;
   for (const HttpHeader& header : headers) {
-    if (seen_.size() < kMostNames &&
-        seen_.insert(to_lower_copy(header.name)).second) {
+    if (seen_names_.size() < kMaxNames &&
+        seen_names_.insert(to_lower_copy(header.name)).second) {
       found.push_back(header);
     }
   }
--- a/src/pathcleat/calls/upstream_protocol.cpp
+++ b/src/pathcleat/calls/upstream_protocol.cpp
@@ -33,8 +33,8 @@
   return response;
 }
 
-// Nobody waits longer; beyond it a sum of times could overflow.
-constexpr std::chrono::milliseconds kLongestDeadline = std::chrono::hours(24);
+// No caller waits longer; with larger values, sums of times could overflow.
+constexpr std::chrono::milliseconds kMaxCallerTimeout = std::chrono::hours(24);
 
 bool IsFraction(std::string_view text) {
   return !text.empty() && text.front() == '.' &&
@@ -42,7 +42,7 @@
                      [](char c) { return c >= '0' && c <= '9'; });
 }
 
-std::optional<Duration> ParseDeadline(std::string_view text) {
+std::optional<Duration> ParseCallerTimeout(std::string_view text) {
   std::int64_t value = 0;
   const auto parsed =
       std::from_chars(text.data(), text.data() + text.size(), value);
@@ -57,11 +57,12 @@
   if (text.front() == '-') {
     return Duration::zero();
   }
-  const std::int64_t most = kLongestDeadline.count();
-  return std::chrono::milliseconds(too_large ? most : std::min(value, most));
+  const std::int64_t max_milliseconds = kMaxCallerTimeout.count();
+  return std::chrono::milliseconds(
+      too_large ? max_milliseconds : std::min(value, max_milliseconds));
 }
 
-// A finite number of requests a second, 0 or more.
+// Accepts finite numbers of requests per second that are 0 or more.
 std::optional<double> ParseLimit(std::string_view text) {
   double value = 0;
   const char* end = text.data() + text.size();
@@ -76,33 +77,33 @@
 std::optional<Duration> CallerTimeout(const HeaderNames& names,
                                       const HttpRequest& request) {
   const auto text = FindHeader(request.headers, names.deadline_ms);
-  return text ? ParseDeadline(*text) : std::nullopt;
+  return text ? ParseCallerTimeout(*text) : std::nullopt;
 }
 
 HttpRequest MakeUpstreamRequest(const HeaderNames& names,
                                 const HttpRequest& request,
-                                const RequestMetadata& origin,
+                                const RequestMetadata& metadata,
                                 const std::string& upstream_id,
                                 Duration left) {
   HttpRequest out = request;
   out.headers = EndToEndHeaders(out.headers);
-  std::erase_if(out.headers, [&names, &origin](const HttpHeader& header) {
+  std::erase_if(out.headers, [&names, &metadata](const HttpHeader& header) {
     return iequals(header.name, names.deadline_ms) ||
            iequals(header.name, names.expect_upstream) ||
            iequals(header.name, names.account) ||
-           (origin.strips_authorization &&
+           (metadata.strips_authorization &&
             iequals(header.name, "Authorization")) ||
            iequals(header.name, "Expect");
   });
   if (!FindHeader(out.headers, names.request_id)) {
-    out.headers.push_back({names.request_id, origin.request_id});
+    out.headers.push_back({names.request_id, metadata.request_id});
   }
   const auto milliseconds =
       std::chrono::duration_cast<std::chrono::milliseconds>(left).count();
   out.headers.push_back({names.deadline_ms, std::to_string(milliseconds)});
   out.headers.push_back({names.expect_upstream, upstream_id});
-  if (origin.account != nullptr) {
-    out.headers.push_back({names.account, origin.account->name});
+  if (metadata.account != nullptr) {
+    out.headers.push_back({names.account, metadata.account->name});
   }
   return out;
 }
@@ -143,9 +144,9 @@
       continue;
     }
     field.present = true;
-    const auto named = ParseLimit(header.value);
-    if (named && (!field.per_second || *named < *field.per_second)) {
-      field.per_second = named;
+    const auto limit = ParseLimit(header.value);
+    if (limit && (!field.per_second || *limit < *field.per_second)) {
+      field.per_second = limit;
     }
   }
   return field;
