--- a/include/pathcleat/core/base64.hpp
+++ b/include/pathcleat/core/base64.hpp
@@ -6,11 +6,11 @@
 
 namespace pathcleat {
 
-/// @brief Standard base64 with padding (libsodium).
+/// @brief Encodes bytes as standard base64 with padding (libsodium).
 /// @ingroup core
 std::string ToBase64(const std::string& bytes);
 
-/// @brief The bytes, or nothing if the text is not base64.
+/// @brief Decodes base64; std::nullopt if the text is not valid base64.
 /// @ingroup core
 std::optional<std::string> FromBase64(const std::string& text);
 
--- a/include/pathcleat/core/binary_codec.hpp
+++ b/include/pathcleat/core/binary_codec.hpp
@@ -10,7 +10,7 @@
 
 namespace pathcleat {
 
-/// @brief A value's bytes (cereal, portable binary).
+/// @brief Serializes a value (cereal, portable binary).
 /// @ingroup core
 template <class Value>
 std::string EncodeBinary(const Value& value) {
@@ -22,7 +22,7 @@
   return stream.str();
 }
 
-/// @brief Reads a value back; nothing if the bytes are none.
+/// @brief Deserializes a value; std::nullopt if the bytes do not encode one.
 /// @ingroup core
 template <class Value>
 std::optional<Value> DecodeBinary(std::string_view bytes) {
--- a/include/pathcleat/core/error.hpp
+++ b/include/pathcleat/core/error.hpp
@@ -10,32 +10,32 @@
 
 namespace pathcleat {
 
-/// @brief What kind of failure an Error reports.
+/// @brief Kind of failure that an Error reports.
 /// @ingroup core
 enum class ErrorCode {
-  kInvalid,       ///< input that cannot be understood
-  kRefused,       ///< understood, and declined
-  kUnreachable,   ///< the peer got nothing of it
+  kInvalid,       ///< malformed or unexpected input
+  kRefused,       ///< valid request that was declined
+  kUnreachable,   ///< no part of the request reached the peer
   kUnknown,       ///< the peer may or may not have acted
-  kConflict,      ///< somebody else was first
-  kRateLimited,   ///< the peer asks for fewer calls
-  kUnauthorized,  ///< proof of identity missing or wrong
+  kConflict,      ///< another writer made a change first
+  kRateLimited,   ///< the peer limits the rate of calls
+  kUnauthorized,  ///< credentials missing or wrong
 };
 
-/// @brief A failure with the step and the peer at which it arose.
+/// @brief A failure, with the operation and the peer that it concerns.
 /// @ingroup core
 struct Error {
   ErrorCode code = ErrorCode::kInvalid;
-  std::string step;    ///< what was being done, e.g. "read settings"
-  std::string peer;    ///< file, address or host it was done with
-  std::string detail;  ///< plain sentence
+  std::string step;    ///< operation that failed, e.g. "read settings"
+  std::string peer;    ///< file, address or host that the step used
+  std::string detail;  ///< description of the failure, one sentence
 };
 
-/// @brief Stable lower-case name of a code.
+/// @brief Stable lower-case name of an error code.
 /// @ingroup core
 const char* ToString(ErrorCode code);
 
-/// @brief "step (peer): detail [code]".
+/// @brief Formats an error as "step (peer): detail [code]".
 /// @ingroup core
 std::string ToString(const Error& error);
 
@@ -44,13 +44,14 @@
 template <class T>
 using Result = boost::leaf::result<T>;
 
-/// @brief Makes the failed Result.
+/// @brief Creates a failed Result from an Error.
 /// @ingroup core
 inline boost::leaf::error_id Fail(Error error) {
   return boost::leaf::new_error(std::move(error));
 }
 
-/// @brief Runs @p body and gives its Error to @p handler if it fails.
+/// @brief Runs @p body and passes its Error to @p handler if it fails. An
+/// exception, or a failure without an Error, is passed as kInvalid.
 /// @param body callable that returns Result<T>.
 /// @param handler callable that takes const Error& and returns T.
 /// @ingroup core
--- a/include/pathcleat/core/event.hpp
+++ b/include/pathcleat/core/event.hpp
@@ -11,7 +11,7 @@
 
 namespace pathcleat {
 
-/// @brief Numbers of the log events; docs/EVENTS.md is their catalogue.
+/// @brief Numbers of the log events, described in docs/EVENTS.md.
 /// @ingroup core
 enum class EventCode : std::uint16_t {
   kHostStarted = 1001,
@@ -65,48 +65,49 @@
   kLogDropped = 1901,
 };
 
-/// @brief How an operator should take an event.
+/// @brief How urgently an operator should respond to an event.
 /// @ingroup core
 enum class Severity { kInfo, kWarning, kAlarm };
 
-/// @brief One line of the event catalogue.
+/// @brief Name, severity and class of one event code.
 /// @ingroup core
 struct EventInfo {
   EventCode code;
   const char* name;
   Severity severity;
   LogClass log_class;
-  const char* subject_field;  ///< what the subject is: the name of its field
+  const char* subject_field;  ///< name of the field with the subject
 };
 
-/// @brief All events, in order of their numbers.
+/// @brief Lists all event codes, sorted by number.
 /// @ingroup core
 std::span<const EventInfo> EventCatalogue();
 
-/// @brief The catalogue's line for a code.
+/// @brief Looks up the catalogue entry of an event code.
 /// @ingroup core
 const EventInfo& EventInfoOf(EventCode code);
 
-/// @brief One event on the time line.
+/// @brief One event of the log and of the time line.
 /// @ingroup core
 struct Event {
   HybridTime time;
   EventCode code = EventCode::kHostStarted;
-  std::string host;     ///< of the process that saw it
-  std::string subject;  ///< request id, upstream, peer: see EventInfo
-  std::string text;     ///< plain sentence, or empty
-  EventFields fields;   ///< what decided it and its outcome
+  std::string host;     ///< host of the process that recorded the event
+  std::string subject;  ///< e.g. a request id: see EventInfo
+  std::string text;     ///< description in a sentence, or empty
+  EventFields fields;   ///< inputs of a decision and its outcome
 };
 
-/// @brief "PC1001" form of a code.
+/// @brief Formats an event code, e.g. "PC1001".
 /// @ingroup core
 std::string ToString(EventCode code);
 
-/// @brief An event as a person reads it: its name, text and fields.
+/// @brief Formats an event for a person: its name, text and fields.
 /// @ingroup core
 std::string ToText(const Event& event);
 
-/// @brief An event as one JSON line, the form of the log and the time line.
+/// @brief Formats an event as one line of JSON, as in the log and the time
+/// line.
 /// @ingroup core
 std::string ToJsonLine(const Event& event);
 
--- a/include/pathcleat/core/event_field.hpp
+++ b/include/pathcleat/core/event_field.hpp
@@ -10,7 +10,7 @@
 
 namespace pathcleat {
 
-/// @brief One typed input or outcome of what an event tells.
+/// @brief One typed field of an event: an input or outcome of a decision.
 /// @ingroup core
 struct EventField {
   using Value = std::variant<std::int64_t, double, bool, std::string>;
@@ -21,7 +21,7 @@
 
 using EventFields = std::vector<EventField>;
 
-/// @brief Names of fields. The same thing has the same name in every event.
+/// @brief Field names. A quantity has the same name in every event.
 /// @ingroup core
 namespace field {
 constexpr const char* kAccount = "account";
@@ -75,13 +75,13 @@
 constexpr const char* kWarm = "warm";
 }  // namespace field
 
-/// @brief A whole number as a field.
+/// @brief Creates an integer field.
 template <class Number>
 EventField IntegerField(const char* name, Number value) {
   return {name, static_cast<std::int64_t>(value)};
 }
 
-/// @brief A duration as a field, in whole milliseconds.
+/// @brief Creates a field with a duration in whole milliseconds, rounded down.
 inline EventField MillisecondsField(const char* name, Duration value) {
   constexpr std::int64_t kMicros = 1'000;
   return {name, static_cast<std::int64_t>(value.count()) / kMicros};
--- a/include/pathcleat/core/event_log.hpp
+++ b/include/pathcleat/core/event_log.hpp
@@ -12,33 +12,33 @@
 namespace pathcleat {
 
 /// @brief Keeps the newest events in memory for the time line and writes each
-/// as a JSON line through log4cplus, to a logger for each class. Thread-safe.
+/// event as a JSON line to the log4cplus logger of its class. Thread-safe.
 /// @ingroup core
 class EventLog {
  public:
-  /// @param host seat named in each event.
-  /// @param capacity number of events kept; older ones are dropped.
+  /// @param host name of the host, added to each event.
+  /// @param capacity number of events kept in memory; older events are dropped.
   EventLog(std::string host, std::size_t capacity);
 
-  /// @brief Stamps, keeps and logs one event.
+  /// @brief Adds a timestamp to an event, keeps the event and logs it.
   void Record(EventCode code,
               std::string subject,
               std::string text,
               EventFields fields = {});
 
-  /// @brief An event as of now, not kept or logged yet.
+  /// @brief Creates an event with the current time; does not keep or log it.
   Event MakeEvent(EventCode code,
                   std::string subject,
                   std::string text,
                   EventFields fields);
 
-  /// @brief Keeps and logs a stamped event.
+  /// @brief Keeps an event that has a timestamp and logs it under a class.
   void Write(Event event, LogClass log_class);
 
-  /// @brief The kept events, oldest first.
+  /// @brief Copies the kept events, oldest first.
   std::vector<Event> Snapshot() const;
 
-  /// @brief The clock that stamps events and messages of this process.
+  /// @brief Clock for the timestamps of events and messages of this process.
   HybridClock& clock() { return clock_; }
 
  private:
@@ -49,7 +49,7 @@
   std::deque<Event> events_;
 };
 
-/// @brief The class of the lines that go through a logger of this name.
+/// @brief Log class of the lines that a logger of this name writes.
 /// @ingroup core
 LogClass LogClassOfLogger(const std::string& logger);
 
--- a/include/pathcleat/core/field_hash.hpp
+++ b/include/pathcleat/core/field_hash.hpp
@@ -10,9 +10,9 @@
 
 namespace pathcleat {
 
-/// @brief Joins the fields of a value into one hash that is the same on every
-/// host. Each text is hashed by itself, so that no two different lists of
-/// fields read alike.
+/// @brief Combines the fields of a value into one hash that is the same on
+/// every host. Each text is hashed separately, so that lists of texts with the
+/// same concatenation ("ab", "c" and "a", "bc") have different hashes.
 /// @ingroup core
 class FieldHash {
  public:
--- a/include/pathcleat/core/hybrid_clock.hpp
+++ b/include/pathcleat/core/hybrid_clock.hpp
@@ -8,8 +8,8 @@
 
 namespace pathcleat {
 
-/// @brief A hybrid logical timestamp: wall microseconds and a counter that
-/// orders events which fall into the same microsecond.
+/// @brief Hybrid logical timestamp: wall-clock microseconds and a counter that
+/// orders events within the same microsecond.
 /// @ingroup core
 struct HybridTime {
   std::uint64_t micros = 0;
@@ -23,20 +23,21 @@
   }
 };
 
-/// @brief Text form "micros.counter", sortable by the reader's eye.
+/// @brief Formats a timestamp as "micros.counter".
 /// @ingroup core
 std::string ToString(const HybridTime& time);
 
 /// @brief Hybrid logical clock (Kulkarni et al., 2014). Thread-safe.
-/// A message received is always ordered after its sending.
+/// The receipt of a message is always ordered after its sending.
 /// @ingroup core
 class HybridClock {
  public:
-  /// @brief Timestamp of a local event.
-  /// @param wall_micros the wall clock now, microseconds since the epoch.
+  /// @brief Returns the timestamp of a local event.
+  /// @param wall_micros current wall-clock time, microseconds since the epoch.
   HybridTime Tick(std::uint64_t wall_micros);
 
-  /// @brief Timestamp of the receipt of a message stamped remote.
+  /// @brief Returns the timestamp for the receipt of a message.
+  /// @param remote timestamp of the message, set by its sender.
   HybridTime Observe(const HybridTime& remote, std::uint64_t wall_micros);
 
  private:
--- a/include/pathcleat/core/index.hpp
+++ b/include/pathcleat/core/index.hpp
@@ -7,8 +7,8 @@
 
 namespace pathcleat {
 
-/// @brief Position of an item in the deployment's list of its sort. Each sort
-/// has its own type, so that they cannot be mixed up.
+/// @brief Position of an item in the deployment's list of regions, hosts etc.
+/// Each list has its own index type, so that indices cannot be mixed up.
 /// @ingroup core
 template <class Tag>
 struct Index {
@@ -54,7 +54,7 @@
   std::size_t size_;
 };
 
-/// @brief The indices of a list's items.
+/// @brief Range of the indices of a list's items.
 /// @ingroup core
 template <class IndexType, class Items>
 IndexRange<IndexType> IndicesOf(const Items& items) {
--- a/include/pathcleat/core/lock_rank.hpp
+++ b/include/pathcleat/core/lock_rank.hpp
@@ -5,20 +5,20 @@
 
 namespace pathcleat {
 
-/// @brief The one lock order: a thread takes locks by rising rank only.
-/// The list is the documentation; RankedMutex asserts it in debug builds.
+/// @brief Lock order: a thread acquires locks in order of rising rank, which
+/// rules out deadlocks. RankedMutex asserts the order in debug builds.
 /// @ingroup core
 enum class LockRank : int {
-  kConfig = 1,      ///< configuration in force
-  kMembership = 2,  ///< seats, leases, heartbeats
-  kOwner = 3,       ///< slots and waiting requests of owned upstreams
-  kRouter = 4,      ///< views of other pools, shifts, retry budget
+  kConfig = 1,      ///< active configuration
+  kMembership = 2,  ///< hosts, leases, heartbeats
+  kOwner = 3,       ///< slots and queued requests of owned upstreams
+  kRouter = 4,      ///< state of other pools, shifts, retry budget
   kTrace = 5,       ///< explanations of recent requests
   kMetrics = 6,     ///< counters and latency statistics
-  kEvents = 7,      ///< time line and log
+  kEvents = 7,      ///< time line and event log
 };
 
-/// @brief A mutex with a rank; meets the standard's BasicLockable.
+/// @brief A mutex with a rank; meets the BasicLockable requirements.
 /// @ingroup core
 class RankedMutex {
  public:
--- a/include/pathcleat/core/log_buffer.hpp
+++ b/include/pathcleat/core/log_buffer.hpp
@@ -9,34 +9,37 @@
 
 namespace pathcleat {
 
-/// @brief Lines that wait to be written, as many as a bound allows. Lines of
-/// lower classes find no room sooner: half of the bound for ordinary requests,
-/// three quarters for failures. What finds none is counted. Not thread-safe.
+/// @brief Bounded buffer of log lines that wait to be written. Lines of a lower
+/// class are dropped earlier: ordinary requests once half of the capacity is in
+/// use, failures once three quarters are. Dropped lines are counted. Not
+/// thread-safe.
 /// @ingroup core
 class LogBuffer {
  public:
-  /// @param capacity bytes that may wait.
+  /// @param capacity size of the buffer in bytes.
   explicit LogBuffer(std::size_t capacity) : capacity_(capacity) {}
 
-  /// @brief Takes a line, without its end, if there is room.
+  /// @brief Appends a line and a line end if there is capacity for its class;
+  /// drops the line otherwise.
+  /// @param line without a line end.
   void Push(LogClass log_class, std::string_view line);
 
-  /// @brief The oldest bytes that wait, at most so many.
-  std::string_view Front(std::size_t most) const;
+  /// @brief The oldest buffered bytes, at most max_bytes of them.
+  std::string_view Front(std::size_t max_bytes) const;
 
-  /// @brief The oldest bytes are written.
+  /// @brief Removes the oldest bytes once they have been written.
   void Pop(std::size_t bytes);
 
-  bool IsEmpty() const { return written_ == bytes_.size(); }
-  std::size_t size() const { return bytes_.size() - written_; }
+  bool IsEmpty() const { return written_bytes_ == bytes_.size(); }
+  std::size_t size() const { return bytes_.size() - written_bytes_; }
 
-  /// @brief Lines dropped since the start, by class.
+  /// @brief Number of lines dropped since construction, by class.
   const LogCounts& dropped() const { return dropped_; }
 
  private:
   std::size_t capacity_;
   std::string bytes_;
-  std::size_t written_ = 0;  ///< of bytes_, from its start
+  std::size_t written_bytes_ = 0;  ///< at the start of bytes_
   LogCounts dropped_{};
 };
 
--- a/include/pathcleat/core/log_class.hpp
+++ b/include/pathcleat/core/log_class.hpp
@@ -7,21 +7,22 @@
 
 namespace pathcleat {
 
-/// @brief What a line of the log is about. When there is no room for all of
-/// them, lines of the first class go first.
+/// @brief Subject of a log line. When the log buffer fills up, lines of the
+/// first class are dropped first.
 /// @ingroup core
 enum class LogClass : std::uint8_t {
-  kRequest,  ///< a request that went as it should
-  kFailure,  ///< a request that was refused, retried, slow or is unknown
-  kState,    ///< what the process believes has changed
+  kRequest,  ///< a request without failure
+  kFailure,  ///< a request that was refused, retried, slow or has
+             ///< an unknown outcome
+  kState,    ///< a change of state that the process has seen
 };
 
 constexpr std::size_t kLogClassCount = 3;
 
-/// @brief A number for each class.
+/// @brief A count for each log class.
 using LogCounts = std::array<std::uint64_t, kLogClassCount>;
 
-/// @brief Stable lower-case name of a class.
+/// @brief Stable lower-case name of a log class.
 /// @ingroup core
 const char* ToString(LogClass log_class);
 
--- a/include/pathcleat/core/log_writer.hpp
+++ b/include/pathcleat/core/log_writer.hpp
@@ -9,14 +9,14 @@
 
 namespace pathcleat {
 
-/// @brief Writes the log to a descriptor from the event loop, in pieces that
-/// it takes without blocking. A reader that stands still costs lines, never
-/// time.
+/// @brief Writes the log to a descriptor from the event loop, in chunks that
+/// can be written without blocking. If the reader of the log stalls, lines are
+/// dropped and the event loop continues.
 /// @ingroup core
 class LogWriter {
  public:
-  /// @param descriptor open for writing; it stays the caller's.
-  /// @param capacity bytes that may wait for a slow reader.
+  /// @param descriptor open for writing; not closed by this object.
+  /// @param capacity bytes that are buffered for a slow reader.
   LogWriter(boost::asio::io_context& loop,
             int descriptor,
             std::size_t capacity);
@@ -24,32 +24,33 @@
   LogWriter(const LogWriter&) = delete;
   LogWriter& operator=(const LogWriter&) = delete;
 
-  /// @brief Sends what log4cplus logs here from now on.
+  /// @brief Replaces all log4cplus appenders by this writer.
   void Attach();
 
-  /// @brief Takes a line.
+  /// @brief Buffers a line, which is written a little later.
   void Write(LogClass log_class, std::string_view line);
 
-  /// @brief Writes what can be written now.
+  /// @brief Writes as many buffered lines as possible without blocking.
   void Flush();
 
-  /// @brief Lines dropped since the start, by class.
+  /// @brief Number of lines dropped since construction, by class.
   const LogCounts& dropped() const { return buffer_.dropped(); }
 
-  /// @brief Told, as soon as lines pass again, how many were dropped.
+  /// @brief Sets the handler that receives the number of newly dropped lines,
+  /// by class, as soon as the buffer has been written out.
   void OnDropped(std::function<void(const LogCounts&)> handler) {
     on_dropped_ = std::move(handler);
   }
 
  private:
-  void Arm();
-  void TellDropped();
+  void ScheduleFlush();
+  void ReportDropped();
 
   int descriptor_;
   LogBuffer buffer_;
   boost::asio::steady_timer timer_;
-  bool armed_ = false;
-  LogCounts told_{};
+  bool flush_scheduled_ = false;
+  LogCounts reported_drops_{};
   std::function<void(const LogCounts&)> on_dropped_;
 };
 
--- a/include/pathcleat/core/mac.hpp
+++ b/include/pathcleat/core/mac.hpp
@@ -8,16 +8,18 @@
 namespace pathcleat {
 
 /// @brief Appends a MAC (HMAC-SHA-512-256, libsodium) to a message.
-/// @param key any secret text.
+/// @param key secret of any length.
 /// @ingroup core
 std::string AppendMac(std::string_view message, std::string_view key);
 
-/// @brief The message without its MAC, or nothing if the MAC is wrong.
+/// @brief Returns the message without its MAC; std::nullopt if the MAC is
+/// wrong.
 /// @ingroup core
-std::optional<std::string_view> VerifyMac(std::string_view sealed,
+std::optional<std::string_view> VerifyMac(std::string_view message_with_mac,
                                           std::string_view key);
 
-/// @brief Whether two secrets are equal, in a time that tells nothing of them.
+/// @brief Compares two secrets. The time depends on their lengths alone, so
+/// that it does not reveal how many bytes match.
 /// @ingroup core
 bool AreSecretsEqual(std::string_view a, std::string_view b);
 
--- a/include/pathcleat/core/mechanism.hpp
+++ b/include/pathcleat/core/mechanism.hpp
@@ -9,37 +9,42 @@
 
 namespace pathcleat {
 
-/// @brief Parts of the policy that can be switched off one by one, to measure
-/// what each is worth (tools/ablate.py). No promise rests on any of them, but
-/// for kCrashBlock and kUpstreamLimits.
+/// @brief Parts of the routing policy that can be switched off one by one, to
+/// measure the benefit of each (tools/ablate.py). Of the guarantees to users,
+/// only those of kCrashBlock and kUpstreamLimits depend on a mechanism.
 /// @ingroup core
 enum class Mechanism {
-  kRegionShares,    ///< keys stay in their callers' region while it has room
-  kLearnedWarmth,   ///< where a key is quick is learned from run times
-  kKeyPlacement,    ///< a key stays with a few upstreams
-  kAdmission,       ///< what would be late for its waiting is told to come back
-  kUsualLoad,       ///< the usual load by others is remembered
-  kAverageLoad,     ///< an upstream not heard of counts as busy as others
-  kPatience,        ///< repeatable work leaves a silent upstream
-  kCarryingCost,    ///< bytes between regions count in the choice
-  kSlowness,        ///< an upstream's speed is learned
-  kCrashBlock,      ///< requests that crash upstreams are kept from them
-  kUpstreamLimits,  ///< limits that upstreams name in their answers are kept
+  kRegionShares,    ///< keys stay in their callers' region while it has
+                    ///< capacity
+  kLearnedWarmth,   ///< run times show which upstreams are warm for a key
+  kKeyPlacement,    ///< a key is routed to a few upstreams only
+  kAdmission,       ///< requests that would wait too long are refused
+                    ///< with a retry time
+  kUsualLoad,       ///< the usual load by other hosts is remembered
+  kAverageLoad,     ///< an upstream without reports is assumed to have
+                    ///< the average load
+  kPatience,        ///< repeatable requests leave a silent upstream
+  kCarryingCost,    ///< the cost of transfers between regions counts in
+                    ///< the choice of upstream
+  kSlowness,        ///< an upstream's speed is estimated from run times
+  kCrashBlock,      ///< requests that crash upstreams are blocked
+  kUpstreamLimits,  ///< rate limits in the answers of upstreams are
+                    ///< enforced
 };
 
-/// @brief Stable name of a mechanism, as settings give it.
+/// @brief Stable name of a mechanism, as used in settings.
 /// @ingroup core
 std::string_view ToString(Mechanism mechanism);
 
-/// @brief The mechanism of a name, if there is one.
+/// @brief Looks up a mechanism by its name.
 /// @ingroup core
 std::optional<Mechanism> ParseMechanism(std::string_view name);
 
-/// @brief All names, for messages.
+/// @brief Names of all mechanisms, for error messages.
 /// @ingroup core
 std::vector<std::string_view> MechanismNames();
 
-/// @brief Which mechanisms are on: all that are not switched off.
+/// @brief Set of enabled mechanisms: all that are not disabled.
 /// @ingroup core
 struct PolicySwitches {
   std::set<Mechanism> disabled;
--- a/include/pathcleat/core/random_token.hpp
+++ b/include/pathcleat/core/random_token.hpp
@@ -5,7 +5,8 @@
 
 namespace pathcleat {
 
-/// @brief 32 hexadecimal digits from the system's random source (libsodium).
+/// @brief Generates 32 hexadecimal digits from the system's random source
+/// (libsodium).
 /// @ingroup core
 std::string RandomToken();
 
--- a/include/pathcleat/core/request_id.hpp
+++ b/include/pathcleat/core/request_id.hpp
@@ -14,8 +14,8 @@
 /// their restarts.
 /// @ingroup core
 struct RequestId {
-  std::uint64_t incarnation = 0;  ///< of the entry host that took it
-  std::uint64_t sequence = 0;     ///< count at that host
+  std::uint64_t incarnation = 0;  ///< of the accepting entry host
+  std::uint64_t sequence = 0;     ///< number of the request at that host
   std::uint16_t attempt = 0;
 
   auto operator<=>(const RequestId&) const = default;
@@ -26,11 +26,12 @@
   }
 };
 
-/// @brief "incarnation-sequence", in hexadecimal; attempts share it.
+/// @brief Formats an id as "incarnation-sequence" in hexadecimal; the same for
+/// all attempts of a request.
 /// @ingroup core
 std::string ToString(const RequestId& id);
 
-/// @brief Reads the text form back; attempt is 0.
+/// @brief Parses the text form of an id; attempt is 0.
 /// @ingroup core
 std::optional<RequestId> ParseRequestId(std::string_view text);
 
--- a/include/pathcleat/core/request_kind.hpp
+++ b/include/pathcleat/core/request_kind.hpp
@@ -9,7 +9,7 @@
 
 namespace pathcleat {
 
-/// @brief Order in which work is kept under overload; the last is shed first.
+/// @brief Priority of requests under overload; the last is shed first.
 /// @ingroup core
 enum class Priority : std::uint8_t {
   kSubmission = 0,
@@ -29,7 +29,7 @@
 struct RequestKind {
   std::string name;
   std::vector<std::string> methods;
-  std::string path_prefix = "/";  ///< below the service's own prefix
+  std::string path_prefix = "/";  ///< relative to the service's prefix
   bool repeatable = false;
   Priority priority = Priority::kLookup;
   Duration deadline{2'000'000};
--- a/include/pathcleat/core/run_outcome.hpp
+++ b/include/pathcleat/core/run_outcome.hpp
@@ -5,15 +5,15 @@
 
 namespace pathcleat {
 
-/// @brief What is known of a request's run at an upstream.
+/// @brief Whether an upstream ran a request, as far as this host can tell.
 /// @ingroup core
 enum class RunOutcome : std::uint8_t {
-  kAnswered = 0,  ///< it ran, and here is its whole answer
-  kNotRun = 1,    ///< it certainly was not run and never will be
-  kUnknown = 2,   ///< it may have run
+  kAnswered = 0,  ///< ran, and the complete answer arrived
+  kNotRun = 1,    ///< certainly was not run and will not be
+  kUnknown = 2,   ///< may have run
 };
 
-/// @brief "answered", "not-run" or "unknown", as callers are told.
+/// @brief "answered", "not-run" or "unknown", as sent to callers.
 /// @ingroup core
 const char* ToString(RunOutcome outcome);
 
--- a/include/pathcleat/core/store_outcome.hpp
+++ b/include/pathcleat/core/store_outcome.hpp
@@ -10,7 +10,8 @@
   kConflict,     ///< the condition did not hold; nothing was changed
   kNotDone,      ///< certainly not carried out: refused, or never sent
   kUnknown,      ///< may have been carried out, or may yet be
-  kHistoryGone,  ///< a watch asked for changes that are no longer kept
+  kHistoryGone,  ///< a watch requested changes that the store no longer
+                 ///< keeps
 };
 
 /// @brief Stable lower-case name of an outcome.
--- a/include/pathcleat/core/time.hpp
+++ b/include/pathcleat/core/time.hpp
@@ -6,7 +6,7 @@
 
 namespace pathcleat {
 
-/// @brief Length of time, in microseconds.
+/// @brief Time span in microseconds.
 /// @ingroup core
 using Duration = std::chrono::microseconds;
 
@@ -22,20 +22,20 @@
   static time_point now();
 };
 
-/// @brief For tests: lets the clock leap as that of a machine does that was
-/// suspended. Timers stand still meanwhile.
+/// @brief For tests: advances BootClock as if the machine had been suspended.
+/// Timers do not advance.
 /// @ingroup core
-void AdvanceBootClock(Duration leap);
+void AdvanceBootClock(Duration amount);
 
-/// @brief A point on this machine's BootClock; never sent to another host.
+/// @brief Time of this machine's BootClock; never sent to another host.
 /// @ingroup core
 using Time = BootClock::time_point;
 
-/// @brief Wall-clock time in microseconds since the Unix epoch.
+/// @brief Current wall-clock time, in microseconds since the Unix epoch.
 /// @ingroup core
 std::uint64_t WallMicros();
 
-/// @brief A duration in milliseconds, as a double for reports.
+/// @brief Converts a duration to milliseconds, for reports.
 /// @ingroup core
 double ToMilliseconds(Duration value);
 
--- a/src/pathcleat/core/base64.cpp
+++ b/src/pathcleat/core/base64.cpp
@@ -12,7 +12,7 @@
   sodium_bin2base64(text.data(), text.size(),
                     reinterpret_cast<const unsigned char*>(bytes.data()),
                     bytes.size(), sodium_base64_VARIANT_ORIGINAL);
-  text.pop_back();  // the terminating zero
+  text.pop_back();  // the terminating null byte
   return text;
 }
 
--- a/src/pathcleat/core/event_test.cpp
+++ b/src/pathcleat/core/event_test.cpp
@@ -21,7 +21,7 @@
   return "";
 }
 
-Test(event, catalogue_page_lists_exactly_the_codes_events) {
+Test(event, catalogue_page_lists_exactly_the_events_of_the_code) {
   std::ifstream stream(std::string(PATHCLEAT_SOURCE_DIR) + "/docs/EVENTS.md");
   std::ostringstream text;
   text << stream.rdbuf();
@@ -39,7 +39,7 @@
   }
 }
 
-Test(event, json_line_survives_bytes_that_are_no_text) {
+Test(event, json_line_accepts_bytes_that_are_not_utf8) {
   Event event;
   event.subject = "\xff\xfe\"\n";
   const std::string line = ToJsonLine(event);
@@ -47,23 +47,24 @@
   cr_assert_neq(line.find("PC1001"), std::string::npos);
 }
 
-Test(hybrid_clock, message_is_after_its_sending_and_time_never_goes_back) {
+Test(hybrid_clock, receipt_is_ordered_after_sending_and_time_never_goes_back) {
   cr_assert(Holds("any wall clocks, also ones that jump back", [] {
-    HybridClock a;
-    HybridClock b;
-    HybridTime last_a;
-    HybridTime last_b;
+    HybridClock sender;
+    HybridClock receiver;
+    HybridTime last_sent;
+    HybridTime last_received;
     const auto walls = *rc::gen::container<std::vector<std::pair<int, int>>>(
         rc::gen::pair(rc::gen::inRange(0, 100), rc::gen::inRange(0, 100)));
-    for (const auto& [wall_a, wall_b] : walls) {
-      const HybridTime sent = a.Tick(static_cast<std::uint64_t>(wall_a));
-      const HybridTime taken =
-          b.Observe(sent, static_cast<std::uint64_t>(wall_b));
-      RC_ASSERT(sent > last_a);
-      RC_ASSERT(taken > last_b);
-      RC_ASSERT(taken > sent);
-      last_a = sent;
-      last_b = taken;
+    for (const auto& [sender_wall, receiver_wall] : walls) {
+      const HybridTime sent =
+          sender.Tick(static_cast<std::uint64_t>(sender_wall));
+      const HybridTime received =
+          receiver.Observe(sent, static_cast<std::uint64_t>(receiver_wall));
+      RC_ASSERT(sent > last_sent);
+      RC_ASSERT(received > last_received);
+      RC_ASSERT(received > sent);
+      last_sent = sent;
+      last_received = received;
     }
   }));
 }
--- a/src/pathcleat/core/lock_rank.cpp
+++ b/src/pathcleat/core/lock_rank.cpp
@@ -14,7 +14,8 @@
 }  // namespace
 
 void RankedMutex::lock() {
-  assert(held_ranks < Bit(rank_) && "locks are taken by rising rank");
+  assert(held_ranks < Bit(rank_) &&
+         "locks must be acquired in order of rising rank");
   mutex_.lock();
   held_ranks |= Bit(rank_);
 }
--- a/src/pathcleat/core/log_buffer.cpp
+++ b/src/pathcleat/core/log_buffer.cpp
@@ -6,8 +6,8 @@
 namespace pathcleat {
 namespace {
 
-// Part of the capacity that lines of each class may fill.
-constexpr std::array<double, kLogClassCount> kRoom = {0.5, 0.75, 1};
+// Share of the capacity up to which lines of each class are buffered.
+constexpr std::array<double, kLogClassCount> kCapacityShare = {0.5, 0.75, 1};
 
 }  // namespace
 
@@ -25,8 +25,9 @@
 
 void LogBuffer::Push(LogClass log_class, std::string_view line) {
   const auto index = static_cast<std::size_t>(log_class);
-  const double room = kRoom.at(index) * static_cast<double>(capacity_);
-  if (static_cast<double>(size() + line.size() + 1) > room) {
+  const double byte_limit =
+      kCapacityShare.at(index) * static_cast<double>(capacity_);
+  if (static_cast<double>(size() + line.size() + 1) > byte_limit) {
     ++dropped_.at(index);
     return;
   }
@@ -34,18 +35,18 @@
   bytes_.push_back('\n');
 }
 
-std::string_view LogBuffer::Front(std::size_t most) const {
-  return std::string_view(bytes_).substr(written_, most);
+std::string_view LogBuffer::Front(std::size_t max_bytes) const {
+  return std::string_view(bytes_).substr(written_bytes_, max_bytes);
 }
 
 void LogBuffer::Pop(std::size_t bytes) {
-  written_ += bytes;
+  written_bytes_ += bytes;
   if (IsEmpty()) {
     bytes_.clear();
-    written_ = 0;
-  } else if (written_ > capacity_ / 2) {
-    bytes_.erase(0, written_);
-    written_ = 0;
+    written_bytes_ = 0;
+  } else if (written_bytes_ > capacity_ / 2) {
+    bytes_.erase(0, written_bytes_);
+    written_bytes_ = 0;
   }
 }
 
--- a/src/pathcleat/core/log_writer.cpp
+++ b/src/pathcleat/core/log_writer.cpp
@@ -16,18 +16,19 @@
 namespace pathcleat {
 namespace {
 
-// Lines are written together, this long after the first.
-constexpr std::chrono::milliseconds kGatherTime{100};
+// Delay from the first buffered line to the write, which gathers several lines
+// into one write.
+constexpr std::chrono::milliseconds kFlushDelay{100};
 
-// A descriptor that is ready takes this much without blocking (POSIX, pipes).
-constexpr std::size_t kPiece = PIPE_BUF;
+// POSIX: a pipe that polls as writable accepts PIPE_BUF bytes without blocking.
+constexpr std::size_t kMaxWriteBytes = PIPE_BUF;
 
 bool IsReady(int descriptor) {
   pollfd entry{descriptor, POLLOUT, 0};
   return poll(&entry, 1, 0) == 1 && (entry.revents & POLLOUT) != 0;
 }
 
-// Hands log4cplus' lines to a writer.
+// Passes the lines of log4cplus to a LogWriter.
 class WriterAppender : public log4cplus::Appender {
  public:
   explicit WriterAppender(LogWriter& writer) : writer_(writer) {}
@@ -63,16 +64,16 @@
 
 void LogWriter::Write(LogClass log_class, std::string_view line) {
   buffer_.Push(log_class, line);
-  Arm();
+  ScheduleFlush();
 }
 
-void LogWriter::Arm() {
-  if (std::exchange(armed_, true)) {
+void LogWriter::ScheduleFlush() {
+  if (std::exchange(flush_scheduled_, true)) {
     return;
   }
-  timer_.expires_after(kGatherTime);
+  timer_.expires_after(kFlushDelay);
   timer_.async_wait([this](const boost::system::error_code& error) {
-    armed_ = false;
+    flush_scheduled_ = false;
     if (!error) {
       Flush();
     }
@@ -81,31 +82,31 @@
 
 void LogWriter::Flush() {
   while (!buffer_.IsEmpty() && IsReady(descriptor_)) {
-    const std::string_view piece = buffer_.Front(kPiece);
-    const ssize_t written = write(descriptor_, piece.data(), piece.size());
+    const std::string_view chunk = buffer_.Front(kMaxWriteBytes);
+    const ssize_t written = write(descriptor_, chunk.data(), chunk.size());
     if (written <= 0) {
       break;
     }
     buffer_.Pop(static_cast<std::size_t>(written));
   }
   if (buffer_.IsEmpty()) {
-    TellDropped();
+    ReportDropped();
   } else {
-    Arm();
+    ScheduleFlush();
   }
 }
 
-void LogWriter::TellDropped() {
-  if (told_ == buffer_.dropped()) {
+void LogWriter::ReportDropped() {
+  if (reported_drops_ == buffer_.dropped()) {
     return;
   }
-  LogCounts since{};
+  LogCounts newly_dropped{};
   for (std::size_t i = 0; i < kLogClassCount; ++i) {
-    since.at(i) = buffer_.dropped().at(i) - told_.at(i);
+    newly_dropped.at(i) = buffer_.dropped().at(i) - reported_drops_.at(i);
   }
-  told_ = buffer_.dropped();
+  reported_drops_ = buffer_.dropped();
   if (on_dropped_) {
-    on_dropped_(since);
+    on_dropped_(newly_dropped);
   }
 }
 
--- a/src/pathcleat/core/log_writer_test.cpp
+++ b/src/pathcleat/core/log_writer_test.cpp
@@ -23,53 +23,55 @@
   std::string ReadAll() {
     fcntl(ends[0], F_SETFL, O_NONBLOCK);
     std::string text;
-    std::array<char, 4096> piece{};
-    for (ssize_t got = 0;
-         (got = read(ends[0], piece.data(), piece.size())) > 0;) {
-      text.append(piece.data(), static_cast<std::size_t>(got));
+    std::array<char, 4096> chunk{};
+    for (ssize_t received = 0;
+         (received = read(ends[0], chunk.data(), chunk.size())) > 0;) {
+      text.append(chunk.data(), static_cast<std::size_t>(received));
     }
     return text;
   }
   std::array<int, 2> ends{};
 };
 
-// Checked to fail (it stands still for ever) without the poll in Flush.
-Test(log_writer, reader_that_stands_still_costs_lines_and_no_time) {
+// Guards against a log reader that stops reading and blocks the event loop.
+// Fails without the poll in Flush (the write blocks forever).
+Test(log_writer, stalled_reader_costs_lines_but_does_not_block) {
   Pipe pipe;
   boost::asio::io_context loop;
   LogWriter writer(loop, pipe.ends[1], kCapacity);
-  LogCounts told{};
-  writer.OnDropped([&](const LogCounts& dropped) { told = dropped; });
+  LogCounts reported{};
+  writer.OnDropped([&](const LogCounts& dropped) { reported = dropped; });
   const std::string line(100, 'x');
-  // Far more than the pipe and the buffer hold.
+  // Far more than the pipe and the buffer can store.
   for (int i = 0; i < 10'000; ++i) {
     writer.Write(LogClass::kRequest, line);
     writer.Flush();
   }
   cr_assert_gt(writer.dropped()[0], 0U);
-  writer.Write(LogClass::kState, "a change of state finds room");
+  writer.Write(LogClass::kState, "a state change is buffered");
   std::string text;
   for (int i = 0; i < 100; ++i) {
     text += pipe.ReadAll();
     writer.Flush();
   }
-  cr_assert_neq(text.find("a change of state finds room\n"), std::string::npos);
-  cr_assert_eq(told[0], writer.dropped()[0]);
-  cr_assert_eq(told[2], 0U);
+  cr_assert_neq(text.find("a state change is buffered\n"), std::string::npos);
+  cr_assert_eq(reported[0], writer.dropped()[0]);
+  cr_assert_eq(reported[2], 0U);
 }
 
-Test(log_buffer, lines_come_out_whole_in_order_and_lower_classes_go_first) {
+Test(log_buffer,
+     lines_stay_whole_and_in_order_and_lower_classes_are_dropped_first) {
   cr_assert(Holds("any lines, any pieces", [] {
     LogBuffer buffer(500);
     std::string expected;
-    std::string got;
+    std::string received;
     LogCounts dropped{};
     const int steps = *rc::gen::inRange(0, 200);
     for (int i = 0; i < steps; ++i) {
       if (*rc::gen::inRange(0, 3) == 0) {
-        const auto piece = buffer.Front(*rc::gen::inRange(1, 90));
-        got += piece;
-        buffer.Pop(piece.size());
+        const auto chunk = buffer.Front(*rc::gen::inRange(1, 90));
+        received += chunk;
+        buffer.Pop(chunk.size());
         continue;
       }
       const auto index = *rc::gen::inRange<std::size_t>(0, kLogClassCount);
@@ -85,8 +87,8 @@
         RC_ASSERT(request_or_full);
       }
     }
-    got += buffer.Front(500);
-    RC_ASSERT(got == expected);
+    received += buffer.Front(500);
+    RC_ASSERT(received == expected);
     RC_ASSERT(dropped == buffer.dropped());
   }));
 }
--- a/src/pathcleat/core/mac.cpp
+++ b/src/pathcleat/core/mac.cpp
@@ -28,18 +28,20 @@
 std::string AppendMac(std::string_view message, std::string_view key) {
   std::array<unsigned char, crypto_auth_BYTES> mac{};
   crypto_auth(mac.data(), Bytes(message), message.size(), Digest(key).data());
-  std::string sealed(message);
-  sealed.append(reinterpret_cast<const char*>(mac.data()), mac.size());
-  return sealed;
+  std::string message_with_mac(message);
+  message_with_mac.append(reinterpret_cast<const char*>(mac.data()),
+                          mac.size());
+  return message_with_mac;
 }
 
-std::optional<std::string_view> VerifyMac(std::string_view sealed,
+std::optional<std::string_view> VerifyMac(std::string_view message_with_mac,
                                           std::string_view key) {
-  if (sealed.size() < crypto_auth_BYTES) {
+  if (message_with_mac.size() < crypto_auth_BYTES) {
     return std::nullopt;
   }
-  const auto message = sealed.substr(0, sealed.size() - crypto_auth_BYTES);
-  const auto mac = sealed.substr(message.size());
+  const auto message =
+      message_with_mac.substr(0, message_with_mac.size() - crypto_auth_BYTES);
+  const auto mac = message_with_mac.substr(message.size());
   const int wrong = crypto_auth_verify(Bytes(mac), Bytes(message),
                                        message.size(), Digest(key).data());
   if (wrong != 0) {
--- a/src/pathcleat/core/mechanism.cpp
+++ b/src/pathcleat/core/mechanism.cpp
@@ -6,29 +6,29 @@
 namespace pathcleat {
 namespace {
 
-struct Named {
+struct NamedMechanism {
   Mechanism mechanism;
   std::string_view name;
 };
 
 constexpr std::array kNames = {
-    Named{Mechanism::kRegionShares, "region_shares"},
-    Named{Mechanism::kLearnedWarmth, "learned_warmth"},
-    Named{Mechanism::kKeyPlacement, "key_placement"},
-    Named{Mechanism::kAdmission, "admission"},
-    Named{Mechanism::kUsualLoad, "usual_load"},
-    Named{Mechanism::kAverageLoad, "average_load"},
-    Named{Mechanism::kPatience, "patience"},
-    Named{Mechanism::kCarryingCost, "carrying_cost"},
-    Named{Mechanism::kSlowness, "slowness"},
-    Named{Mechanism::kCrashBlock, "crash_block"},
-    Named{Mechanism::kUpstreamLimits, "upstream_limits"},
+    NamedMechanism{Mechanism::kRegionShares, "region_shares"},
+    NamedMechanism{Mechanism::kLearnedWarmth, "learned_warmth"},
+    NamedMechanism{Mechanism::kKeyPlacement, "key_placement"},
+    NamedMechanism{Mechanism::kAdmission, "admission"},
+    NamedMechanism{Mechanism::kUsualLoad, "usual_load"},
+    NamedMechanism{Mechanism::kAverageLoad, "average_load"},
+    NamedMechanism{Mechanism::kPatience, "patience"},
+    NamedMechanism{Mechanism::kCarryingCost, "carrying_cost"},
+    NamedMechanism{Mechanism::kSlowness, "slowness"},
+    NamedMechanism{Mechanism::kCrashBlock, "crash_block"},
+    NamedMechanism{Mechanism::kUpstreamLimits, "upstream_limits"},
 };
 
 }  // namespace
 
 std::string_view ToString(Mechanism mechanism) {
-  for (const Named& named : kNames) {
+  for (const NamedMechanism& named : kNames) {
     if (named.mechanism == mechanism) {
       return named.name;
     }
@@ -37,7 +37,7 @@
 }
 
 std::optional<Mechanism> ParseMechanism(std::string_view name) {
-  for (const Named& named : kNames) {
+  for (const NamedMechanism& named : kNames) {
     if (named.name == name) {
       return named.mechanism;
     }
@@ -48,7 +48,7 @@
 std::vector<std::string_view> MechanismNames() {
   std::vector<std::string_view> names;
   names.reserve(kNames.size());
-  for (const Named& named : kNames) {
+  for (const NamedMechanism& named : kNames) {
     names.push_back(named.name);
   }
   return names;
--- a/src/pathcleat/core/time.cpp
+++ b/src/pathcleat/core/time.cpp
@@ -8,12 +8,12 @@
 namespace pathcleat {
 namespace {
 
-std::atomic<Duration::rep> leapt{0};
+std::atomic<Duration::rep> offset_micros{0};
 
 }  // namespace
 
-void AdvanceBootClock(Duration leap) {
-  leapt += leap.count();
+void AdvanceBootClock(Duration amount) {
+  offset_micros += amount.count();
 }
 
 BootClock::time_point BootClock::now() {
@@ -22,7 +22,7 @@
   const auto elapsed = std::chrono::seconds(value.tv_sec) +
                        std::chrono::nanoseconds(value.tv_nsec);
   return time_point(std::chrono::duration_cast<Duration>(elapsed) +
-                    Duration(leapt));
+                    Duration(offset_micros));
 }
 
 std::uint64_t WallMicros() {
