--- a/include/pathcleat/settings/deployment.hpp
+++ b/include/pathcleat/settings/deployment.hpp
@@ -13,21 +13,22 @@
 
 namespace pathcleat {
 
-/// @brief A region and its one-way latencies to the others.
+/// @brief A region and its limit on requests in flight.
 /// @ingroup settings
 struct Region {
   std::string name;
-  int max_in_flight = 0;  ///< 0: bounded by the upstreams' slots alone
+  int max_in_flight = 0;  ///< 0: limited by the upstreams' slots only
 };
 
-/// @brief A failure domain and the region it lies in.
+/// @brief A failure domain and its region.
 /// @ingroup settings
 struct FailureDomain {
   std::string name;
   RegionIndex region;
 };
 
-/// @brief A seat: the place of one entry host, whichever process fills it.
+/// @brief Name, failure domain and address of one entry host. They stay the
+/// same when the process of the host is replaced.
 /// @ingroup settings
 struct EntryHost {
   std::string name;
@@ -49,16 +50,16 @@
   int slots = 1;
 };
 
-/// @brief A service: a path prefix, its kinds of request, its upstreams.
+/// @brief A service: its path prefix and its kinds of request.
 /// @ingroup settings
 struct Service {
   std::string name;
   std::string path_prefix;
   std::string health_path = "/health";
-  std::vector<RequestKind> kinds;  ///< first match wins
+  std::vector<RequestKind> kinds;  ///< the first matching kind applies
 };
 
-/// @brief Bound on requests in flight from one region to another.
+/// @brief Limit on requests in flight from one region to another.
 /// @ingroup settings
 struct RegionLink {
   RegionIndex from;
@@ -74,16 +75,16 @@
   RegionIndex region;
 };
 
-/// @brief Where the platform's service is, and how much it may be asked.
+/// @brief Address of the platform's service and the rate limit for its calls.
 /// @ingroup settings
 struct PlatformEndpoint {
   std::string address;
   std::uint16_t port = 0;
-  double calls_per_second = 20;  ///< this host's share of the store's rate
-  int burst = 40;                ///< calls that may come at once
+  double calls_per_second = 20;  ///< this host's share of the store's call rate
+  int burst = 40;                ///< calls that may be made at once
 };
 
-/// @brief What all hosts of one user have in common.
+/// @brief Settings that all hosts of one user share.
 /// @ingroup settings
 struct Deployment {
   std::string name;
@@ -100,15 +101,15 @@
   Duration latency_between_regions{35'000};
 
   RegionIndex RegionOf(DomainIndex domain) const;
-  RegionIndex RegionOf(HostIndex seat) const;
+  RegionIndex RegionOf(HostIndex host) const;
 
   /// @brief One-way latency between two failure domains.
   Duration Latency(DomainIndex from, DomainIndex to) const;
 
-  /// @brief All seats of a failure domain, in order.
+  /// @brief All hosts of a failure domain, in order of their indices.
   std::vector<HostIndex> HostsIn(DomainIndex domain) const;
 
-  /// @brief The longest deadline any kind of request may have.
+  /// @brief The longest deadline of all kinds of request.
   Duration MaxDeadline() const;
 
   std::optional<HostIndex> FindHost(std::string_view name) const;
--- a/include/pathcleat/settings/entry_settings.hpp
+++ b/include/pathcleat/settings/entry_settings.hpp
@@ -13,7 +13,8 @@
 
 namespace pathcleat {
 
-/// @brief Addresses that a host listens at, "IP:PORT"; empty: not served.
+/// @brief Listening addresses of a host, "IP:PORT". An interface with an empty
+/// address is not served.
 /// @ingroup settings
 struct ListenAddresses {
   std::string callers;
@@ -23,45 +24,47 @@
   std::string metrics;
 };
 
-/// @brief Bounds on what all hosts together may do.
+/// @brief Limits that all hosts together keep.
 /// @ingroup settings
 struct FleetBounds {
-  double retry_ratio = 0.2;  ///< retries a request, in any window
-  double retry_slack = 50;   ///< and so many more in any window
-  double cold_slack = 5;     ///< requests a second beyond what one bears
-  /// How far the limit that an upstream names may be passed in any window.
+  double retry_ratio = 0.2;  ///< retries per request, in any window
+  double retry_slack = 50;   ///< retries beyond the ratio, in any window
+  double cold_slack = 5;     ///< requests beyond a cold upstream's rate
+  /// Length of the windows in which requests are counted against a rate limit
+  /// that an upstream reports. limit_overage and limit_slack are how far a
+  /// window may exceed the limit.
   Duration limit_window{4'000'000};
-  double limit_overage = 0.5;  ///< part of the limit
-  double limit_slack = 5;      ///< and so many requests more
+  double limit_overage = 0.5;  ///< share of the limit
+  double limit_slack = 5;      ///< requests beyond that
   Duration locate_ttl{2'000'000};
-  Duration stop_grace{6'000'000};  ///< from a planned stop to the end
-  /// From a configuration's acknowledgement to where no host may go by an
-  /// older one.
+  Duration stop_grace{6'000'000};  ///< from a planned stop to exit
+  /// Time from the acknowledgement of a configuration after which no host may
+  /// apply an older configuration.
   Duration config_apply{3'000'000};
-  QuotaBounds quota;  ///< how far client accounts' limits may be passed
+  QuotaBounds quota;  ///< how far client accounts may exceed limits
 };
 
-/// @brief Cost of carrying a gigabyte, in worths of one answer.
+/// @brief Cost of transferring a gigabyte, in units of the value of one answer.
 /// @ingroup settings
 struct TransferCosts {
   double between_domains = 0;
   double between_regions = 0;
 };
 
-/// @brief Which requests' events go to the log.
+/// @brief Selects the requests whose events are logged.
 /// @ingroup settings
 struct RequestLogSettings {
-  bool enabled = true;  ///< whether any do
-  /// Of the requests that go well, one in so many; 1 logs all of them, as an
-  /// account of a whole day needs. One in 128 costs under 2% of the processor
-  /// time (docs/MEASUREMENTS.md, "Cost of the log").
+  bool enabled = true;  ///< false: no requests are logged
+  /// Logs one in this many successful requests. Use 1 to log all of them, which
+  /// a full account of a day needs. One in 128 costs less than 2% of the
+  /// processor time.
   int sample_one_of = 128;
-  /// Requests that fail or are slow, a second; 50 is 1% of what a host of
-  /// today's size takes at most.
+  /// Limit on logged requests per second that fail or are slow. 50 per second
+  /// is 1% of the highest request rate of a host.
   double failures_per_second = 50;
 };
 
-/// @brief Everything that one entry host learns at its start.
+/// @brief Settings that an entry host reads at its start.
 /// @ingroup settings
 struct EntrySettings {
   std::string host;
@@ -69,29 +72,29 @@
   std::string region;
   std::map<std::string, std::string> region_of_domain;
   ListenAddresses listen;
-  std::string peer_address;  ///< IP number for messages between hosts
+  std::string peer_address;  ///< IP address for messages between hosts
   std::uint16_t peer_port = 0;
   std::string store_address;
-  /// What this host's link carries, Mbit/s. The default stands where the
-  /// setting is missing or no link's: that of a thin host, which then relays
-  /// for others only if none is wider.
+  /// Bandwidth of this host's link in Mbit/s. The default applies if the
+  /// setting is missing or out of range. The default is low, so that the host
+  /// relays for other hosts only if no host has a faster link.
   double link_mbps = 10;
   FleetBounds bounds;
   TransferCosts transfer_costs;
   RequestLogSettings request_log;
-  PolicySwitches policy;  ///< mechanisms switched off, for measurements
-  std::map<std::string, int> link_limits;  ///< in flight, by other region
+  PolicySwitches policy;  ///< mechanisms disabled for measurements
+  std::map<std::string, int> link_limits;  ///< max in flight, by other region
 };
 
-/// @brief Settings, and all that is wrong with them; usable if faults is
-/// empty.
+/// @brief Settings and the faults found in them. The settings are valid only if
+/// faults is empty.
 /// @ingroup settings
 struct LoadedEntrySettings {
   EntrySettings settings;
   std::vector<SettingsFault> faults;
 };
 
-/// @brief Reads an entry host's settings file. Starts and changes nothing.
+/// @brief Reads and checks an entry host's settings file; has no side effects.
 /// @ingroup settings
 LoadedEntrySettings LoadEntrySettings(const std::string& path);
 
--- a/include/pathcleat/settings/load_deployment.hpp
+++ b/include/pathcleat/settings/load_deployment.hpp
@@ -9,14 +9,15 @@
 
 namespace pathcleat {
 
-/// @brief A deployment, and all that is wrong with it.
+/// @brief A deployment and the faults found in its file. The deployment is
+/// valid only if faults is empty.
 /// @ingroup settings
 struct LoadedDeployment {
   Deployment deployment;
   std::vector<SettingsFault> faults;
 };
 
-/// @brief Reads a deployment's file.
+/// @brief Reads and checks a deployment file.
 /// @ingroup settings
 LoadedDeployment LoadDeployment(const std::string& path);
 
--- a/include/pathcleat/settings/settings_fault.hpp
+++ b/include/pathcleat/settings/settings_fault.hpp
@@ -5,16 +5,16 @@
 
 namespace pathcleat {
 
-/// @brief One thing wrong with a settings file.
+/// @brief One error in a settings file.
 /// @ingroup settings
 struct SettingsFault {
   std::string file;
   int line = 0;      ///< 1-based; 0 if the file could not be read
   std::string key;   ///< JSON pointer, e.g. "/hosts/2/address"
-  std::string text;  ///< what was expected, and what was found
+  std::string text;  ///< expected and actual value
 };
 
-/// @brief "file:line: key: text".
+/// @brief Formats a fault as "file:line: key: text".
 /// @ingroup settings
 std::string ToString(const SettingsFault& fault);
 
--- a/src/pathcleat/settings/deployment.cpp
+++ b/src/pathcleat/settings/deployment.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 template <class IndexType, class Items>
-std::optional<IndexType> FindNamed(const Items& items, std::string_view name) {
+std::optional<IndexType> FindByName(const Items& items, std::string_view name) {
   const auto found =
       std::find_if(items.begin(), items.end(),
                    [name](const auto& item) { return item.name == name; });
@@ -23,8 +23,8 @@
   return At(domain).region;
 }
 
-RegionIndex Deployment::RegionOf(HostIndex seat) const {
-  return RegionOf(At(seat).domain);
+RegionIndex Deployment::RegionOf(HostIndex host) const {
+  return RegionOf(At(host).domain);
 }
 
 Duration Deployment::Latency(DomainIndex from, DomainIndex to) const {
@@ -37,9 +37,9 @@
 
 std::vector<HostIndex> Deployment::HostsIn(DomainIndex domain) const {
   std::vector<HostIndex> found;
-  for (const HostIndex seat : IndicesOf<HostIndex>(hosts)) {
-    if (At(seat).domain == domain) {
-      found.push_back(seat);
+  for (const HostIndex host : IndicesOf<HostIndex>(hosts)) {
+    if (At(host).domain == domain) {
+      found.push_back(host);
     }
   }
   return found;
@@ -56,25 +56,25 @@
 }
 
 std::optional<HostIndex> Deployment::FindHost(std::string_view name) const {
-  return FindNamed<HostIndex>(hosts, name);
+  return FindByName<HostIndex>(hosts, name);
 }
 
 std::optional<RegionIndex> Deployment::FindRegion(std::string_view name) const {
-  return FindNamed<RegionIndex>(regions, name);
+  return FindByName<RegionIndex>(regions, name);
 }
 
 std::optional<DomainIndex> Deployment::FindDomain(std::string_view name) const {
-  return FindNamed<DomainIndex>(domains, name);
+  return FindByName<DomainIndex>(domains, name);
 }
 
 std::optional<ServiceIndex> Deployment::FindService(
     std::string_view name) const {
-  return FindNamed<ServiceIndex>(services, name);
+  return FindByName<ServiceIndex>(services, name);
 }
 
 std::optional<UpstreamIndex> Deployment::FindUpstream(
     std::string_view name) const {
-  return FindNamed<UpstreamIndex>(upstreams, name);
+  return FindByName<UpstreamIndex>(upstreams, name);
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/settings/entry_settings.cpp
+++ b/src/pathcleat/settings/entry_settings.cpp
@@ -79,12 +79,12 @@
   return bounds;
 }
 
-// A value that no link has is taken for a missing one.
-double LinkOr(JsonReader& reader, double fallback) {
+// A value outside the range of real links is treated as missing.
+double LinkMbpsOr(JsonReader& reader, double fallback) {
   constexpr Bounds kAnyNumber{-1e300, 1e300};
-  constexpr Bounds kLinks{0.1, 1e6};
+  constexpr Bounds kLinkMbps{0.1, 1e6};
   const double link = reader.NumberOr("link_mbps", kAnyNumber, fallback);
-  return link >= kLinks.low && link <= kLinks.high ? link : fallback;
+  return link >= kLinkMbps.low && link <= kLinkMbps.high ? link : fallback;
 }
 
 TransferCosts ReadCosts(JsonReader& reader) {
@@ -144,7 +144,7 @@
     out.store_address = r.Text("address");
     CheckAddress(r, "address", out.store_address);
   });
-  out.link_mbps = LinkOr(reader, out.link_mbps);
+  out.link_mbps = LinkMbpsOr(reader, out.link_mbps);
   reader.ReadNested("bounds",
                     [&out](JsonReader& r) { out.bounds = ReadBounds(r); });
   reader.ReadNested("gigabyte_costs", [&out](JsonReader& r) {
@@ -155,9 +155,9 @@
   reader.ReadNested("policy",
                     [&out](JsonReader& r) { out.policy = ReadPolicy(r); });
   reader.ForEachObject("links", false, [&out](JsonReader& link) {
-    constexpr int kNoDefault = 1;
+    constexpr int kFallback = 1;
     out.link_limits[link.Text("to")] =
-        link.IntegerOr("max_in_flight", kCount, kNoDefault);
+        link.IntegerOr("max_in_flight", kCount, kFallback);
   });
   if (!out.region_of_domain.contains(out.domain)) {
     reader.AddFault("failure_domain",
--- a/src/pathcleat/settings/json_file.cpp
+++ b/src/pathcleat/settings/json_file.cpp
@@ -12,7 +12,7 @@
 
 using nlohmann::json;
 
-// Input iterator that counts the lines it has passed.
+// Input iterator that counts the line ends before its position.
 class LineCountingIterator {
  public:
   using difference_type = std::ptrdiff_t;
@@ -44,7 +44,7 @@
   int* line_;
 };
 
-// Notes the line of every value, and keys that stand twice in one object.
+// Records the line of every value and reports duplicate keys in an object.
 class LineRecorder : public nlohmann::json_sax<json> {
  public:
   LineRecorder(const int* line,
@@ -70,7 +70,7 @@
     Frame& frame = frames_.back();
     if (!frame.keys.insert(name).second) {
       const std::string pointer = frame.pointer + "/" + name;
-      faults_->push_back({file_->path, *line_, pointer, "key stands twice"});
+      faults_->push_back({file_->path, *line_, pointer, "duplicate key"});
     }
     frame.next_key = name;
     return true;
--- a/src/pathcleat/settings/json_file.hpp
+++ b/src/pathcleat/settings/json_file.hpp
@@ -10,7 +10,8 @@
 
 namespace pathcleat {
 
-/// @brief A JSON file with comments and the line at which each value starts.
+/// @brief A parsed JSON file (comments allowed) and the line number at which
+/// each value starts.
 struct JsonFile {
   std::string path;
   nlohmann::json root;
@@ -19,7 +20,8 @@
   int LineOf(const std::string& pointer) const;
 };
 
-/// @brief Reads a file; what is wrong with its text is added to faults.
+/// @brief Reads and parses a file. Errors are appended to faults; after a
+/// syntax error root is null.
 JsonFile ReadJsonFile(const std::string& path,
                       std::vector<SettingsFault>& faults);
 
--- a/src/pathcleat/settings/json_reader.cpp
+++ b/src/pathcleat/settings/json_reader.cpp
@@ -8,7 +8,7 @@
 namespace pathcleat {
 namespace {
 
-std::string Describe(const Bounds& bounds) {
+std::string DescribeRange(const Bounds& bounds) {
   std::ostringstream text;
   text << "expected a number from " << bounds.low << " to " << bounds.high;
   return text.str();
@@ -26,7 +26,7 @@
       faults_(faults) {}
 
 const nlohmann::json* JsonReader::Find(const std::string& key, bool required) {
-  asked_.insert(key);
+  read_keys_.insert(key);
   const auto found = object_.find(key);
   if (found != object_.end()) {
     return &*found;
@@ -43,7 +43,8 @@
     return "";
   }
   if (!value->is_string() || value->get<std::string>().empty()) {
-    AddFault(key, "expected a text that is not empty; found " + value->dump());
+    AddFault(key,
+             "expected a string that is not empty; found " + value->dump());
     return "";
   }
   return value->get<std::string>();
@@ -60,7 +61,7 @@
   }
   if (!value->is_number() || value->get<double>() < bounds.low ||
       value->get<double>() > bounds.high) {
-    AddFault(key, Describe(bounds) + "; found " + value->dump());
+    AddFault(key, DescribeRange(bounds) + "; found " + value->dump());
     return bounds.low;
   }
   return value->get<double>();
@@ -104,14 +105,14 @@
     return texts;
   }
   if (!value->is_array()) {
-    AddFault(key, "expected a list of texts; found " + value->dump());
+    AddFault(key, "expected a list of strings; found " + value->dump());
     return texts;
   }
   for (const auto& item : *value) {
     if (item.is_string()) {
       texts.push_back(item.get<std::string>());
     } else {
-      AddFault(key, "expected a text in the list; found " + item.dump());
+      AddFault(key, "expected a string in the list; found " + item.dump());
     }
   }
   return texts;
@@ -167,7 +168,7 @@
 
 void JsonReader::CheckUnknownKeys() {
   for (const auto& [key, value] : object_.items()) {
-    if (!asked_.contains(key)) {
+    if (!read_keys_.contains(key)) {
       AddFault(key, "unknown key");
     }
   }
--- a/src/pathcleat/settings/json_reader.hpp
+++ b/src/pathcleat/settings/json_reader.hpp
@@ -19,8 +19,8 @@
   double high;
 };
 
-/// @brief Reads one JSON object with checks. Each fault names file, line and
-/// key; keys that nobody asked for are faults when Finish is called.
+/// @brief Reads one JSON object and checks its values. Each fault has the file,
+/// line and key. CheckUnknownKeys reports the keys that were never read.
 class JsonReader {
  public:
   JsonReader(const JsonFile& file,
@@ -37,16 +37,17 @@
   bool Flag(const std::string& key);
   std::vector<std::string> TextList(const std::string& key);
 
-  /// @brief Calls visit with a reader for each object of a list.
+  /// @brief Calls visit with a reader for each object in a list.
   void ForEachObject(const std::string& key,
                      bool required,
                      const std::function<void(JsonReader&)>& visit);
 
-  /// @brief Calls visit with a reader for a nested object, if it is there.
+  /// @brief Calls visit with a reader for a nested object, if the key exists.
   void ReadNested(const std::string& key,
                   const std::function<void(JsonReader&)>& visit);
 
-  /// @brief One of the named choices; the first if it is not.
+  /// @brief Reads one of the named choices. Any other text is a fault, and the
+  /// first choice is returned.
   template <class T>
   T Choice(const std::string& key, const std::map<std::string, T>& choices) {
     const std::string text = Text(key);
@@ -74,7 +75,7 @@
   const nlohmann::json& object_;
   std::string pointer_;
   std::vector<SettingsFault>& faults_;
-  std::set<std::string> asked_;
+  std::set<std::string> read_keys_;
 };
 
 }  // namespace pathcleat
--- a/src/pathcleat/settings/read_deployment.cpp
+++ b/src/pathcleat/settings/read_deployment.cpp
@@ -11,26 +11,26 @@
 constexpr Bounds kMilliseconds{0.001, 600'000};
 constexpr Bounds kSlots{1, 10'000};
 constexpr Bounds kInFlight{1, 1'000'000};
-constexpr Bounds kInstances{1, 1'000};
+constexpr Bounds kInstanceCount{1, 1'000};
 
 Duration FromMilliseconds(double value) {
   constexpr double kMicrosPerMilli = 1'000;
   return Duration(static_cast<Duration::rep>(value * kMicrosPerMilli));
 }
 
-std::string IpText(JsonReader& reader, const std::string& key) {
+std::string Ipv4Text(JsonReader& reader, const std::string& key) {
   std::string text = reader.Text(key);
   boost::system::error_code error;
   boost::asio::ip::make_address_v4(text, error);
   if (!text.empty() && error) {
-    reader.AddFault(key, "expected an IPv4 number; found '" + text + "'");
+    reader.AddFault(key, "expected an IPv4 address; found '" + text + "'");
   }
   return text;
 }
 
-// Looks a name up with find; a name that is not there is a fault.
+// Reads a name and looks it up with find; an unknown name is a fault.
 template <class Find>
-auto Reference(JsonReader& reader, const std::string& key, Find find) {
+auto ResolveName(JsonReader& reader, const std::string& key, Find find) {
   const std::string name = reader.Text(key);
   const auto found = find(name);
   if (!found && !name.empty()) {
@@ -44,26 +44,26 @@
   explicit DeploymentReader(JsonReader& root) : root_(root) {}
 
   Deployment Read() {
-    out_.name = root_.Text("name");
+    deployment_.name = root_.Text("name");
     ReadLatency();
     root_.ForEachObject("regions", true, [this](auto& r) { ReadRegion(r); });
     root_.ForEachObject("services", true, [this](auto& r) { ReadService(r); });
-    root_.ForEachObject("hosts", true, [this](auto& r) { ReadSeat(r); });
+    root_.ForEachObject("hosts", true, [this](auto& r) { ReadHost(r); });
     root_.ForEachObject("upstreams", true,
                         [this](auto& r) { ReadUpstreams(r); });
     root_.ForEachObject("links", false, [this](auto& r) { ReadLink(r); });
     root_.ForEachObject("client_blocks", false,
                         [this](auto& r) { ReadBlock(r); });
     root_.ReadNested("platform", [this](auto& r) { ReadPlatform(r); });
-    return std::move(out_);
+    return std::move(deployment_);
   }
 
  private:
   void CheckUnique(JsonReader& reader,
-                   const std::string& sort,
+                   const std::string& kind,
                    const std::string& name) {
-    if (!names_.insert(sort + " " + name).second) {
-      reader.AddFault("name", "duplicate " + sort + " '" + name + "'");
+    if (!unique_names_.insert(kind + " " + name).second) {
+      reader.AddFault("name", "duplicate " + kind + " '" + name + "'");
     }
   }
 
@@ -71,7 +71,7 @@
                            const std::string& address,
                            std::uint16_t port) {
     const std::string endpoint = address + ":" + std::to_string(port);
-    if (!names_.insert("endpoint " + endpoint).second) {
+    if (!unique_names_.insert("endpoint " + endpoint).second) {
       reader.AddFault("address",
                       "address and port " + endpoint + " used twice");
     }
@@ -79,11 +79,11 @@
 
   void ReadLatency() {
     root_.ReadNested("latency_ms", [this](JsonReader& reader) {
-      out_.latency_in_domain =
+      deployment_.latency_in_domain =
           FromMilliseconds(reader.Number("in_domain", kMilliseconds));
-      out_.latency_between_domains =
+      deployment_.latency_between_domains =
           FromMilliseconds(reader.Number("between_domains", kMilliseconds));
-      out_.latency_between_regions =
+      deployment_.latency_between_regions =
           FromMilliseconds(reader.Number("between_regions", kMilliseconds));
     });
   }
@@ -93,12 +93,13 @@
     region.name = reader.Text("name");
     region.max_in_flight = reader.IntegerOr("max_in_flight", kInFlight, 0);
     CheckUnique(reader, "region", region.name);
-    const RegionIndex index{static_cast<std::uint16_t>(out_.regions.size())};
+    const RegionIndex index{
+        static_cast<std::uint16_t>(deployment_.regions.size())};
     for (const std::string& name : reader.TextList("failure_domains")) {
       CheckUnique(reader, "failure domain", name);
-      out_.domains.push_back({name, index});
+      deployment_.domains.push_back({name, index});
     }
-    out_.regions.push_back(std::move(region));
+    deployment_.regions.push_back(std::move(region));
   }
 
   void ReadService(JsonReader& reader) {
@@ -110,7 +111,7 @@
     reader.ForEachObject("kinds", true, [&service](JsonReader& kind_reader) {
       service.kinds.push_back(ReadKind(kind_reader));
     });
-    out_.services.push_back(std::move(service));
+    deployment_.services.push_back(std::move(service));
   }
 
   static RequestKind ReadKind(JsonReader& reader) {
@@ -133,55 +134,59 @@
   }
 
   auto FindDomain() {
-    return [this](const std::string& name) { return out_.FindDomain(name); };
+    return [this](const std::string& name) {
+      return deployment_.FindDomain(name);
+    };
   }
 
   auto FindRegion() {
-    return [this](const std::string& name) { return out_.FindRegion(name); };
-  }
-
-  void ReadSeat(JsonReader& reader) {
-    EntryHost seat;
-    seat.name = reader.Text("name");
-    seat.domain = Reference(reader, "failure_domain", FindDomain());
-    seat.address = IpText(reader, "address");
-    seat.caller_port = reader.Port("caller_port");
-    seat.peer_port = reader.Port("peer_port");
-    seat.operator_port = reader.Port("operator_port");
-    CheckUnique(reader, "host", seat.name);
-    CheckUniqueEndpoint(reader, seat.address, seat.caller_port);
-    CheckUniqueEndpoint(reader, seat.address, seat.peer_port);
-    CheckUniqueEndpoint(reader, seat.address, seat.operator_port);
-    out_.hosts.push_back(std::move(seat));
-  }
-
-  // One entry stands for 'count' instances on following ports.
+    return [this](const std::string& name) {
+      return deployment_.FindRegion(name);
+    };
+  }
+
+  void ReadHost(JsonReader& reader) {
+    EntryHost host;
+    host.name = reader.Text("name");
+    host.domain = ResolveName(reader, "failure_domain", FindDomain());
+    host.address = Ipv4Text(reader, "address");
+    host.caller_port = reader.Port("caller_port");
+    host.peer_port = reader.Port("peer_port");
+    host.operator_port = reader.Port("operator_port");
+    CheckUnique(reader, "host", host.name);
+    CheckUniqueEndpoint(reader, host.address, host.caller_port);
+    CheckUniqueEndpoint(reader, host.address, host.peer_port);
+    CheckUniqueEndpoint(reader, host.address, host.operator_port);
+    deployment_.hosts.push_back(std::move(host));
+  }
+
+  // One entry describes 'count' instances on consecutive ports.
   void ReadUpstreams(JsonReader& reader) {
     Upstream upstream;
     const std::string name = reader.Text("name");
-    upstream.service = Reference(reader, "service", [this](const auto& text) {
-      return out_.FindService(text);
+    upstream.service = ResolveName(reader, "service", [this](const auto& text) {
+      return deployment_.FindService(text);
     });
-    upstream.domain = Reference(reader, "failure_domain", FindDomain());
-    upstream.address = IpText(reader, "address");
+    upstream.domain = ResolveName(reader, "failure_domain", FindDomain());
+    upstream.address = Ipv4Text(reader, "address");
     const std::uint16_t first_port = reader.Port("port");
     upstream.slots = reader.IntegerOr("slots", kSlots, 1);
-    const int count = reader.IntegerOr("count", kInstances, 1);
+    const int count = reader.IntegerOr("count", kInstanceCount, 1);
     for (int i = 0; i < count; ++i) {
       upstream.name = count == 1 ? name : name + "-" + std::to_string(i + 1);
       upstream.port = static_cast<std::uint16_t>(first_port + i);
       CheckUnique(reader, "upstream", upstream.name);
       CheckUniqueEndpoint(reader, upstream.address, upstream.port);
-      out_.upstreams.push_back(upstream);
+      deployment_.upstreams.push_back(upstream);
     }
   }
 
   void ReadLink(JsonReader& reader) {
     RegionLink link;
-    link.from = Reference(reader, "from", FindRegion());
-    link.to = Reference(reader, "to", FindRegion());
+    link.from = ResolveName(reader, "from", FindRegion());
+    link.to = ResolveName(reader, "to", FindRegion());
     link.max_in_flight = reader.IntegerOr("max_in_flight", kInFlight, 1);
-    out_.links.push_back(link);
+    deployment_.links.push_back(link);
   }
 
   void ReadBlock(JsonReader& reader) {
@@ -194,14 +199,14 @@
     }
     block.first_address = subnet.network().to_uint();
     block.prefix_length = subnet.prefix_length();
-    block.region = Reference(reader, "region", FindRegion());
-    out_.client_blocks.push_back(block);
+    block.region = ResolveName(reader, "region", FindRegion());
+    deployment_.client_blocks.push_back(block);
   }
 
   void ReadPlatform(JsonReader& reader) {
     constexpr Bounds kRate{0.1, 100'000};
-    PlatformEndpoint& platform = out_.platform;
-    platform.address = IpText(reader, "address");
+    PlatformEndpoint& platform = deployment_.platform;
+    platform.address = Ipv4Text(reader, "address");
     platform.port = reader.Port("port");
     platform.calls_per_second =
         reader.NumberOr("calls_per_second", kRate, platform.calls_per_second);
@@ -209,8 +214,8 @@
   }
 
   JsonReader& root_;
-  Deployment out_;
-  std::set<std::string> names_;
+  Deployment deployment_;
+  std::set<std::string> unique_names_;
 };
 
 }  // namespace
--- a/src/pathcleat/settings/settings_test.cpp
+++ b/src/pathcleat/settings/settings_test.cpp
@@ -21,7 +21,7 @@
   return text.str();
 }
 
-// A copy of an example deployment in a directory of its own.
+// Copy of an example deployment in a temporary directory.
 class ExampleCopy {
  public:
   explicit ExampleCopy(const std::string& example)
@@ -62,9 +62,9 @@
 constexpr const char* kDeployment = "deployment.jsonc";
 constexpr const char* kHostFile = "hosts/svealand-1-a.jsonc";
 
-std::vector<SettingsFault> FaultsAfter(const std::string& file,
-                                       const std::string& from,
-                                       const std::string& to) {
+std::vector<SettingsFault> FaultsAfterReplacing(const std::string& file,
+                                                const std::string& from,
+                                                const std::string& to) {
   const ExampleCopy copy("race_results");
   copy.Replace(file, from, to);
   return file == kDeployment
@@ -72,9 +72,9 @@
              : LoadEntrySettings(copy.HostFile(kHost)).faults;
 }
 
-bool Names(const std::vector<SettingsFault>& faults,
-           const std::string& key,
-           const std::string& text) {
+bool HasFault(const std::vector<SettingsFault>& faults,
+              const std::string& key,
+              const std::string& text) {
   return std::any_of(faults.begin(), faults.end(), [&](const auto& fault) {
     return fault.key == key && fault.line > 0 &&
            fault.text.find(text) != std::string::npos;
@@ -99,10 +99,10 @@
   }
 }
 
-Test(settings, unknown_key_is_named_with_its_line) {
-  const auto faults = FaultsAfter(
+Test(settings, unknown_key_is_reported_with_its_line) {
+  const auto faults = FaultsAfterReplacing(
       kDeployment, "\"regions\":", "\"colour\": 1,\n  \"regions\":");
-  cr_assert(Names(faults, "/colour", "unknown key"));
+  cr_assert(HasFault(faults, "/colour", "unknown key"));
   const auto fault =
       std::find_if(faults.begin(), faults.end(),
                    [](const auto& item) { return item.key == "/colour"; });
@@ -110,65 +110,73 @@
 }
 
 Test(settings, wrong_type_and_out_of_range_say_what_was_expected) {
-  cr_assert(Names(FaultsAfter(kDeployment, "\"slots\": 6", "\"slots\": \"6\""),
-                  "/upstreams/0/slots", "expected a number"));
-  cr_assert(Names(FaultsAfter(kDeployment, "\"slots\": 6", "\"slots\": 0"),
-                  "/upstreams/0/slots", "expected a number from 1"));
+  cr_assert(HasFault(
+      FaultsAfterReplacing(kDeployment, "\"slots\": 6", "\"slots\": \"6\""),
+      "/upstreams/0/slots", "expected a number"));
+  cr_assert(HasFault(
+      FaultsAfterReplacing(kDeployment, "\"slots\": 6", "\"slots\": 0"),
+      "/upstreams/0/slots", "expected a number from 1"));
 }
 
 Test(settings, duplicate_host_and_address_are_faults) {
-  const auto faults = FaultsAfter(
+  const auto faults = FaultsAfterReplacing(
       kDeployment,
       "\"name\": \"svealand-1-b\", \"failure_domain\": \"svealand-1\", "
       "\"address\": \"127.1.1.2\"",
       "\"name\": \"svealand-1-a\", \"failure_domain\": \"svealand-1\", "
       "\"address\": \"127.1.1.1\"");
-  cr_assert(Names(faults, "/hosts/1/name", "duplicate host"));
-  cr_assert(Names(faults, "/hosts/1/address", "used twice"));
+  cr_assert(HasFault(faults, "/hosts/1/name", "duplicate host"));
+  cr_assert(HasFault(faults, "/hosts/1/address", "used twice"));
 }
 
-Test(settings, what_is_no_address_is_a_fault) {
-  const auto faults =
-      FaultsAfter(kHostFile, "\"127.1.1.1:8080\"", "\"localhost:8080\"");
+Test(settings, invalid_address_is_a_fault) {
+  const auto faults = FaultsAfterReplacing(kHostFile, "\"127.1.1.1:8080\"",
+                                           "\"localhost:8080\"");
   cr_assert(
-      Names(faults, "/listen/callers", "expected an IP number and a port"));
-  cr_assert(Names(FaultsAfter(kHostFile, "\"127.1.0.1:8500\"", "\"127.1.0.1\""),
-                  "/store/address", "expected an IP number and a port"));
+      HasFault(faults, "/listen/callers", "expected an IP number and a port"));
+  cr_assert(HasFault(
+      FaultsAfterReplacing(kHostFile, "\"127.1.0.1:8500\"", "\"127.1.0.1\""),
+      "/store/address", "expected an IP number and a port"));
 }
 
-Test(settings, key_that_stands_twice_is_a_fault) {
-  const auto faults = FaultsAfter(kDeployment, "\"name\": \"race_results\",",
-                                  "\"name\": \"a\", \"name\": \"b\",");
-  cr_assert(Names(faults, "/name", "stands twice"));
+Test(settings, duplicate_key_is_a_fault) {
+  const auto faults =
+      FaultsAfterReplacing(kDeployment, "\"name\": \"race_results\",",
+                           "\"name\": \"a\", \"name\": \"b\",");
+  cr_assert(HasFault(faults, "/name", "duplicate key"));
 }
 
-Test(settings, broken_json_names_the_line) {
+Test(settings, malformed_json_is_reported_with_its_line) {
   const auto faults =
-      FaultsAfter(kDeployment, "\"regions\": [", "\"regions\": [[[");
+      FaultsAfterReplacing(kDeployment, "\"regions\": [", "\"regions\": [[[");
   cr_assert_geq(faults.size(), 1U);
   cr_assert_gt(faults[0].line, 1);
 }
 
 Test(settings, missing_file_and_unknown_names_are_faults) {
   cr_assert_eq(LoadEntrySettings("/nowhere/at/all.jsonc").faults.size(), 1U);
-  cr_assert(Names(FaultsAfter(kHostFile, "\"failure_domain\": \"svealand-1\"",
-                              "\"failure_domain\": \"nowhere\""),
-                  "/failure_domain", "'nowhere' is not among"));
-  cr_assert(Names(FaultsAfter(kDeployment, "\"service\": \"resultat\"",
-                              "\"service\": \"nothing\""),
-                  "/upstreams/0/service", "no such name"));
+  cr_assert(HasFault(
+      FaultsAfterReplacing(kHostFile, "\"failure_domain\": \"svealand-1\"",
+                           "\"failure_domain\": \"nowhere\""),
+      "/failure_domain", "'nowhere' is not among"));
+  cr_assert(
+      HasFault(FaultsAfterReplacing(kDeployment, "\"service\": \"resultat\"",
+                                    "\"service\": \"nothing\""),
+               "/upstreams/0/service", "no such name"));
 }
 
 Test(settings, wrong_bounds_of_a_host_are_faults) {
-  cr_assert(Names(FaultsAfter(kHostFile, "\"links\":",
-                              "\"bounds\": {\"retry_ratio\": -1}, \"links\":"),
-                  "/bounds/retry_ratio", "expected a number from 0"));
-  cr_assert(
-      Names(FaultsAfter(kHostFile, "\"links\":", "\"colour\": 1, \"links\":"),
-            "/colour", "unknown key"));
+  cr_assert(HasFault(
+      FaultsAfterReplacing(kHostFile, "\"links\":",
+                           "\"bounds\": {\"retry_ratio\": -1}, \"links\":"),
+      "/bounds/retry_ratio", "expected a number from 0"));
+  cr_assert(HasFault(FaultsAfterReplacing(
+                         kHostFile, "\"links\":", "\"colour\": 1, \"links\":"),
+                     "/colour", "unknown key"));
 }
 
-Test(settings, mechanisms_are_switched_off_by_name_and_unknown_ones_named) {
+Test(settings,
+     mechanisms_are_switched_off_by_name_and_unknown_names_are_reported) {
   const ExampleCopy copy("race_results");
   const std::string file = copy.HostFile("svealand-1-a");
   const std::string name = "hosts/svealand-1-a.jsonc";
@@ -178,13 +186,14 @@
   cr_assert(!loaded.settings.policy.IsEnabled(Mechanism::kPatience));
   cr_assert(loaded.settings.policy.IsEnabled(Mechanism::kSlowness));
   copy.Replace(name, "patience", "patients");
-  const LoadedEntrySettings wrong = LoadEntrySettings(file);
-  cr_assert_eq(wrong.faults.size(), 1U);
-  cr_assert_neq(wrong.faults[0].text.find("patients"), std::string::npos);
-  cr_assert_neq(wrong.faults[0].text.find("learned_warmth"), std::string::npos);
+  const LoadedEntrySettings invalid = LoadEntrySettings(file);
+  cr_assert_eq(invalid.faults.size(), 1U);
+  cr_assert_neq(invalid.faults[0].text.find("patients"), std::string::npos);
+  cr_assert_neq(invalid.faults[0].text.find("learned_warmth"),
+                std::string::npos);
 }
 
-double LinkAfter(const std::string& setting) {
+double LinkMbpsWith(const std::string& setting) {
   const ExampleCopy copy("race_results");
   copy.Replace(kHostFile, "\"links\":", setting + "\"links\":");
   const LoadedEntrySettings loaded = LoadEntrySettings(copy.HostFile(kHost));
@@ -192,13 +201,13 @@
   return loaded.settings.link_mbps;
 }
 
-Test(settings, link_that_is_missing_or_absurd_counts_as_a_thin_one) {
-  const double usual = EntrySettings().link_mbps;
-  cr_assert_float_eq(LinkAfter("\"link_mbps\": 200.5, "), 200.5, 0.01);
-  cr_assert_float_eq(LinkAfter(""), usual, 0.01);
-  cr_assert_float_eq(LinkAfter("\"link_mbps\": 0, "), usual, 0.01);
-  cr_assert_float_eq(LinkAfter("\"link_mbps\": -3, "), usual, 0.01);
-  cr_assert_float_eq(LinkAfter("\"link_mbps\": 1e30, "), usual, 0.01);
+Test(settings, missing_or_invalid_link_rate_falls_back_to_the_default) {
+  const double default_mbps = EntrySettings().link_mbps;
+  cr_assert_float_eq(LinkMbpsWith("\"link_mbps\": 200.5, "), 200.5, 0.01);
+  cr_assert_float_eq(LinkMbpsWith(""), default_mbps, 0.01);
+  cr_assert_float_eq(LinkMbpsWith("\"link_mbps\": 0, "), default_mbps, 0.01);
+  cr_assert_float_eq(LinkMbpsWith("\"link_mbps\": -3, "), default_mbps, 0.01);
+  cr_assert_float_eq(LinkMbpsWith("\"link_mbps\": 1e30, "), default_mbps, 0.01);
 }
 
 }  // namespace
