--- a/include/pathcleat/http/endpoint.hpp
+++ b/include/pathcleat/http/endpoint.hpp
@@ -7,7 +7,7 @@
 
 namespace pathcleat {
 
-/// @brief Reads "IP:PORT"; the IP is a number, never a name.
+/// @brief Parses "IP:PORT". Host names are not resolved, but rejected.
 /// @ingroup http
 std::optional<boost::asio::ip::tcp::endpoint> ParseTcpEndpoint(
     std::string_view text);
--- a/include/pathcleat/http/http_client.hpp
+++ b/include/pathcleat/http/http_client.hpp
@@ -19,138 +19,142 @@
 
 namespace pathcleat {
 
-/// @brief How one request on a client connection ended.
+/// @brief Outcome of one request on a client connection.
 /// @ingroup http
 enum class CallOutcome {
-  kAnswered,        ///< a whole answer arrived
-  kNotSent,         ///< no byte of the request left this host
-  kConnectionLost,  ///< bytes may have left; no whole answer came
-  kTimedOut,        ///< bytes may have left; no whole answer came in time
+  kAnswered,        ///< a complete answer arrived
+  kNotSent,         ///< no byte of the request was sent
+  kConnectionLost,  ///< bytes may have been sent; no complete answer arrived
+  kTimedOut,        ///< bytes may have been sent; no complete answer in time
 };
 
 /// @brief Result of one request.
 /// @ingroup http
 struct CallResult {
   CallOutcome outcome = CallOutcome::kNotSent;
-  HttpResponse response;             ///< for kAnswered
-  std::string detail;                ///< plain words, for the other outcomes
-  std::uint64_t received_bytes = 0;  ///< that arrived, headers included
-  Duration transfer_time{0};         ///< from the first of them to the end
-  /// Given up by a limit on silence or by TCP's probes: the peer neither sent
-  /// nor closed. Not set where the total time ran out.
+  HttpResponse response;             ///< set for kAnswered
+  std::string detail;                ///< cause of the other outcomes
+  std::uint64_t received_bytes = 0;  ///< bytes of answers, with headers
+  Duration transfer_time{0};  ///< from the first received byte to the end
+  /// The request failed because the peer neither sent bytes nor closed:
+  /// `first_byte` or `progress` expired, or TCP got no acknowledgement. Not set
+  /// if the total time ran out.
   bool connection_silent = false;
-  bool closed_locally = false;  ///< this end closed, and not the peer
+  bool closed_locally = false;  ///< this host closed the connection first
 };
 
-/// @brief Stands for no limit beside the total time.
+/// @brief Disables a timeout, so that only the total time applies.
 /// @ingroup http
 inline constexpr Duration kNoTimeout = Duration::max();
 
-/// @brief Limit on the time without an acknowledgement by a peer's machine,
-/// unless a connection has its own: TCP's first three retransmissions (after
-/// 0.2, 0.6 and 1.4 s) and a link's queue of a second fit into it.
+/// @brief Default time after which a connection is closed if the peer's machine
+/// does not acknowledge bytes. Long enough for TCP's first three
+/// retransmissions (after 0.2, 0.6 and 1.4 s) and for a second of queueing on a
+/// link.
 /// @ingroup http
 inline constexpr Duration kAckTimeout{3'000'000};
 
-/// @brief Time limits of one request. A large answer over a thin link takes
-/// long and is worth waiting for while it arrives (`total`); one that stopped
-/// is not (`progress`).
+/// @brief Timeouts of one request. A large answer over a slow link takes long,
+/// so `total` leaves time for an answer that makes progress; `progress` ends an
+/// answer that has stopped arriving.
 /// @ingroup http
 struct CallTimeouts {
   Duration connect{1'000'000};
-  Duration total{5'000'000};  ///< from Send, the connecting included
-  /// From the request's last byte to the answer's first one.
+  Duration total{5'000'000};  ///< from Send, includes connecting
+  /// From the last byte of the request to the first byte of the answer.
   Duration first_byte = kNoTimeout;
-  /// Without a byte received, once the answer's first one has come.
+  /// Time without a received byte, after the first byte of the answer.
   Duration progress = kNoTimeout;
 };
 
-/// @brief The client's end of one HTTP/1.1 connection, one request at a time.
-/// It never sends a request twice. Owned by shared pointers; lives in the
-/// thread of its event loop.
+/// @brief Client of one HTTP/1.1 connection that sends one request at a time
+/// and never sends a request twice. Owned by shared pointers; must be used in
+/// the thread of its event loop.
 /// @ingroup http
 class HttpClient : public std::enable_shared_from_this<HttpClient> {
  public:
   using Callback = std::function<void(CallResult)>;
 
-  /// @brief Whether an answer belongs to the request sent. One that does not
-  /// is a late or surplus answer: it is dropped and the next one awaited.
+  /// @brief Returns whether an answer belongs to the request sent. Any other
+  /// answer is late or surplus: the client drops it and waits for the next.
   using Matcher = std::function<bool(const HttpResponse&)>;
 
   HttpClient(boost::asio::io_context& loop,
              boost::asio::ip::tcp::endpoint endpoint,
              const HttpLimits& limits);
 
-  /// @brief Sends a request, connecting first if there is no connection.
-  /// @param callback called once, never from inside this call, and not after
-  /// Cancel.
+  /// @brief Sends a request; connects first if there is no open connection.
+  /// @param callback called once with the result, not from inside this call and
+  /// not after Cancel.
   void Send(const HttpRequest& request,
             const CallTimeouts& timeouts,
             Callback callback,
             Matcher matcher = nullptr);
 
-  /// @brief Uses this local IP number when it connects.
+  /// @brief Sets the local IP address to connect from.
   void BindLocalAddress(const std::string& local_address);
 
-  /// @brief For how long the peer's machine may leave bytes or probes
-  /// without an acknowledgement before the connection is given up. To be set
-  /// before the first request; an idle connection is found a second later at
-  /// most.
-  void SetAckTimeout(Duration limit) { silence_limit_ = limit; }
+  /// @brief Sets how long the peer's machine may leave bytes or TCP keep-alive
+  /// probes unacknowledged before the connection is closed. Must be set before
+  /// the first request. An idle connection is closed at most a second later
+  /// than that.
+  void SetAckTimeout(Duration limit) { ack_timeout_ = limit; }
 
-  /// @brief Called if the next request opens a connection, before its first
-  /// byte is written; may cancel.
+  /// @brief Sets a callback that is called if the next request opens a
+  /// connection, before the first byte is written. It may call Cancel.
   void OnOpened(std::function<void()> callback) {
     on_opened_ = std::move(callback);
   }
 
-  /// @brief Closes the connection at once; the callback is not called. What
-  /// of a request has not left this host yet never does.
+  /// @brief Closes the connection at once; the callback is not called. Bytes of
+  /// a request that have not been sent yet are discarded.
   void Cancel();
 
-  /// @brief Whether bytes of the request under way may have left this host.
+  /// @brief Whether bytes of the current request may have been sent.
   bool MayHaveSent() const { return connected_; }
 
-  /// @brief Whether the request under way has been handed over whole to the
-  /// connection.
-  bool IsWritten() const { return written_; }
+  /// @brief Whether the current request has been written completely to the
+  /// socket.
+  bool IsWritten() const { return request_written_; }
 
-  /// @brief Whether a next request can be sent on the open connection.
-  bool IsReusable() const { return connected_ && !spent_ && !callback_; }
+  /// @brief Whether the open connection can be used for another request.
+  bool IsReusable() const { return connected_ && !must_close_ && !callback_; }
 
-  /// @brief Whether bytes sent still await the acknowledgement of the peer's
-  /// machine: a peer that is busy acknowledges, a silent connection does not.
+  /// @brief Whether the peer's machine has not acknowledged all sent bytes yet.
+  /// A busy peer still acknowledges; a silent connection does not.
   bool HasUnacknowledgedBytes();
 
-  /// @brief When the connection was opened.
+  /// @brief Time at which the connection was opened.
   Time opened_at() const { return opened_at_; }
 
-  /// @brief When the last byte came; the opening, if none has.
-  Time last_byte_at() const { return heard_at_; }
+  /// @brief Time of the last received byte, or of the opening if none arrived.
+  Time last_byte_at() const { return last_byte_at_; }
 
-  /// @brief Since when the connection has been idle.
+  /// @brief Time since which the connection has been idle.
   Time idle_since() const { return idle_since_; }
 
-  /// @brief How long the peer says it keeps an idle connection; zero: unsaid.
-  Duration keep_alive_timeout() const { return keep_alive_; }
+  /// @brief How long the peer keeps an idle connection open; zero if not
+  /// stated.
+  Duration keep_alive_timeout() const { return keep_alive_timeout_; }
 
-  /// @brief Bytes that arrived since the request under way was sent.
-  std::uint64_t received_bytes() const { return received_; }
+  /// @brief Bytes received since the current request was sent.
+  std::uint64_t received_bytes() const { return received_bytes_; }
 
-  /// @brief When bytes of the answer under way last came, if any have.
+  /// @brief Time of the last received byte of the current answer, if any.
   std::optional<Time> last_response_byte_at() const {
-    return heard_ ? std::optional<Time>(quiet_since_) : std::nullopt;
+    return response_started_ ? std::optional<Time>(last_progress_at_)
+                             : std::nullopt;
   }
 
-  /// @brief How long the connection took to open, if this request opened it.
+  /// @brief Time to open the connection, if the current request opened it.
   std::optional<Duration> connect_time() const { return connect_time_; }
 
-  /// @brief Whether the request under way goes over a connection that had
-  /// served another one before.
+  /// @brief Whether the current request uses a connection that has carried an
+  /// earlier request.
   bool reused() const { return reused_; }
 
-  /// @brief Whether the connection was given up as silent: see
-  /// CallResult::silent. An idle one can be, too.
+  /// @brief Whether the connection was closed as silent: see
+  /// CallResult::connection_silent. Applies to idle connections too.
   bool IsSilent() const { return silent_; }
 
  private:
@@ -158,20 +162,20 @@
       boost::beast::http::response_parser<boost::beast::http::string_body>;
 
   void Connect(Duration timeout);
-  void OnConnected(Time began);
-  void OnNoConnection();
+  void OnConnected(Time started_at);
+  void OnConnectTimeout();
   void Write();
-  void OnWritten(bool whole);
+  void OnWritten(bool complete);
   void Read();
-  void NoteHeard();
+  void OnResponseBytes();
   void OnRead(const boost::system::error_code& error, std::size_t bytes);
   void Parse();
-  void TakeResponse();
-  void AwaitNext();
-  void OnEnd(const boost::system::error_code& error);
-  Time Limit() const;
-  void ArmLimit();
-  void OnLimit();
+  void HandleResponse();
+  void AwaitNextResponse();
+  void OnReadError(const boost::system::error_code& error);
+  Time CurrentDeadline() const;
+  void ArmDeadline();
+  void OnDeadline();
   void ArmTimer(Duration timeout, void (HttpClient::*step)());
   void Fail(CallOutcome outcome, std::string detail);
   void Finish(CallResult result);
@@ -183,33 +187,33 @@
   HttpLimits limits_;
   boost::asio::ip::tcp::socket socket_;
   boost::asio::steady_timer timer_;
-  std::string out_;
-  bool head_ = false;
+  std::string request_bytes_;
+  bool is_head_request_ = false;
   Callback callback_;
   std::function<void()> on_opened_;
   Matcher matcher_;
   CallTimeouts timeouts_;
-  Time deadline_;
-  Duration silence_limit_ = kAckTimeout;
+  Time total_deadline_;
+  Duration ack_timeout_ = kAckTimeout;
   Time opened_at_;
-  Time heard_at_;
-  Time quiet_since_;  ///< last byte received, or the request's last one sent
+  Time last_byte_at_;
+  Time last_progress_at_;  ///< last byte received, or request written
   std::optional<Duration> connect_time_;
   boost::beast::flat_buffer buffer_;
   std::optional<Parser> parser_;
   Time idle_since_;
-  std::uint64_t received_ = 0;  ///< bytes since the request was sent
-  Time first_byte_;             ///< when the first of them arrived
-  Duration keep_alive_{0};
+  std::uint64_t received_bytes_ = 0;  ///< since the request was sent
+  Time first_byte_;                   ///< time of the first received byte
+  Duration keep_alive_timeout_{0};
   std::uint64_t timer_generation_ = 0;
-  int strangers_ = 0;  ///< answers dropped since the request was sent
+  int mismatched_responses_ = 0;  ///< dropped since the request was sent
   bool connected_ = false;
-  bool written_ = false;
-  bool heard_ = false;  ///< bytes have come since the request was sent
+  bool request_written_ = false;
+  bool response_started_ = false;  ///< bytes of the answer have arrived
   bool silent_ = false;
   bool reading_ = false;
-  bool peer_ended_ = false;
-  bool spent_ = false;  ///< must not carry another request
+  bool peer_closed_ = false;
+  bool must_close_ = false;  ///< no further request may use the connection
   bool reused_ = false;
   bool closed_ = false;
 };
--- a/include/pathcleat/http/http_codec.hpp
+++ b/include/pathcleat/http/http_codec.hpp
@@ -15,24 +15,25 @@
 using BeastResponse =
     boost::beast::http::response<boost::beast::http::string_body>;
 
-/// @brief Beast's parsed message as the project's value type.
+/// @brief Converts a message parsed by Beast to the project's type.
 /// @ingroup http
 HttpRequest FromBeast(BeastRequest message);
 HttpResponse FromBeast(BeastResponse message);
 
-/// @brief A request's bytes, framed by Content-Length, kept alive.
+/// @brief Serializes a request with Content-Length; the connection is kept
+/// alive.
 /// @ingroup http
 std::string SerializeRequest(const HttpRequest& request);
 
-/// @brief A response's bytes, framed by Content-Length.
-/// @param head the request was HEAD: the header alone.
+/// @brief Serializes a response with Content-Length.
+/// @param head whether the request was HEAD: the body is left out.
 /// @ingroup http
 std::string SerializeResponse(const HttpResponse& response,
                               bool keep_alive,
                               bool head);
 
-/// @brief How long the peer says that it keeps an idle connection: the
-/// "timeout" of its Keep-Alive field, in whole seconds; zero: unsaid.
+/// @brief How long the peer keeps an idle connection open: the "timeout" of its
+/// Keep-Alive header, in whole seconds; zero if not stated.
 /// @ingroup http
 Duration KeepAliveTimeout(const HttpResponse& response);
 
--- a/include/pathcleat/http/http_exchange.hpp
+++ b/include/pathcleat/http/http_exchange.hpp
@@ -12,46 +12,48 @@
 
 namespace pathcleat {
 
-/// @brief One request that a caller sent and the place for its answer.
-/// Answering after the caller has left is allowed and does nothing.
+/// @brief A request of a caller and its answer. An answer after the caller has
+/// disconnected is allowed and has no effect.
 /// @ingroup http
 class HttpExchange {
  public:
   /// @param caller the caller's IP address as text.
-  /// @param received when the request's last byte was read.
+  /// @param received time at which the last byte of the request was read.
   HttpExchange(HttpRequest request, std::string caller, Time received)
       : request_(std::move(request)),
-        caller_(std::move(caller)),
-        received_(received) {}
+        caller_ip_(std::move(caller)),
+        received_at_(received) {}
 
   const HttpRequest& request() const { return request_; }
-  const std::string& caller_ip() const { return caller_; }
-  Time received_at() const { return received_; }
+  const std::string& caller_ip() const { return caller_ip_; }
+  Time received_at() const { return received_at_; }
 
-  /// @brief Gives the answer. Only the first call counts.
+  /// @brief Sends the answer. Only the first call has an effect.
   void Respond(HttpResponse response);
 
-  /// @brief Ends the connection without an answer: for stand-ins that fail.
+  /// @brief Closes the connection without an answer, for upstream stand-ins
+  /// that simulate a failure.
   void DropConnection();
 
-  /// @brief Called once if the caller leaves before the answer is given.
+  /// @brief Sets a callback that is called once if the caller disconnects
+  /// before the answer.
   void OnAbandoned(std::function<void()> callback);
 
-  /// @brief Called once if the caller ends its side of the connection before
-  /// the answer is given: most have gone then, some wait for their answer, and
-  /// one that is given is still written. Without this the caller counts as
-  /// gone.
+  /// @brief Sets a callback that is called once if the caller half-closes the
+  /// connection before the answer. Most such callers have disconnected, some
+  /// still wait for the answer, so an answer is still written. Without a
+  /// callback the caller counts as disconnected.
   void OnCallerHalfClosed(std::function<void()> callback);
 
-  /// @brief Asks the connection itself whether the caller has left, which it
-  /// may have done behind bytes that are not read yet. If so, OnCallerEnded
-  /// or OnAbandoned is called inside this call.
+  /// @brief Checks whether the caller has closed the connection, also if unread
+  /// bytes precede the close. If so, the callback of OnCallerHalfClosed or
+  /// OnAbandoned is called inside this call.
   void CheckConnection();
 
-  /// @brief Whether the caller is there and has no answer yet.
+  /// @brief Whether the caller is connected and has no answer yet.
   bool IsOpen() const { return !response_ && !abandoned_; }
 
-  // The connection's side.
+  // Used by the connection.
   bool answered() const { return response_.has_value(); }
   const HttpResponse& response() const { return *response_; }
   void OnAnswered(std::function<void()> callback);
@@ -59,25 +61,25 @@
   void OnConnectionCheck(std::function<void()> callback);
   void Abandon();
 
-  /// @return whether somebody hears of it and will answer.
+  /// @return whether a callback was set, whose owner will answer.
   bool NotifyCallerHalfClosed();
 
  private:
   HttpRequest request_;
-  std::string caller_;
-  Time received_;
+  std::string caller_ip_;
+  Time received_at_;
   std::optional<HttpResponse> response_;
   bool abandoned_ = false;
   std::function<void()> on_answered_;
   std::function<void()> on_abandoned_;
-  std::function<void()> on_ended_;
-  std::function<void()> on_check_;
-  std::function<void()> on_dropped_;
+  std::function<void()> on_caller_half_closed_;
+  std::function<void()> on_connection_check_;
+  std::function<void()> on_connection_dropped_;
 };
 
 using HttpExchangePtr = std::shared_ptr<HttpExchange>;
 
-/// @brief Takes each request; the answer may come at any later time.
+/// @brief Handles each request; may answer at any later time.
 /// @ingroup http
 using HttpExchangeHandler = std::function<void(const HttpExchangePtr&)>;
 
--- a/include/pathcleat/http/http_message.hpp
+++ b/include/pathcleat/http/http_message.hpp
@@ -8,7 +8,7 @@
 
 namespace pathcleat {
 
-/// @brief One header field; names compare without regard to case.
+/// @brief One header field; names are case-insensitive.
 /// @ingroup http
 struct HttpHeader {
   std::string name;
@@ -22,7 +22,7 @@
 
 using HttpHeaders = std::vector<HttpHeader>;
 
-/// @brief A whole HTTP request.
+/// @brief A complete HTTP request.
 /// @ingroup http
 struct HttpRequest {
   std::string method;
@@ -31,7 +31,7 @@
   std::string body;
 };
 
-/// @brief A whole HTTP response.
+/// @brief A complete HTTP response.
 /// @ingroup http
 struct HttpResponse {
   int status = 0;
@@ -39,21 +39,21 @@
   std::string body;
 };
 
-/// @brief Value of the first field called name, if there is one.
+/// @brief Value of the first header with this name, if any.
 /// @ingroup http
 std::optional<std::string> FindHeader(const HttpHeaders& headers,
                                       std::string_view name);
 
-/// @brief The fields that go end to end: all but the connection's own, those
-/// named by Connection, and the framing fields.
+/// @brief Headers to forward end to end: all except hop-by-hop headers, headers
+/// named in Connection and Content-Length.
 /// @ingroup http
 HttpHeaders EndToEndHeaders(const HttpHeaders& headers);
 
-/// @brief A response with a plain-text body.
+/// @brief Creates a response with a plain-text body.
 /// @ingroup http
 HttpResponse TextResponse(int status, std::string text);
 
-/// @brief A response with a JSON body.
+/// @brief Creates a response with a JSON body.
 /// @ingroup http
 HttpResponse JsonResponse(int status, std::string json);
 
--- a/include/pathcleat/http/http_server.hpp
+++ b/include/pathcleat/http/http_server.hpp
@@ -20,12 +20,13 @@
 class ServerSession;
 
 /// @brief A listening socket and the HTTP/1.1 connections accepted from it.
-/// Requests of one connection are answered in the order asked. Lives in the
-/// thread of its event loop.
+/// Requests of one connection are answered in the order of arrival. Must be
+/// used in the thread of its event loop.
 /// @ingroup http
 class HttpServer {
  public:
-  /// @brief Told of each request that was rejected before the handler saw it.
+  /// @brief Called with the status and the caller's IP address for each request
+  /// that was rejected before it reached the handler.
   using RejectionObserver = std::function<void(int status, const std::string&)>;
 
   HttpServer(boost::asio::io_context& loop, HttpExchangeHandler handler);
@@ -33,34 +34,34 @@
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  /// @brief Binds and begins to accept.
-  /// @param port 0: any free port.
-  /// @return the port bound.
+  /// @brief Binds and starts to accept connections.
+  /// @param port 0 selects any free port.
+  /// @return the bound port.
   Result<std::uint16_t> Listen(const std::string& address, std::uint16_t port);
 
-  /// @brief Limits for requests that begin from now on.
+  /// @brief Sets the limits for requests that start from now on.
   void SetLimits(const HttpLimits& limits) { limits_ = limits; }
   const HttpLimits& limits() const { return limits_; }
 
   void OnRejected(RejectionObserver observer) {
-    rejected_ = std::move(observer);
+    on_rejected_ = std::move(observer);
   }
 
-  /// @brief Answers from now on end their connections; idle ones stay open
-  /// until their next answer, so that no request under way is cut.
+  /// @brief Closes each connection after its next answer. Idle connections stay
+  /// open until then, so that no request in transit is lost.
   void CloseAfterAnswers() { close_after_answers_ = true; }
 
-  /// @brief At this many connections those of least worth are ended for new
-  /// ones: see MakeRoom. 0: as many as descriptors allow.
-  void SetMaxConnections(std::size_t most) { most_ = most; }
+  /// @brief Sets the maximum number of connections. Beyond it, new connections
+  /// evict others: see EvictConnections. 0: limited by file descriptors only.
+  void SetMaxConnections(std::size_t max) { max_connections_ = max; }
 
-  /// @brief Whether new connections can be taken, as far as the last try told.
+  /// @brief Whether the last attempt to accept a connection succeeded.
   bool CanAccept() const { return can_accept_; }
 
-  /// @brief Takes what waits in the backlog and accepts no more.
+  /// @brief Accepts the connections in the backlog and closes the listener.
   void StopAccepting();
 
-  /// @brief Ends idle connections now and the others after their answers.
+  /// @brief Closes idle connections now and the others after their answers.
   void CloseGracefully();
 
   std::size_t connection_count() const { return sessions_.size(); }
@@ -71,23 +72,24 @@
   void Accept();
   void OnAcceptFailed();
   void RetryAccept();
-  void Open(boost::asio::ip::tcp::socket socket);
+  void OpenSession(boost::asio::ip::tcp::socket socket);
 
-  /// @brief Ends connections on which nobody waits for an answer: those that
-  /// linger, then the longest half-sent requests, then the longest idle.
-  /// @return whether any was ended.
-  bool MakeRoom();
+  /// @brief Closes connections without a caller that waits for an answer: first
+  /// lingering connections, then the oldest partial requests, then the
+  /// connections that have been idle longest.
+  /// @return whether any connection was closed.
+  bool EvictConnections();
   void Sweep();
 
   boost::asio::io_context& loop_;
   HttpExchangeHandler handler_;
   HttpLimits limits_;
-  RejectionObserver rejected_;
+  RejectionObserver on_rejected_;
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer sweep_timer_;
   boost::asio::steady_timer accept_timer_;
   std::unordered_set<std::shared_ptr<ServerSession>> sessions_;
-  std::size_t most_ = 0;
+  std::size_t max_connections_ = 0;
   bool can_accept_ = true;
   bool close_after_answers_ = false;
   bool finishing_ = false;
--- a/include/pathcleat/http/http_status.hpp
+++ b/include/pathcleat/http/http_status.hpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
 #pragma once
 
-/// @brief The HTTP status codes in use.
+/// @brief HTTP status codes that pathcleat uses.
 /// @ingroup http
 namespace pathcleat::http_status {
 
--- a/include/pathcleat/http/listen_probe.hpp
+++ b/include/pathcleat/http/listen_probe.hpp
@@ -10,17 +10,17 @@
 
 namespace pathcleat {
 
-/// @brief Finds out whether the process behind an address has ended: a machine
-/// that lives refuses connections to a port where nobody listens. Nothing is
-/// sent. Callbacks are not called once this object is gone.
+/// @brief Detects that the process at an address has ended: a running machine
+/// refuses connections to a port without a listener. Sends no data. Callbacks
+/// are not called after this object is destroyed.
 /// @ingroup http
 class ListenProbe {
  public:
   explicit ListenProbe(boost::asio::io_context& loop) : loop_(loop) {}
 
-  /// @param timeout for the machine to answer.
-  /// @param refused called if the connection is refused, and never otherwise:
-  /// silence says nothing of the process.
+  /// @param timeout how long to wait for the machine to answer.
+  /// @param refused called only if the connection is refused; a timeout does
+  /// not show whether the process has ended.
   void Probe(const boost::asio::ip::tcp::endpoint& endpoint,
              Duration timeout,
              std::function<void()> refused);
--- a/include/pathcleat/http/query_text.hpp
+++ b/include/pathcleat/http/query_text.hpp
@@ -7,13 +7,13 @@
 
 namespace pathcleat {
 
-/// @brief Value of a query parameter of a request target, decoded; nothing if
-/// there is none of that name.
+/// @brief Decoded value of a query parameter of a request target; std::nullopt
+/// if there is no parameter of this name.
 /// @ingroup http
 std::optional<std::string> QueryValue(std::string_view target,
                                       std::string_view name);
 
-/// @brief A text as it may stand in a query, percent-encoded where needed.
+/// @brief Percent-encodes a text for use in a query.
 /// @ingroup http
 std::string EncodeQueryText(std::string_view text);
 
--- a/src/pathcleat/http/http_client.cpp
+++ b/src/pathcleat/http/http_client.cpp
@@ -21,18 +21,18 @@
 using boost::system::error_code;
 
 constexpr std::size_t kReadChunk = 8UL * 1024;
-constexpr int kMostStrangers = 2;
+constexpr int kMaxMismatchedResponses = 2;
 constexpr int kFirstFinalStatus = 200;
-constexpr const char* kSilentText = "the connection is silent";
+constexpr const char* kSilentDetail = "the connection is silent";
 
-// A peer that is cut off says nothing: probes find it out where nothing is
-// written, as in a long watch. A second is the shortest that TCP knows.
-constexpr int kProbeAfterSeconds = 1;
+// Keep-alive probes detect a lost peer while nothing is written, as in a long
+// watch. One second is the shortest interval that TCP supports.
+constexpr int kProbeIntervalSeconds = 1;
 
-// Probes without an acknowledgement that fit into the limit.
-int ProbesWithin(Duration limit) {
+// Number of unacknowledged probes that fit into the limit.
+int ProbeCountWithin(Duration limit) {
   const auto seconds = std::chrono::ceil<std::chrono::seconds>(limit).count() -
-                       kProbeAfterSeconds;
+                       kProbeIntervalSeconds;
   return std::max(1, static_cast<int>(seconds));
 }
 
@@ -58,16 +58,16 @@
                       const CallTimeouts& timeouts,
                       Callback callback,
                       Matcher matcher) {
-  out_ = SerializeRequest(request);
-  head_ = request.method == "HEAD";
+  request_bytes_ = SerializeRequest(request);
+  is_head_request_ = request.method == "HEAD";
   callback_ = std::move(callback);
   matcher_ = std::move(matcher);
-  strangers_ = 0;
-  received_ = 0;
-  written_ = false;
-  heard_ = false;
+  mismatched_responses_ = 0;
+  received_bytes_ = 0;
+  request_written_ = false;
+  response_started_ = false;
   timeouts_ = timeouts;
-  deadline_ = BootClock::now() + timeouts.total;
+  total_deadline_ = BootClock::now() + timeouts.total;
   reused_ = connected_;
   connect_time_.reset();
   StartParser();
@@ -83,8 +83,9 @@
 }
 
 void HttpClient::Cancel() {
-  if (callback_ && connected_ && !written_) {
-    // The rest of a body would still be sent from the system's buffers.
+  if (callback_ && connected_ && !request_written_) {
+    // Without a reset the system would still send the rest of the body from
+    // its buffers.
     error_code ignored;
     socket_.set_option(boost::asio::socket_base::linger(true, 0), ignored);
   }
@@ -98,41 +99,41 @@
   parser_->header_limit(limits_.max_header_bytes);
   parser_->body_limit(limits_.max_body_bytes);
   parser_->eager(true);
-  parser_->skip(head_);
+  parser_->skip(is_head_request_);
 }
 
 void HttpClient::Connect(Duration timeout) {
-  ArmTimer(timeout, &HttpClient::OnNoConnection);
+  ArmTimer(timeout, &HttpClient::OnConnectTimeout);
   if (!local_address_.empty()) {
     error_code ignored;
     const auto local = boost::asio::ip::make_address(local_address_, ignored);
     socket_.open(endpoint_.protocol(), ignored);
     socket_.bind({local, 0}, ignored);
   }
-  const Time began = BootClock::now();
-  socket_.async_connect(
-      endpoint_, [self = shared_from_this(), began](const error_code& error) {
-        if (self->closed_ || !self->callback_) {
-          return;
-        }
-        if (error) {
-          self->Fail(CallOutcome::kNotSent, error.message());
-          return;
-        }
-        self->OnConnected(began);
-      });
+  const Time started_at = BootClock::now();
+  socket_.async_connect(endpoint_, [self = shared_from_this(),
+                                    started_at](const error_code& error) {
+    if (self->closed_ || !self->callback_) {
+      return;
+    }
+    if (error) {
+      self->Fail(CallOutcome::kNotSent, error.message());
+      return;
+    }
+    self->OnConnected(started_at);
+  });
 }
 
-void HttpClient::OnConnected(Time began) {
+void HttpClient::OnConnected(Time started_at) {
   const auto limit =
-      std::chrono::duration_cast<std::chrono::milliseconds>(silence_limit_);
+      std::chrono::duration_cast<std::chrono::milliseconds>(ack_timeout_);
   error_code ignored;
   socket_.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
   socket_.set_option(UserTimeout(static_cast<int>(limit.count())), ignored);
   socket_.set_option(boost::asio::socket_base::keep_alive(true), ignored);
-  socket_.set_option(KeepAliveIdle(kProbeAfterSeconds), ignored);
-  socket_.set_option(KeepAliveInterval(kProbeAfterSeconds), ignored);
-  socket_.set_option(KeepAliveCount(ProbesWithin(silence_limit_)), ignored);
+  socket_.set_option(KeepAliveIdle(kProbeIntervalSeconds), ignored);
+  socket_.set_option(KeepAliveInterval(kProbeIntervalSeconds), ignored);
+  socket_.set_option(KeepAliveCount(ProbeCountWithin(ack_timeout_)), ignored);
   if (const auto opened = std::exchange(on_opened_, nullptr)) {
     opened();
   }
@@ -141,8 +142,8 @@
   }
   connected_ = true;
   opened_at_ = BootClock::now();
-  connect_time_ = opened_at_ - began;
-  heard_at_ = opened_at_;
+  connect_time_ = opened_at_ - started_at;
+  last_byte_at_ = opened_at_;
   Write();
 }
 
@@ -156,21 +157,21 @@
 }
 
 void HttpClient::Write() {
-  ArmLimit();
+  ArmDeadline();
   boost::asio::async_write(
-      socket_, boost::asio::buffer(out_),
+      socket_, boost::asio::buffer(request_bytes_),
       [self = shared_from_this()](const error_code& error, std::size_t) {
-        // A failed write shows in the reading too, after any early answer.
+        // A failed write is reported by the read too, after any early answer.
         self->OnWritten(!error);
       });
   Read();
 }
 
-void HttpClient::OnWritten(bool whole) {
-  written_ = whole;
-  if (whole && callback_ && !heard_) {
-    quiet_since_ = BootClock::now();
-    ArmLimit();
+void HttpClient::OnWritten(bool complete) {
+  request_written_ = complete;
+  if (complete && callback_ && !response_started_) {
+    last_progress_at_ = BootClock::now();
+    ArmDeadline();
   }
 }
 
@@ -192,28 +193,28 @@
     return;
   }
   if (error) {
-    OnEnd(error);
+    OnReadError(error);
     return;
   }
   buffer_.commit(bytes);
-  heard_at_ = BootClock::now();
+  last_byte_at_ = BootClock::now();
   if (!callback_) {
-    // Bytes on an idle connection belong to no request.
+    // Bytes that arrive on an idle connection belong to no request.
     Close();
     return;
   }
-  if (received_ == 0) {
+  if (received_bytes_ == 0) {
     first_byte_ = BootClock::now();
   }
-  received_ += bytes;
-  NoteHeard();
+  received_bytes_ += bytes;
+  OnResponseBytes();
   Parse();
 }
 
-void HttpClient::NoteHeard() {
-  quiet_since_ = heard_at_;
-  if (!std::exchange(heard_, true)) {
-    ArmLimit();
+void HttpClient::OnResponseBytes() {
+  last_progress_at_ = last_byte_at_;
+  if (!std::exchange(response_started_, true)) {
+    ArmDeadline();
   }
 }
 
@@ -228,46 +229,48 @@
     return;
   }
   if (parser_->is_done()) {
-    TakeResponse();
+    HandleResponse();
     return;
   }
   Read();
 }
 
-void HttpClient::TakeResponse() {
+void HttpClient::HandleResponse() {
   const bool keep_alive = parser_->get().keep_alive();
   CallResult result;
   result.outcome = CallOutcome::kAnswered;
   result.response = FromBeast(parser_->release());
   if (result.response.status < kFirstFinalStatus) {
-    AwaitNext();
+    AwaitNextResponse();
     return;
   }
   if (matcher_ && !matcher_(result.response)) {
-    spent_ = true;
-    if (++strangers_ > kMostStrangers || !keep_alive) {
+    must_close_ = true;
+    if (++mismatched_responses_ > kMaxMismatchedResponses || !keep_alive) {
       Fail(CallOutcome::kConnectionLost, "the answer is another request's");
       return;
     }
-    AwaitNext();
+    AwaitNextResponse();
     return;
   }
-  keep_alive_ = KeepAliveTimeout(result.response);
-  spent_ = spent_ || !keep_alive || buffer_.size() > 0 || !written_;
+  keep_alive_timeout_ = KeepAliveTimeout(result.response);
+  must_close_ =
+      must_close_ || !keep_alive || buffer_.size() > 0 || !request_written_;
   Finish(std::move(result));
 }
 
-// What came was not the answer: the wait for its first byte goes on.
-void HttpClient::AwaitNext() {
+// The response was an interim one or belonged to another request: the
+// first-byte timeout applies again.
+void HttpClient::AwaitNextResponse() {
   StartParser();
-  heard_ = buffer_.size() > 0;
-  ArmLimit();
+  response_started_ = buffer_.size() > 0;
+  ArmDeadline();
   Parse();
 }
 
-void HttpClient::OnEnd(const error_code& error) {
+void HttpClient::OnReadError(const error_code& error) {
   silent_ = error == boost::asio::error::timed_out;
-  peer_ended_ = !silent_;
+  peer_closed_ = !silent_;
   if (!callback_) {
     Close();
     return;
@@ -278,12 +281,12 @@
     error_code ended;
     parser_->put_eof(ended);
     if (!ended) {
-      TakeResponse();
+      HandleResponse();
       return;
     }
   }
   if (silent_) {
-    Fail(CallOutcome::kConnectionLost, kSilentText);
+    Fail(CallOutcome::kConnectionLost, kSilentDetail);
     return;
   }
   Fail(CallOutcome::kConnectionLost,
@@ -291,46 +294,52 @@
                            : "the connection ended with no answer");
 }
 
-// A request that is still being sent is bounded by the total time and by TCP,
-// which notices that nothing is taken.
-Time HttpClient::Limit() const {
-  const Duration quiet = heard_ ? timeouts_.progress : timeouts_.first_byte;
-  const bool bounded = quiet != kNoTimeout && (heard_ || written_);
-  return bounded ? std::min(deadline_, quiet_since_ + quiet) : deadline_;
+// While the request is being sent, only the total time and TCP's own timeout
+// apply; the latter detects that the peer receives nothing.
+Time HttpClient::CurrentDeadline() const {
+  const Duration silence_timeout =
+      response_started_ ? timeouts_.progress : timeouts_.first_byte;
+  const bool bounded =
+      silence_timeout != kNoTimeout && (response_started_ || request_written_);
+  return bounded
+             ? std::min(total_deadline_, last_progress_at_ + silence_timeout)
+             : total_deadline_;
 }
 
-void HttpClient::ArmLimit() {
-  ArmTimer(Limit() - BootClock::now(), &HttpClient::OnLimit);
+void HttpClient::ArmDeadline() {
+  ArmTimer(CurrentDeadline() - BootClock::now(), &HttpClient::OnDeadline);
 }
 
-void HttpClient::OnLimit() {
+void HttpClient::OnDeadline() {
   const Time now = BootClock::now();
-  if (now < Limit()) {
-    ArmLimit();
+  if (now < CurrentDeadline()) {
+    ArmDeadline();
     return;
   }
-  if (now >= deadline_) {
+  if (now >= total_deadline_) {
     Fail(CallOutcome::kTimedOut, "no answer in time");
     return;
   }
-  // What has come and is not read yet shows this host's load, no silence.
+  // Received bytes that are not read yet mean that this host is busy, not that
+  // the connection is silent.
   error_code error;
   if (socket_.available(error) > 0 && !error) {
-    quiet_since_ = now;
-    ArmLimit();
+    last_progress_at_ = now;
+    ArmDeadline();
     return;
   }
   silent_ = true;
-  Fail(CallOutcome::kTimedOut, heard_ ? "the answer stopped" : kSilentText);
+  Fail(CallOutcome::kTimedOut,
+       response_started_ ? "the answer stopped" : kSilentDetail);
 }
 
-void HttpClient::OnNoConnection() {
+void HttpClient::OnConnectTimeout() {
   Fail(CallOutcome::kNotSent, "no connection in time");
 }
 
 void HttpClient::ArmTimer(Duration timeout, void (HttpClient::*step)()) {
-  // An expiry that is already queued cannot be cancelled any more; the
-  // generation tells it from the one in force.
+  // An expiry that is already queued cannot be cancelled; the generation
+  // distinguishes it from the current timer.
   const std::uint64_t generation = ++timer_generation_;
   timer_.expires_after(timeout);
   timer_.async_wait([self = shared_from_this(), generation,
@@ -342,27 +351,27 @@
 }
 
 void HttpClient::Fail(CallOutcome outcome, std::string detail) {
-  spent_ = true;
+  must_close_ = true;
   CallResult result;
   result.outcome = outcome;
   result.detail = std::move(detail);
   result.connection_silent = silent_;
-  result.closed_locally = !peer_ended_;
+  result.closed_locally = !peer_closed_;
   Finish(std::move(result));
 }
 
 void HttpClient::Finish(CallResult result) {
   ++timer_generation_;
   timer_.cancel();
-  out_ = std::string();
+  request_bytes_ = std::string();
   matcher_ = nullptr;
   on_opened_ = nullptr;
   idle_since_ = BootClock::now();
-  result.received_bytes = received_;
-  if (received_ > 0) {
+  result.received_bytes = received_bytes_;
+  if (received_bytes_ > 0) {
     result.transfer_time = idle_since_ - first_byte_;
   }
-  if (spent_) {
+  if (must_close_) {
     Close();
   } else {
     Read();
@@ -375,7 +384,7 @@
 void HttpClient::Close() {
   closed_ = true;
   connected_ = false;
-  spent_ = true;
+  must_close_ = true;
   timer_.cancel();
   error_code error;
   socket_.close(error);
--- a/src/pathcleat/http/http_client_test.cpp
+++ b/src/pathcleat/http/http_client_test.cpp
@@ -8,27 +8,28 @@
 #include <string>
 
 #include "event_loop.hpp"
-#include "pass_through.hpp"
 #include "scripted_server.hpp"
+#include "tcp_proxy.hpp"
 
 namespace pathcleat {
 namespace {
 
-constexpr Duration kFarOff{60'000'000};
-constexpr Duration kShort{300'000};
-constexpr std::chrono::milliseconds kPace{10};
+constexpr Duration kLongTimeout{60'000'000};
+constexpr Duration kShortTimeout{300'000};
+constexpr std::chrono::milliseconds kByteInterval{10};
 
-struct ClientWorld {
+struct ClientFixture {
   boost::asio::io_context loop{1};
   ScriptedServer server{loop, UniqueLoopbackAddress()};
   HttpClientPtr client =
       std::make_shared<HttpClient>(loop, server.endpoint(), HttpLimits());
   std::optional<CallResult> result;
 
-  void Ask(const CallTimeouts& timeouts) {
+  void SendRequest(const CallTimeouts& timeouts) {
     result.reset();
-    client->Send({"GET", "/", {{"Host", "test"}}, ""}, timeouts,
-                 [this](const CallResult& ended) { result = ended; });
+    client->Send(
+        {"GET", "/", {{"Host", "test"}}, ""}, timeouts,
+        [this](const CallResult& call_result) { result = call_result; });
     cr_assert(Await([this] { return server.HasReceived("GET /"); }));
   }
   bool Await(const std::function<bool()>& condition) {
@@ -39,145 +40,161 @@
   }
 };
 
-std::string AnswerOf(std::size_t bytes) {
+std::string AnswerWithBody(std::size_t bytes) {
   return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(bytes) +
          "\r\n\r\n" + std::string(bytes, 'x');
 }
 
-// Checked to fail with `quiet_since_` not set in NoteHeard.
-Test(http_client, answer_that_keeps_arriving_is_waited_for) {
-  ClientWorld world;
-  world.Ask({kFarOff, kFarOff, kFarOff, kShort});
-  const Time began = BootClock::now();
-  world.server.SendByteByByte(AnswerOf(80), kPace);
-  cr_assert(world.AwaitEnd());
-  cr_assert(world.result->outcome == CallOutcome::kAnswered);
-  cr_assert_eq(world.result->response.body.size(), 80U);
-  cr_assert_gt((BootClock::now() - began).count(), kShort.count());
+// Guards against a progress timeout that ends an answer which still arrives.
+// Fails without setting last_progress_at_ in OnResponseBytes.
+Test(http_client, slow_answer_that_makes_progress_does_not_time_out) {
+  ClientFixture fixture;
+  fixture.SendRequest(
+      {kLongTimeout, kLongTimeout, kLongTimeout, kShortTimeout});
+  const Time started_at = BootClock::now();
+  fixture.server.SendByteByByte(AnswerWithBody(80), kByteInterval);
+  cr_assert(fixture.AwaitEnd());
+  cr_assert(fixture.result->outcome == CallOutcome::kAnswered);
+  cr_assert_eq(fixture.result->response.body.size(), 80U);
+  cr_assert_gt((BootClock::now() - started_at).count(), kShortTimeout.count());
 }
 
-// Checked to fail (not silent, after the total time) with Limit() returning
-// deadline_ alone.
-Test(http_client, answer_that_stopped_is_given_up_as_silent) {
-  ClientWorld world;
-  world.Ask({kFarOff, kShort * 10, kNoTimeout, kShort});
-  world.server.Send(AnswerOf(100).substr(0, 60));
-  cr_assert(world.AwaitEnd());
-  cr_assert(world.result->outcome == CallOutcome::kTimedOut);
-  cr_assert(world.result->connection_silent);
-  cr_assert(world.client->IsSilent());
-  cr_assert_not(world.client->IsReusable());
+// Guards against waiting the total time for an answer that stopped arriving.
+// Fails with CurrentDeadline returning total_deadline_ alone (the call ends
+// after the total time and is not reported as silent).
+Test(http_client, stalled_answer_times_out_as_silent) {
+  ClientFixture fixture;
+  fixture.SendRequest(
+      {kLongTimeout, kShortTimeout * 10, kNoTimeout, kShortTimeout});
+  fixture.server.Send(AnswerWithBody(100).substr(0, 60));
+  cr_assert(fixture.AwaitEnd());
+  cr_assert(fixture.result->outcome == CallOutcome::kTimedOut);
+  cr_assert(fixture.result->connection_silent);
+  cr_assert(fixture.client->IsSilent());
+  cr_assert_not(fixture.client->IsReusable());
 }
 
-// Checked to fail in the same way.
-Test(http_client, connection_without_any_answer_is_given_up_as_silent) {
-  ClientWorld world;
-  world.Ask({kFarOff, kShort * 10, kShort, kNoTimeout});
-  cr_assert(world.AwaitEnd());
-  cr_assert(world.result->outcome == CallOutcome::kTimedOut);
-  cr_assert(world.result->connection_silent);
+// Guards against waiting the total time for a first byte that does not come.
+// Fails with CurrentDeadline returning total_deadline_ alone.
+Test(http_client, connection_without_an_answer_times_out_as_silent) {
+  ClientFixture fixture;
+  fixture.SendRequest(
+      {kLongTimeout, kShortTimeout * 10, kShortTimeout, kNoTimeout});
+  cr_assert(fixture.AwaitEnd());
+  cr_assert(fixture.result->outcome == CallOutcome::kTimedOut);
+  cr_assert(fixture.result->connection_silent);
 }
 
-Test(http_client, total_time_ends_an_answer_that_still_arrives) {
-  ClientWorld world;
-  world.Ask({kFarOff, kShort, kNoTimeout, kShort});
-  world.server.SendByteByByte(AnswerOf(100'000), kPace);
-  cr_assert(world.AwaitEnd());
-  cr_assert(world.result->outcome == CallOutcome::kTimedOut);
-  cr_assert_not(world.result->connection_silent);
+Test(http_client, total_timeout_ends_an_answer_that_still_arrives) {
+  ClientFixture fixture;
+  fixture.SendRequest({kLongTimeout, kShortTimeout, kNoTimeout, kShortTimeout});
+  fixture.server.SendByteByByte(AnswerWithBody(100'000), kByteInterval);
+  cr_assert(fixture.AwaitEnd());
+  cr_assert(fixture.result->outcome == CallOutcome::kTimedOut);
+  cr_assert_not(fixture.result->connection_silent);
 }
 
-// A kept connection's second answer has its own limits. Checked to fail with
-// `heard_ = false` taken out of Send.
-Test(http_client, limits_begin_anew_with_each_request) {
-  ClientWorld world;
-  world.Ask({kFarOff, kFarOff, kNoTimeout, kShort});
-  world.server.Send(AnswerOf(1));
-  cr_assert(world.AwaitEnd());
-  world.Ask({kFarOff, kShort * 10, kShort, kNoTimeout});
-  cr_assert(world.client->reused());
-  cr_assert(world.AwaitEnd());
-  cr_assert(world.result->connection_silent);
+// Guards against timeouts of an earlier request on a kept-alive connection that
+// apply to the next request. Fails without `response_started_ = false` in Send.
+Test(http_client, timeouts_restart_with_each_request) {
+  ClientFixture fixture;
+  fixture.SendRequest({kLongTimeout, kLongTimeout, kNoTimeout, kShortTimeout});
+  fixture.server.Send(AnswerWithBody(1));
+  cr_assert(fixture.AwaitEnd());
+  fixture.SendRequest(
+      {kLongTimeout, kShortTimeout * 10, kShortTimeout, kNoTimeout});
+  cr_assert(fixture.client->reused());
+  cr_assert(fixture.AwaitEnd());
+  cr_assert(fixture.result->connection_silent);
 }
 
-// An interim answer is none: what works on may take its time after it.
-// Checked to fail with `heard_` left as it is in AwaitNext.
-Test(http_client, interim_answer_starts_no_limit_on_progress) {
-  ClientWorld world;
-  world.Ask({kFarOff, kFarOff, kNoTimeout, kShort});
-  world.server.Send("HTTP/1.1 100 Continue\r\n\r\n");
-  boost::asio::steady_timer late(world.loop, kShort * 3);
-  late.async_wait([&](const boost::system::error_code&) {
-    world.server.Send(AnswerOf(1));
+// Guards against an interim answer (100) that starts the progress timeout while
+// the peer still works on the request. Fails without resetting
+// response_started_ in AwaitNextResponse.
+Test(http_client, interim_answer_does_not_start_the_progress_timeout) {
+  ClientFixture fixture;
+  fixture.SendRequest({kLongTimeout, kLongTimeout, kNoTimeout, kShortTimeout});
+  fixture.server.Send("HTTP/1.1 100 Continue\r\n\r\n");
+  boost::asio::steady_timer delay_timer(fixture.loop, kShortTimeout * 3);
+  delay_timer.async_wait([&](const boost::system::error_code&) {
+    fixture.server.Send(AnswerWithBody(1));
   });
-  cr_assert(world.AwaitEnd());
-  cr_assert(world.result->outcome == CallOutcome::kAnswered);
+  cr_assert(fixture.AwaitEnd());
+  cr_assert(fixture.result->outcome == CallOutcome::kAnswered);
 }
 
-// A client whose connection can fall silent; its limit, and TCP's shortest
-// pause before a probe, are far below the total time.
-struct SilentWorld {
+// A client with a proxy that can silence the connection. The acknowledgement
+// timeout and TCP's shortest probe interval are far below the total time.
+struct SilenceableFixture {
   boost::asio::io_context loop{1};
   ScriptedServer server{loop, UniqueLoopbackAddress()};
-  TcpProxy way{loop, UniqueLoopbackAddress(), server.endpoint()};
+  TcpProxy proxy{loop, UniqueLoopbackAddress(), server.endpoint()};
   HttpClientPtr client =
-      std::make_shared<HttpClient>(loop, way.endpoint(), HttpLimits());
+      std::make_shared<HttpClient>(loop, proxy.endpoint(), HttpLimits());
   std::optional<CallResult> result;
 
-  SilentWorld() { client->SetAckTimeout(kShort); }
-  void Ask() {
+  SilenceableFixture() { client->SetAckTimeout(kShortTimeout); }
+  void SendRequest() {
     result.reset();
-    client->Send({"GET", "/", {{"Host", "test"}}, ""}, {kFarOff, kFarOff},
-                 [this](const CallResult& ended) { result = ended; });
+    client->Send(
+        {"GET", "/", {{"Host", "test"}}, ""}, {kLongTimeout, kLongTimeout},
+        [this](const CallResult& call_result) { result = call_result; });
   }
   bool Await(const std::function<bool()>& condition) {
     return WaitUntil(loop, condition);
   }
 };
 
-// A wait in which nothing is written: only probes can tell. Checked to fail
-// (not silent, after the total time) with keep_alive taken out of OnConnected.
-Test(http_client, wait_on_a_connection_that_fell_silent_is_given_up) {
-  SilentWorld world;
-  world.Ask();
-  cr_assert(world.Await([&] { return world.server.HasReceived("\r\n\r\n"); }));
-  world.way.SilenceConnections(SilenceMode::kDropPackets);
-  cr_assert(world.Await([&] { return world.result.has_value(); }));
-  cr_assert(world.result->outcome == CallOutcome::kConnectionLost);
-  cr_assert(world.result->connection_silent);
+// Guards against a lost peer that is not detected while nothing is written,
+// when only TCP probes can detect the loss. Fails without keep_alive in
+// OnConnected (the call ends after the total time and is not reported as
+// silent).
+Test(http_client, waiting_request_on_a_silent_connection_fails) {
+  SilenceableFixture fixture;
+  fixture.SendRequest();
+  cr_assert(
+      fixture.Await([&] { return fixture.server.HasReceived("\r\n\r\n"); }));
+  fixture.proxy.SilenceConnections(SilenceMode::kDropPackets);
+  cr_assert(fixture.Await([&] { return fixture.result.has_value(); }));
+  cr_assert(fixture.result->outcome == CallOutcome::kConnectionLost);
+  cr_assert(fixture.result->connection_silent);
 }
 
-// Checked to fail in the same way.
-Test(http_client, idle_connection_that_fell_silent_is_given_up) {
-  SilentWorld world;
-  world.Ask();
-  cr_assert(world.Await([&] { return world.server.HasReceived("\r\n\r\n"); }));
-  world.server.Send(AnswerOf(1));
-  cr_assert(world.Await([&] { return world.result.has_value(); }));
-  cr_assert(world.client->IsReusable());
-  cr_assert_not(world.client->HasUnacknowledgedBytes());
-  world.way.SilenceConnections(SilenceMode::kDropPackets);
-  cr_assert(world.Await([&] { return !world.client->IsReusable(); }));
-  cr_assert(world.client->IsSilent());
+// Guards against an idle connection to a lost peer that counts as reusable.
+// Fails without keep_alive in OnConnected.
+Test(http_client, idle_silent_connection_is_closed) {
+  SilenceableFixture fixture;
+  fixture.SendRequest();
+  cr_assert(
+      fixture.Await([&] { return fixture.server.HasReceived("\r\n\r\n"); }));
+  fixture.server.Send(AnswerWithBody(1));
+  cr_assert(fixture.Await([&] { return fixture.result.has_value(); }));
+  cr_assert(fixture.client->IsReusable());
+  cr_assert_not(fixture.client->HasUnacknowledgedBytes());
+  fixture.proxy.SilenceConnections(SilenceMode::kDropPackets);
+  cr_assert(fixture.Await([&] { return !fixture.client->IsReusable(); }));
+  cr_assert(fixture.client->IsSilent());
 }
 
-// What was sent into silence is told from what a peer is at work on.
-// Checked to fail with HasUnacknowledgedBytes returning false.
-Test(http_client, request_sent_into_silence_is_not_acknowledged) {
-  SilentWorld world;
-  world.Ask();
-  cr_assert(world.Await([&] { return world.server.HasReceived("\r\n\r\n"); }));
+// Guards against mistaking a request that was lost on a silent connection for a
+// request that the peer works on. Fails with HasUnacknowledgedBytes returning
+// false.
+Test(http_client, request_on_a_silent_connection_is_not_acknowledged) {
+  SilenceableFixture fixture;
+  fixture.SendRequest();
+  cr_assert(
+      fixture.Await([&] { return fixture.server.HasReceived("\r\n\r\n"); }));
   cr_assert(
-      world.Await([&] { return !world.client->HasUnacknowledgedBytes(); }));
-  world.server.Send(AnswerOf(1));
-  cr_assert(world.Await([&] { return world.result.has_value(); }));
-  world.way.SilenceConnections(SilenceMode::kDropPackets);
-  world.Ask();
-  cr_assert(world.client->reused());
+      fixture.Await([&] { return !fixture.client->HasUnacknowledgedBytes(); }));
+  fixture.server.Send(AnswerWithBody(1));
+  cr_assert(fixture.Await([&] { return fixture.result.has_value(); }));
+  fixture.proxy.SilenceConnections(SilenceMode::kDropPackets);
+  fixture.SendRequest();
+  cr_assert(fixture.client->reused());
   cr_assert(
-      world.Await([&] { return world.client->HasUnacknowledgedBytes(); }));
-  cr_assert(world.Await([&] { return world.result.has_value(); }));
-  cr_assert(world.result->connection_silent);
+      fixture.Await([&] { return fixture.client->HasUnacknowledgedBytes(); }));
+  cr_assert(fixture.Await([&] { return fixture.result.has_value(); }));
+  cr_assert(fixture.result->connection_silent);
 }
 
 }  // namespace
--- a/src/pathcleat/http/http_codec.cpp
+++ b/src/pathcleat/http/http_codec.cpp
@@ -44,7 +44,7 @@
          request.method == "PUT";
 }
 
-// 1xx, 204 and 304 answers have no body and no length.
+// 1xx, 204 and 304 responses have no body and no Content-Length.
 bool HasNoBody(int status) {
   constexpr int kFirstFinal = 200;
   constexpr int kNoContent = 204;
--- a/src/pathcleat/http/http_exchange.cpp
+++ b/src/pathcleat/http/http_exchange.cpp
@@ -9,9 +9,9 @@
   }
   response_ = std::move(response);
   on_abandoned_ = nullptr;
-  on_ended_ = nullptr;
-  on_check_ = nullptr;
-  on_dropped_ = nullptr;
+  on_caller_half_closed_ = nullptr;
+  on_connection_check_ = nullptr;
+  on_connection_dropped_ = nullptr;
   if (const auto callback = std::exchange(on_answered_, nullptr)) {
     callback();
   }
@@ -19,13 +19,13 @@
 
 void HttpExchange::DropConnection() {
   on_abandoned_ = nullptr;
-  if (const auto callback = std::exchange(on_dropped_, nullptr)) {
+  if (const auto callback = std::exchange(on_connection_dropped_, nullptr)) {
     callback();
   }
 }
 
 void HttpExchange::OnConnectionDropped(std::function<void()> callback) {
-  on_dropped_ = std::move(callback);
+  on_connection_dropped_ = std::move(callback);
 }
 
 void HttpExchange::OnAbandoned(std::function<void()> callback) {
@@ -37,25 +37,25 @@
 }
 
 void HttpExchange::OnCallerHalfClosed(std::function<void()> callback) {
-  on_ended_ = std::move(callback);
+  on_caller_half_closed_ = std::move(callback);
 }
 
 void HttpExchange::OnConnectionCheck(std::function<void()> callback) {
-  on_check_ = std::move(callback);
+  on_connection_check_ = std::move(callback);
 }
 
 void HttpExchange::CheckConnection() {
-  // The check may end the exchange, and with it the callback.
-  if (const auto check = on_check_) {
+  // A copy, as the check may end the exchange and destroy the callback.
+  if (const auto check = on_connection_check_) {
     check();
   }
 }
 
 bool HttpExchange::NotifyCallerHalfClosed() {
-  if (!IsOpen() || !on_ended_) {
+  if (!IsOpen() || !on_caller_half_closed_) {
     return false;
   }
-  std::exchange(on_ended_, nullptr)();
+  std::exchange(on_caller_half_closed_, nullptr)();
   return true;
 }
 
@@ -69,9 +69,9 @@
   }
   abandoned_ = true;
   on_answered_ = nullptr;
-  on_ended_ = nullptr;
-  on_check_ = nullptr;
-  on_dropped_ = nullptr;
+  on_caller_half_closed_ = nullptr;
+  on_connection_check_ = nullptr;
+  on_connection_dropped_ = nullptr;
   if (const auto callback = std::exchange(on_abandoned_, nullptr)) {
     callback();
   }
--- a/src/pathcleat/http/http_server.cpp
+++ b/src/pathcleat/http/http_server.cpp
@@ -13,10 +13,11 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr std::chrono::milliseconds kSweepPeriod{500};
-constexpr std::chrono::milliseconds kAcceptRetryPause{50};
-// Connections ended at once to make room: ranking them all costs more.
-constexpr std::size_t kEndedAtOnce = 16;
+constexpr std::chrono::milliseconds kSweepInterval{500};
+constexpr std::chrono::milliseconds kAcceptRetryDelay{50};
+// Connections closed per eviction. Ranking all connections costs more than
+// closing several, so one ranking is used for a batch.
+constexpr std::size_t kEvictionBatch = 16;
 
 }  // namespace
 
@@ -72,14 +73,15 @@
       return;
     }
     can_accept_ = true;
-    Open(std::move(socket));
+    OpenSession(std::move(socket));
     Accept();
   });
 }
 
-// Out of descriptors: room is made, or comes when answers are given.
+// Out of file descriptors: evicts connections, or retries later, when answered
+// requests have released descriptors.
 void HttpServer::OnAcceptFailed() {
-  if (MakeRoom()) {
+  if (EvictConnections()) {
     Accept();
     return;
   }
@@ -88,7 +90,7 @@
 }
 
 void HttpServer::RetryAccept() {
-  accept_timer_.expires_after(kAcceptRetryPause);
+  accept_timer_.expires_after(kAcceptRetryDelay);
   accept_timer_.async_wait([this](const error_code& error) {
     if (!error && acceptor_.is_open()) {
       Accept();
@@ -96,31 +98,32 @@
   });
 }
 
-bool HttpServer::MakeRoom() {
+bool HttpServer::EvictConnections() {
   std::vector<std::pair<EvictionRank, std::shared_ptr<ServerSession>>> ranked;
   for (const auto& session : sessions_) {
-    if (const auto worth = session->RankForEviction()) {
-      ranked.emplace_back(*worth, session);
+    if (const auto rank = session->RankForEviction()) {
+      ranked.emplace_back(*rank, session);
     }
   }
-  const std::size_t ended = std::min(ranked.size(), kEndedAtOnce);
+  const std::size_t evicted_count = std::min(ranked.size(), kEvictionBatch);
   std::partial_sort(
-      ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(ended),
-      ranked.end(),
+      ranked.begin(),
+      ranked.begin() + static_cast<std::ptrdiff_t>(evicted_count), ranked.end(),
       [](const auto& a, const auto& b) { return a.first < b.first; });
-  for (std::size_t i = 0; i < ended; ++i) {
+  for (std::size_t i = 0; i < evicted_count; ++i) {
     ranked[i].second->Evict();
   }
-  return ended > 0;
+  return evicted_count > 0;
 }
 
-void HttpServer::Open(tcp::socket socket) {
-  const bool full = most_ > 0 && sessions_.size() >= most_;
-  const bool shed = full && !MakeRoom();
+void HttpServer::OpenSession(tcp::socket socket) {
+  const bool full =
+      max_connections_ > 0 && sessions_.size() >= max_connections_;
+  const bool rejected = full && !EvictConnections();
   const auto session =
       std::make_shared<ServerSession>(*this, std::move(socket));
   sessions_.insert(session);
-  if (shed) {
+  if (rejected) {
     session->Evict();
   } else {
     session->Start();
@@ -128,7 +131,7 @@
 }
 
 void HttpServer::Sweep() {
-  sweep_timer_.expires_after(kSweepPeriod);
+  sweep_timer_.expires_after(kSweepInterval);
   sweep_timer_.async_wait([this](const error_code& error) {
     if (error) {
       return;
@@ -149,7 +152,7 @@
     tcp::socket socket(loop_);
     acceptor_.accept(socket, error);
     if (!error) {
-      Open(std::move(socket));
+      OpenSession(std::move(socket));
     }
   }
   acceptor_.close(error);
--- a/src/pathcleat/http/listen_probe_test.cpp
+++ b/src/pathcleat/http/listen_probe_test.cpp
@@ -14,22 +14,22 @@
 
 constexpr Duration kTimeout{5'000'000};
 
-tcp::endpoint Endpoint() {
+tcp::endpoint MakeEndpoint() {
   constexpr std::uint16_t kPort = 20'000;
   return {boost::asio::ip::make_address(UniqueLoopbackAddress()), kPort};
 }
 
-Test(listen_probe, port_where_nobody_listens_refuses) {
+Test(listen_probe, port_without_listener_refuses) {
   boost::asio::io_context loop;
   ListenProbe probe(loop);
   bool refused = false;
-  probe.Probe(Endpoint(), kTimeout, [&refused] { refused = true; });
+  probe.Probe(MakeEndpoint(), kTimeout, [&refused] { refused = true; });
   cr_assert(WaitUntil(loop, [&refused] { return refused; }));
 }
 
-Test(listen_probe, process_that_listens_does_not_count_as_ended) {
+Test(listen_probe, listening_process_does_not_count_as_ended) {
   boost::asio::io_context loop;
-  tcp::acceptor acceptor(loop, Endpoint());
+  tcp::acceptor acceptor(loop, MakeEndpoint());
   ListenProbe probe(loop);
   bool refused = false;
   probe.Probe(acceptor.local_endpoint(), kTimeout,
@@ -43,13 +43,13 @@
   cr_assert_not(refused);
 }
 
-// Guards against a callback into a host that is gone.
-Test(listen_probe, nothing_is_called_once_the_probe_is_gone) {
+// Guards against a callback into a destroyed host object.
+Test(listen_probe, no_callback_after_the_probe_is_destroyed) {
   boost::asio::io_context loop;
   bool refused = false;
   {
     ListenProbe probe(loop);
-    probe.Probe(Endpoint(), kTimeout, [&refused] { refused = true; });
+    probe.Probe(MakeEndpoint(), kTimeout, [&refused] { refused = true; });
   }
   loop.run();
   cr_assert_not(refused);
--- a/src/pathcleat/http/server_session.cpp
+++ b/src/pathcleat/http/server_session.cpp
@@ -19,14 +19,14 @@
 namespace http = boost::beast::http;
 using boost::system::error_code;
 
-// Half-sent requests and idle connections make room at once where there are
-// any; what is under way takes seconds at most.
-constexpr const char* kComeBackSeconds = "1";
+// A second is enough: partial requests and idle connections are evicted at
+// once, and requests in progress take seconds at most.
+constexpr const char* kRetryAfterSeconds = "1";
 constexpr std::size_t kReadChunk = 8UL * 1024;
 constexpr Duration kLingerTime{2'000'000};
-// A caller that has left is known in time for its work to be cancelled within
-// the 0.5 s that the users' rules allow.
-constexpr std::chrono::milliseconds kWatchPeriod{100};
+// Short enough that the work of a caller that has disconnected is cancelled
+// within the 0.5 s that the users' rules allow.
+constexpr std::chrono::milliseconds kCallerCheckInterval{100};
 
 int StatusOf(const error_code& error) {
   if (error == http::error::header_limit) {
@@ -38,7 +38,8 @@
   return http_status::kBadRequest;
 }
 
-// Any transfer coding but a lone "chunked" leaves the body's end unknown.
+// With any transfer coding other than a single "chunked" the end of the body is
+// unknown.
 template <class Fields>
 bool HasUnknownFraming(const Fields& fields) {
   const auto codings = fields.equal_range(http::field::transfer_encoding);
@@ -60,11 +61,11 @@
                              boost::asio::ip::tcp::socket socket)
     : server_(&server),
       socket_(std::move(socket)),
-      watch_timer_(socket_.get_executor()) {
+      caller_check_timer_(socket_.get_executor()) {
   error_code error;
   socket_.set_option(boost::asio::ip::tcp::no_delay(true), error);
   const auto peer = socket_.remote_endpoint(error);
-  caller_ = error ? std::string() : peer.address().to_string();
+  caller_ip_ = error ? std::string() : peer.address().to_string();
   StartRequest();
 }
 
@@ -81,8 +82,8 @@
   Close();
 }
 
-// What a caller has sent, also if this host has not come to read it yet, is
-// read and answered. A read that has ended is handled first.
+// A request that the caller has already sent is answered, even if this host has
+// not read it yet. Posted, so that a completed read is handled first.
 void ServerSession::CloseGracefully() {
   last_request_ = true;
   boost::asio::post(socket_.get_executor(),
@@ -95,7 +96,7 @@
   const bool idle = !exchange_ && !writing_ && !parser_->got_some() &&
                     buffer_.size() == 0 && !unread;
   if (idle && !closing_ && !closed_) {
-    BeginClose();
+    StartLingeringClose();
   }
 }
 
@@ -103,12 +104,12 @@
   parser_.emplace();
   parser_->header_limit(server_->limits().max_header_bytes);
   parser_->body_limit(server_->limits().max_body_bytes);
-  header_seen_ = false;
-  phase_began_ = BootClock::now();
+  header_checked_ = false;
+  phase_started_at_ = BootClock::now();
 }
 
 void ServerSession::Read() {
-  if (reading_ || closed_ || (ended_ && !closing_)) {
+  if (reading_ || closed_ || (caller_half_closed_ && !closing_)) {
     return;
   }
   reading_ = true;
@@ -125,7 +126,7 @@
     return;
   }
   if (error) {
-    OnReadEnd(error);
+    OnReadError(error);
     return;
   }
   if (closing_) {
@@ -137,30 +138,30 @@
     Parse();
     return;
   }
-  // A caller that sends ahead without end is read again after its answer.
+  // Stops reading from a caller that keeps sending; continues after the answer.
   if (buffer_.size() < server_->limits().max_header_bytes) {
     Read();
   } else {
-    WatchCaller();
+    PollCaller();
   }
 }
 
-void ServerSession::OnReadEnd(const error_code& error) {
+void ServerSession::OnReadError(const error_code& error) {
   if (error == boost::asio::error::eof && !closing_) {
-    OnCallerEnded();
+    OnCallerHalfClosed();
   } else {
     Close();
   }
 }
 
-// The end of what a caller sends looks the same whether it has gone or waits.
-// An answer that is being written is worth its end; whoever works on one is
-// told.
-void ServerSession::OnCallerEnded() {
-  if (ended_) {
+// A half-close looks the same whether the caller has disconnected or waits for
+// its answer. An answer that is being written is completed; the handler of a
+// request in progress is notified.
+void ServerSession::OnCallerHalfClosed() {
+  if (caller_half_closed_) {
     return;
   }
-  ended_ = true;
+  caller_half_closed_ = true;
   last_request_ = true;
   const auto exchange = exchange_;
   if (!writing_ && !(exchange && exchange->NotifyCallerHalfClosed())) {
@@ -177,20 +178,23 @@
   if ((polled.revents & (POLLERR | POLLHUP)) != 0) {
     Close();
   } else {
-    OnCallerEnded();
+    OnCallerHalfClosed();
   }
 }
 
-// What is not read hides the end behind it.
-void ServerSession::WatchCaller() {
-  watch_timer_.expires_after(kWatchPeriod);
-  watch_timer_.async_wait([self = shared_from_this()](const error_code& error) {
-    if (error || self->closed_ || self->ended_ || !self->exchange_) {
-      return;
-    }
-    self->CheckCaller();
-    self->WatchCaller();
-  });
+// Polls for the close of the connection, which reads do not see while bytes
+// before it are unread.
+void ServerSession::PollCaller() {
+  caller_check_timer_.expires_after(kCallerCheckInterval);
+  caller_check_timer_.async_wait(
+      [self = shared_from_this()](const error_code& error) {
+        if (error || self->closed_ || self->caller_half_closed_ ||
+            !self->exchange_) {
+          return;
+        }
+        self->CheckCaller();
+        self->PollCaller();
+      });
 }
 
 void ServerSession::Parse() {
@@ -208,7 +212,7 @@
 bool ServerSession::ParseStep() {
   error_code error;
   if (!parser_->got_some()) {
-    phase_began_ = BootClock::now();
+    phase_started_at_ = BootClock::now();
   }
   const std::size_t used = parser_->put(buffer_.data(), error);
   buffer_.consume(used);
@@ -219,18 +223,18 @@
     Reject(StatusOf(error));
     return false;
   }
-  if (parser_->is_header_done() && !header_seen_ && !CheckHeader()) {
+  if (parser_->is_header_done() && !header_checked_ && !CheckHeader()) {
     return false;
   }
   if (parser_->is_done()) {
-    TakeRequest();
+    HandleRequest();
     return false;
   }
   return used > 0;
 }
 
 bool ServerSession::CheckHeader() {
-  header_seen_ = true;
+  header_checked_ = true;
   const auto& message = parser_->get();
   if (HasUnknownFraming(message)) {
     Reject(http_status::kBadRequest);
@@ -251,11 +255,11 @@
   return true;
 }
 
-void ServerSession::TakeRequest() {
+void ServerSession::HandleRequest() {
   last_request_ = last_request_ || !parser_->get().keep_alive();
   exchange_ = std::make_shared<HttpExchange>(FromBeast(parser_->release()),
-                                             caller_, BootClock::now());
-  exchange_->OnAnswered([this] { Answer(); });
+                                             caller_ip_, BootClock::now());
+  exchange_->OnAnswered([this] { WriteResponse(); });
   exchange_->OnConnectionDropped([this] { Close(); });
   exchange_->OnConnectionCheck([this] { CheckCaller(); });
   const auto exchange = exchange_;
@@ -265,23 +269,24 @@
 void ServerSession::Reject(int status) {
   last_request_ = true;
   buffer_.clear();
-  if (server_->rejected_) {
-    server_->rejected_(status, caller_);
+  if (server_->on_rejected_) {
+    server_->on_rejected_(status, caller_ip_);
   }
-  exchange_ =
-      std::make_shared<HttpExchange>(HttpRequest{}, caller_, BootClock::now());
-  exchange_->OnAnswered([this] { Answer(); });
+  exchange_ = std::make_shared<HttpExchange>(HttpRequest{}, caller_ip_,
+                                             BootClock::now());
+  exchange_->OnAnswered([this] { WriteResponse(); });
   exchange_->Respond(TextResponse(status, "request not accepted\n"));
 }
 
-void ServerSession::Answer() {
+void ServerSession::WriteResponse() {
   last_request_ = last_request_ || server_->close_after_answers_;
   const bool head = exchange_->request().method == "HEAD";
-  out_ = SerializeResponse(exchange_->response(), !last_request_, head);
+  response_bytes_ =
+      SerializeResponse(exchange_->response(), !last_request_, head);
   exchange_.reset();
   writing_ = true;
   boost::asio::async_write(
-      socket_, boost::asio::buffer(out_),
+      socket_, boost::asio::buffer(response_bytes_),
       [self = shared_from_this()](const error_code& error, std::size_t) {
         self->OnWritten(error);
       });
@@ -289,7 +294,7 @@
 
 void ServerSession::OnWritten(const error_code& error) {
   writing_ = false;
-  out_ = std::string();
+  response_bytes_ = std::string();
   if (closed_) {
     return;
   }
@@ -298,19 +303,19 @@
     return;
   }
   if (last_request_) {
-    BeginClose();
+    StartLingeringClose();
     return;
   }
   StartRequest();
   Parse();
 }
 
-// Closing a socket with unread bytes resets it, and the reset can overtake
-// the answer. So this end is half-closed first, and what the caller still
-// sends is read and dropped until it closes too or the time is up.
-void ServerSession::BeginClose() {
+// Closing a socket with unread bytes resets the connection, and the reset can
+// overtake the answer. So this host half-closes the connection first and drops
+// what the caller still sends, until the caller closes or kLingerTime is over.
+void ServerSession::StartLingeringClose() {
   closing_ = true;
-  phase_began_ = BootClock::now();
+  phase_started_at_ = BootClock::now();
   buffer_.clear();
   error_code error;
   socket_.shutdown(boost::asio::ip::tcp::socket::shutdown_send, error);
@@ -318,7 +323,7 @@
 }
 
 void ServerSession::CheckTimeouts(Time now) {
-  if (closing_ && now - phase_began_ > kLingerTime) {
+  if (closing_ && now - phase_started_at_ > kLingerTime) {
     Close();
     return;
   }
@@ -327,35 +332,36 @@
   }
   const HttpLimits& limits = server_->limits();
   const bool mid_request = parser_->got_some();
-  if (mid_request && now - phase_began_ > limits.read_timeout) {
+  if (mid_request && now - phase_started_at_ > limits.read_timeout) {
     Reject(http_status::kRequestTimeout);
-  } else if (!mid_request && now - phase_began_ > limits.idle_timeout) {
+  } else if (!mid_request && now - phase_started_at_ > limits.idle_timeout) {
     Close();
   }
 }
 
 std::optional<EvictionRank> ServerSession::RankForEviction() {
   if (closing_) {
-    return EvictionRank{EvictionRank::Kind::kLingering, phase_began_};
+    return EvictionRank{EvictionRank::Kind::kLingering, phase_started_at_};
   }
   error_code error;
   if (closed_ || exchange_ || writing_ || socket_.available(error) > 0) {
     return std::nullopt;
   }
-  const bool half_sent = parser_->got_some() || buffer_.size() > 0;
-  return EvictionRank{half_sent ? EvictionRank::Kind::kPartialRequest
-                                : EvictionRank::Kind::kIdle,
-                      phase_began_};
+  const bool partial = parser_->got_some() || buffer_.size() > 0;
+  return EvictionRank{
+      partial ? EvictionRank::Kind::kPartialRequest : EvictionRank::Kind::kIdle,
+      phase_started_at_};
 }
 
-// Sent as far as the connection takes it at once. What has come is read, as
-// the answer would else be overtaken by a reset.
+// Writes as much of the answer as fits into the socket without blocking.
+// Received bytes are read first, as otherwise a reset would overtake the
+// answer.
 void ServerSession::Evict() {
   const bool idle = !closing_ && reading_ && !parser_->got_some();
   if (!closing_ && !idle) {
     HttpResponse response = TextResponse(http_status::kUnavailable,
                                          "not run: too many connections\n");
-    response.headers.push_back({"Retry-After", kComeBackSeconds});
+    response.headers.push_back({"Retry-After", kRetryAfterSeconds});
     const std::string text = SerializeResponse(response, false, false);
     error_code error;
     std::array<char, kReadChunk> unread{};
@@ -363,8 +369,8 @@
     socket_.read_some(boost::asio::buffer(unread), error);
     socket_.write_some(boost::asio::buffer(text), error);
     socket_.shutdown(boost::asio::ip::tcp::socket::shutdown_send, error);
-    if (server_ != nullptr && server_->rejected_) {
-      server_->rejected_(http_status::kUnavailable, caller_);
+    if (server_ != nullptr && server_->on_rejected_) {
+      server_->on_rejected_(http_status::kUnavailable, caller_ip_);
     }
   }
   Close();
@@ -375,7 +381,7 @@
     return;
   }
   closed_ = true;
-  watch_timer_.cancel();
+  caller_check_timer_.cancel();
   error_code error;
   socket_.close(error);
   if (const auto exchange = std::exchange(exchange_, nullptr)) {
--- a/src/pathcleat/http/server_session.hpp
+++ b/src/pathcleat/http/server_session.hpp
@@ -15,8 +15,8 @@
 
 namespace pathcleat {
 
-/// @brief What a connection without a request under way is worth, the least
-/// first: its kind, then since when it has been so.
+/// @brief Orders connections without a request in progress for eviction, lowest
+/// first: by kind, then by how long they have been in this state.
 struct EvictionRank {
   enum class Kind { kLingering, kPartialRequest, kIdle };
   Kind kind = Kind::kIdle;
@@ -24,10 +24,10 @@
   auto operator<=>(const EvictionRank&) const = default;
 };
 
-/// @brief The server's end of one connection. While a request waits for its
-/// answer the socket is still read, so that a caller's leaving is seen at
-/// once; what arrives meanwhile is kept as the next request. Once that is as
-/// much as is kept, the socket is asked several times a second instead.
+/// @brief Server side of one connection. While a request waits for its answer
+/// the socket is still read, so that a disconnect of the caller is detected at
+/// once; received bytes are buffered for the next request. Once the buffer is
+/// full, the socket is polled several times a second instead.
 /// @ingroup http
 class ServerSession : public std::enable_shared_from_this<ServerSession> {
  public:
@@ -35,21 +35,23 @@
 
   void Start();
 
-  /// @brief Closes if idle; otherwise after the answer under way.
+  /// @brief Closes the connection if idle, otherwise after the current answer.
   void CloseGracefully();
 
-  /// @brief Ends what has taken too long. Called several times a second.
+  /// @brief Applies the timeouts for idle connections, for reading a request
+  /// and for lingering. Called several times a second.
   void CheckTimeouts(Time now);
 
-  /// @brief What it is worth; nothing while its caller waits for an answer or
-  /// sends.
+  /// @brief Eviction rank; std::nullopt while the caller waits for an answer or
+  /// has sent bytes that are not read yet.
   std::optional<EvictionRank> RankForEviction();
 
-  /// @brief Ends it at once for others: a request that is half sent, or not
-  /// read, is told that it was not run.
+  /// @brief Closes the connection at once to free it for another caller. A
+  /// request that is partial or unread gets the answer that it was not run.
   void Evict();
 
-  /// @brief The server is going away: no callbacks any more.
+  /// @brief Called when the server is destroyed; closes the connection and
+  /// stops all use of the server.
   void Detach();
 
  private:
@@ -58,37 +60,37 @@
 
   void CloseIfIdle();
   void Read();
-  void OnReadEnd(const boost::system::error_code& error);
-  void OnCallerEnded();
+  void OnReadError(const boost::system::error_code& error);
+  void OnCallerHalfClosed();
   void CheckCaller();
-  void WatchCaller();
+  void PollCaller();
   void OnRead(const boost::system::error_code& error, std::size_t bytes);
   void Parse();
   bool ParseStep();
   bool CheckHeader();
-  void TakeRequest();
+  void HandleRequest();
   void Reject(int status);
-  void Answer();
+  void WriteResponse();
   void OnWritten(const boost::system::error_code& error);
-  void BeginClose();
+  void StartLingeringClose();
   void Close();
   void StartRequest();
 
   HttpServer* server_;
   boost::asio::ip::tcp::socket socket_;
-  boost::asio::steady_timer watch_timer_;
-  std::string caller_;
+  boost::asio::steady_timer caller_check_timer_;
+  std::string caller_ip_;
   boost::beast::flat_buffer buffer_;
   std::optional<Parser> parser_;
-  HttpExchangePtr exchange_;  ///< the request that waits for its answer
-  std::string out_;
-  Time phase_began_;  ///< of waiting idle, of reading, or of closing
-  bool header_seen_ = false;
+  HttpExchangePtr exchange_;  ///< the request that waits for an answer
+  std::string response_bytes_;
+  Time phase_started_at_;  ///< start of idling, reading or closing
+  bool header_checked_ = false;
   bool reading_ = false;
   bool writing_ = false;
   bool last_request_ = false;
-  bool ended_ = false;    ///< the caller sends no more, or has gone
-  bool closing_ = false;  ///< half-closed; what arrives is dropped
+  bool caller_half_closed_ = false;  ///< or disconnected
+  bool closing_ = false;  ///< half-closed; received bytes are dropped
   bool closed_ = false;
 };
 
--- a/src/pathcleat/http/server_stop_test.cpp
+++ b/src/pathcleat/http/server_stop_test.cpp
@@ -19,22 +19,23 @@
 constexpr std::string_view kRequest =
     "GET /item HTTP/1.1\r\nHost: test.example\r\n\r\n";
 
-// A server, and a caller whose writes have arrived when they return.
-struct ServerWorld {
-  ServerWorld() {
-    const bool open = TryOr(
+// A server and a connected caller. The writes of the caller are blocking, so
+// that their bytes have arrived at the server's socket when they return.
+struct ServerFixture {
+  ServerFixture() {
+    const bool listening = TryOr(
         [&]() -> Result<bool> {
           BOOST_LEAF_CHECK(server.Listen(address, kPort));
           return true;
         },
         [](const Error&) { return false; });
-    cr_assert(open);
+    cr_assert(listening);
     caller.connect({boost::asio::ip::make_address(address), kPort});
   }
 
   void Send() { boost::asio::write(caller, boost::asio::buffer(kRequest)); }
 
-  std::string AwaitEnd() {
+  std::string ReadUntilClosed() {
     caller.non_blocking(true);
     std::string text;
     cr_assert(WaitUntil(loop, [&] {
@@ -50,47 +51,48 @@
 
   boost::asio::io_context loop{1};
   std::string address = UniqueLoopbackAddress();
-  int handled = 0;
+  int handled_requests = 0;
   HttpServer server{
       loop, [this](const HttpExchangePtr& exchange) {
-        ++handled;
+        ++handled_requests;
         exchange->Respond(TextResponse(http_status::kOk, "done\n"));
       }};
   tcp::socket caller{loop};
 };
 
-// A busy host comes to its stop with requests that it has not read yet. They
-// were read and dropped, and their callers saw the connection end. Checked to
-// fail (nothing received) with CloseIfIdle called by ServerSession::Finish at
-// once: the first read has ended by then and is not handled yet.
-Test(http_server, request_that_waits_to_be_accepted_is_answered_at_the_end) {
-  ServerWorld world;
-  world.Send();
-  world.server.StopAccepting();
-  world.server.CloseGracefully();
-  const std::string text = world.AwaitEnd();
+// Guards against requests that a busy host has not read before shutdown and
+// then drops, so that their callers see the connection close without an answer.
+// Fails without the post in ServerSession::CloseGracefully (nothing received),
+// as the first read has completed by then but is not handled yet.
+Test(http_server, request_in_the_accept_queue_is_answered_on_shutdown) {
+  ServerFixture fixture;
+  fixture.Send();
+  fixture.server.StopAccepting();
+  fixture.server.CloseGracefully();
+  const std::string text = fixture.ReadUntilClosed();
   cr_assert(text.starts_with("HTTP/1.1 200"), "%s", text.c_str());
   cr_assert_neq(text.find("Connection: close"), std::string::npos);
 }
 
-// Checked to fail (nothing received) without unread in CloseIfIdle.
-Test(http_server, request_that_waits_to_be_read_is_answered_at_the_end) {
-  ServerWorld world;
-  cr_assert(WaitUntil(world.loop,
-                      [&] { return world.server.connection_count() == 1; }));
-  world.Send();
-  world.server.CloseGracefully();
-  const std::string text = world.AwaitEnd();
+// Guards against dropping a request that has arrived but has not been read.
+// Fails without unread in CloseIfIdle (nothing received).
+Test(http_server, unread_request_is_answered_on_shutdown) {
+  ServerFixture fixture;
+  cr_assert(WaitUntil(fixture.loop,
+                      [&] { return fixture.server.connection_count() == 1; }));
+  fixture.Send();
+  fixture.server.CloseGracefully();
+  const std::string text = fixture.ReadUntilClosed();
   cr_assert(text.starts_with("HTTP/1.1 200"), "%s", text.c_str());
 }
 
-Test(http_server, connection_without_a_request_ends_at_the_end) {
-  ServerWorld world;
-  cr_assert(WaitUntil(world.loop,
-                      [&] { return world.server.connection_count() == 1; }));
-  world.server.CloseGracefully();
-  cr_assert_str_empty(world.AwaitEnd().c_str());
-  cr_assert_eq(world.handled, 0);
+Test(http_server, idle_connection_is_closed_on_shutdown) {
+  ServerFixture fixture;
+  cr_assert(WaitUntil(fixture.loop,
+                      [&] { return fixture.server.connection_count() == 1; }));
+  fixture.server.CloseGracefully();
+  cr_assert_str_empty(fixture.ReadUntilClosed().c_str());
+  cr_assert_eq(fixture.handled_requests, 0);
 }
 
 }  // namespace
