--- a/include/pathcleat/routing/admission.hpp
+++ b/include/pathcleat/routing/admission.hpp
@@ -18,7 +18,7 @@
   /// Time left until the target latency is over, counted from the caller's
   /// first attempt; below zero if it is over.
   Duration target_time_left{0};
-  bool is_retry = false;  ///< whether it was refused before
+  bool is_retry = false;  ///< whether the request was refused before
 };
 
 /// @brief The time by which each queued request lengthens the wait for a slot.
@@ -38,9 +38,10 @@
 /// attempt may wait as long as its response is still within the target; if its
 /// run time alone exceeds the target, it may wait as long as a usual request. A
 /// retry has no other chance to be served: it may wait one queue position
-/// longer than that, so that first attempts do not take all positions. If
-/// requests could wait longer still, the requests behind them would be late
-/// too, would be refused, and would be late again when they retry.
+/// longer than a usual request, so that first attempts do not take all
+/// positions. If requests could wait longer still, the requests behind them
+/// would be late too, would be refused, and would be late again when they
+/// retry.
 /// @ingroup routing
 AdmissionDecision DecideAdmission(const AdmissionInput& input);
 
--- a/include/pathcleat/routing/average_load.hpp
+++ b/include/pathcleat/routing/average_load.hpp
@@ -6,9 +6,9 @@
 namespace pathcleat {
 
 /// @brief Average number of other hosts' requests in flight at the upstreams of
-/// one service and region, from recent reports. It replaces the report that an
-/// upstream has not sent: where hundreds of hosts send to as many upstreams, a
-/// host receives a report of each upstream less than once a minute, and an
+/// one service and region, from recent reports. It is used for upstreams
+/// without a recent report: where hundreds of hosts send to as many upstreams,
+/// a host receives a report of each upstream less than once a minute, and an
 /// upstream without a report would look idle. Not thread-safe.
 /// @ingroup routing
 class AverageLoad {
--- a/include/pathcleat/routing/key_placement.hpp
+++ b/include/pathcleat/routing/key_placement.hpp
@@ -36,8 +36,9 @@
 /// @brief Keeps the few upstreams that serve a key, nearest first, also under
 /// overload: a key spread over all upstreams would be cold on each of them, and
 /// the longer runs would increase the overload further. Two of the upstreams
-/// are the nearest by the regions' shares; the last one is in another region,
-/// for when the key's region lacks capacity.
+/// are the nearest by the regions' shares; if both are in one region, the third
+/// is the nearest in another region, for the case that the first region lacks
+/// capacity.
 void KeepNearestToKey(std::vector<Candidate>& candidates,
                       std::uint64_t key,
                       const RegionShares& shares);
--- a/include/pathcleat/routing/limit_exchange.hpp
+++ b/include/pathcleat/routing/limit_exchange.hpp
@@ -28,14 +28,16 @@
 
   void SetOnChange(OnChange on_change) { on_change_ = std::move(on_change); }
 
-  /// @brief Sets the function called when an answer received here changed a
-  /// limit, which other hosts should learn now.
+  /// @brief Sets the function called when an answer received by this host
+  /// changed a limit, so that the change can be reported to other hosts at
+  /// once.
   void SetOnUpdate(std::function<void()> on_update) {
     on_update_ = std::move(on_update);
   }
 
-  /// @brief Ends limits that no answer or report has confirmed for long. Call a
-  /// few times a second.
+  /// @brief Ends each limit that has gone unconfirmed until its permitted rate,
+  /// which doubles at regular intervals, reached the upstream's capacity. Call
+  /// a few times a second.
   void Tick(Time now);
 
   /// @brief Upstreams with a limit in force, by id.
@@ -43,12 +45,13 @@
     return limited_upstreams_;
   }
 
-  /// @brief An answer received here named a limit, in requests a second.
+  /// @brief Call when this host received an answer with a limit.
+  /// @param per_second the limit, in requests a second.
   void OnLimitReported(const UpstreamPtr& upstream,
                        double per_second,
                        Time now);
 
-  /// @brief An answer received here named no limit.
+  /// @brief Call when this host received an answer without a limit.
   /// @param sent when the request of that answer was sent.
   void OnNoLimitReported(const UpstreamPtr& upstream, Time sent, Time now);
 
@@ -78,10 +81,10 @@
   std::string domain_;
   OnChange on_change_;
   std::function<void()> on_update_;
-  Upstreams
-      recently_observed_;  ///< by id; newest observation is to be reported
+  /// Upstreams whose newest observations are to be reported, by id.
+  Upstreams recently_observed_;
   Upstreams limited_upstreams_;  ///< by id
-  std::string last_reported_;    ///< id; the next report starts after it
+  std::string last_reported_;    ///< id after which the next report starts
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/routing/limit_report.hpp
+++ b/include/pathcleat/routing/limit_report.hpp
@@ -12,16 +12,17 @@
 
 namespace pathcleat {
 
-/// @brief LimitEntry::per_second of an upstream that names no limit.
+/// @brief Value of LimitEntry::per_second if the upstream stated no limit.
 /// @ingroup routing
 inline constexpr float kNoRateLimit = -1;
 
 /// @brief The newest observation of one upstream's rate limit.
 /// @ingroup routing
 struct LimitEntry {
-  std::string upstream_id;          ///< id of the upstream
-  float per_second = kNoRateLimit;  ///< requests it accepts from all hosts
-  std::uint32_t age_ms = 0;         ///< time since the observation
+  std::string upstream_id;  ///< id of the upstream
+  /// Requests a second that the upstream accepts from all hosts together.
+  float per_second = kNoRateLimit;
+  std::uint32_t age_ms = 0;  ///< time since the observation
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -29,18 +30,18 @@
   }
 };
 
-/// @brief Most entries of a report: as many as fit a datagram of 1,472 bytes,
-/// with ids of 16 bytes.
+/// @brief Maximum number of entries in a report. This many entries with ids of
+/// 16 bytes fit in one datagram of 1,472 bytes.
 /// @ingroup routing
 inline constexpr std::size_t kMaxLimitEntries = 40;
 
-/// @brief Rate limits named by upstreams, as hosts report them to each other.
+/// @brief Rate limits stated by upstreams, as one host reports them to another.
 /// @ingroup routing
 struct LimitReport {
   std::string domain;  ///< failure domain of the sender
-  std::string host;    ///< sender
+  std::string host;    ///< name of the sender
   bool forward_to_domain =
-      false;  ///< whether the receiver reports it to its own domain
+      false;  ///< whether the receiver forwards the limits within its domain
   std::vector<LimitEntry> entries;
 
   template <class Archive>
@@ -49,16 +50,16 @@
   }
 };
 
-/// @brief Encodes a report (cereal, portable binary).
+/// @brief Encodes a report in the portable binary format of cereal.
 /// @ingroup routing
 std::string EncodeLimits(const LimitReport& report);
 
-/// @brief Decodes a report; nothing if the bytes are not a valid one.
+/// @brief Decodes a report; empty if the bytes are not a valid report.
 /// @ingroup routing
 std::optional<LimitReport> DecodeLimits(std::string_view bytes);
 
 /// @brief Supplies the limits that this host reports to other hosts, and
-/// receives theirs.
+/// receives the limits that they report.
 /// @ingroup routing
 class LimitPublisher {
  public:
--- a/include/pathcleat/routing/list_delta.hpp
+++ b/include/pathcleat/routing/list_delta.hpp
@@ -49,8 +49,9 @@
   return digest;
 }
 
-/// @brief Computes the steps that make a new list of an old one, of which only
-/// the hashes are known.
+/// @brief Computes the steps that turn an old list into a new one. Of the old
+/// list, only the hashes are needed.
+/// @param entries of the new list.
 /// @param hashes of the new list.
 /// @ingroup routing
 template <class Entry>
@@ -80,9 +81,9 @@
   return steps;
 }
 
-/// @brief Assembles the new list.
+/// @brief Builds the new list from the old list and the steps.
 /// @param digest of the new list's hashes.
-/// @return nothing if the steps, applied to this old list, do not result in the
+/// @return empty if the steps, applied to this old list, do not result in the
 /// new list.
 /// @ingroup routing
 template <class Entry>
--- a/include/pathcleat/routing/pick.hpp
+++ b/include/pathcleat/routing/pick.hpp
@@ -23,12 +23,16 @@
   const Account* account = nullptr;  ///< null: the caller has none
   std::string service;
   std::uint64_t key = 0;  ///< hash of the affinity key, or of the request id
-  bool sticky = false;    ///< whether it is served faster where its key is warm
-  Duration time_left{0};  ///< within the timeouts of route and caller
+  /// Whether the request runs faster on an upstream that is warm for its key.
+  bool sticky = false;
+  /// Until the shorter of the route's and the caller's timeouts is over.
+  Duration time_left{0};
   Duration caller_timeout{0};      ///< as the caller sent it
   std::set<std::string> excluded;  ///< ids of upstreams already tried
-  VersionRulePtr versions;         ///< versions it may go to; null: any
-  double shift_position = 0;  ///< of the caller in traffic shifts, in [0, 1)
+  VersionRulePtr versions;         ///< allowed versions of upstreams; null: any
+  /// Position of the caller, in [0, 1), by which a shift decides whether to
+  /// move the caller's requests.
+  double shift_position = 0;
 
   Urgency urgency() const {
     const auto account_priority = account ? account->priority : std::nullopt;
@@ -63,12 +67,16 @@
 /// @ingroup routing
 enum class PickFailure {
   kNone,
-  kNoUpstream,        ///< none is listed, open and presumed alive
-  kTooLate,           ///< none would answer within the time left
-  kOverloaded,        ///< the queue would make it late: the caller should retry
-  kShiftCap,          ///< leaving the region would exceed a shift's cap
-  kHostStops,         ///< this host stops too soon: another host serves it
-  kCrashesUpstreams,  ///< upstreams that ran it crashed: it is sent to none
+  kNoUpstream,  ///< no listed upstream is open, presumed alive and below its
+                ///< rate bound
+  kTooLate,     ///< no upstream would answer within the time left
+  kOverloaded,  ///< the queue would make the answer late; the caller should
+                ///< retry
+  kShiftCap,    ///< sending it to another region would exceed a shift's cap
+  kHostStops,  ///< this host stops too soon; the caller should retry at another
+               ///< host
+  kCrashesUpstreams,  ///< upstreams crashed while they ran it, so no other gets
+                      ///< it
 };
 
 /// @brief Stable lower-case name of a failure, as used in logs and metrics.
@@ -81,16 +89,18 @@
   UpstreamPtr upstream;  ///< null: see failure
   PickFailure failure = PickFailure::kNone;
   Duration expected_latency{0};  ///< until the answer
-  Duration expected_wait{0};     ///< part of it until a slot is free
+  Duration expected_wait{0};  ///< part of expected_latency until a slot is free
   Duration expected_latency_if_cold{
-      0};  ///< until the answer, where its key is cold
+      0};  ///< until the answer, if the upstream is cold for the key
   Duration retry_after{
       0};  ///< after a failure: delay until there may be capacity
   bool warm = false;
-  WarmthEvidence warmth_evidence;  ///< of the upstream for the key
+  WarmthEvidence warmth_evidence;  ///< why the upstream may be warm for the key
   bool leaves_region = false;
   int candidates = 0;
-  int passed_over = 0;  ///< upstreams whose rate bound was used up
+  /// Number of upstreams skipped because this host's share of their bounded
+  /// rate was used up.
+  int passed_over = 0;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/routing/pinned_capacity.hpp
+++ b/include/pathcleat/routing/pinned_capacity.hpp
@@ -10,12 +10,12 @@
 namespace pathcleat {
 
 /// @brief Computes which share of a region's slots is used by client accounts
-/// that may run in no other region. Requests that may run elsewhere are placed
-/// by the remaining slots: when they were placed by all slots, one large
-/// account restricted to the smallest region made other callers of that region
-/// wait or be refused while other regions had free slots. The share changes in
-/// steps, because all hosts must place keys alike although each receives
-/// slightly different figures of the demand. Not thread-safe.
+/// that may run in no other region (pinned accounts). Requests that may run
+/// elsewhere are placed by the remaining slots: when they were placed by all
+/// slots, one large account restricted to the smallest region made other
+/// callers of that region wait or be refused while other regions had free
+/// slots. The share changes in steps, because all hosts must place keys alike
+/// although each receives slightly different demand values. Not thread-safe.
 /// @ingroup routing
 class PinnedCapacity {
  public:
@@ -33,14 +33,17 @@
 
   /// @brief Share of a region's slots of a service that is used by pinned
   /// accounts, from 0 to 0.875.
+  /// @param slots number of these slots.
   double ShareOf(const std::string& service,
                  const std::string& region,
                  double slots);
 
  private:
   struct ServiceUsage {
-    double requests = 0;     ///< recent ones, decayed with each placed request
-    double run_seconds = 0;  ///< recent mean
+    /// Number of recent requests; earlier requests lose weight with each new
+    /// one.
+    double requests = 0;
+    double run_seconds = 0;  ///< recent mean run time of a request
   };
 
   double ExactShare(const std::string& service,
--- a/include/pathcleat/routing/rate_share.hpp
+++ b/include/pathcleat/routing/rate_share.hpp
@@ -14,9 +14,9 @@
 /// @ingroup routing
 struct RateBound {
   double per_second = 0;  ///< requests a second that the upstream can handle
-  double slack = 0;       ///< additional requests in any one window
+  double slack = 0;  ///< requests that may exceed the rate in any one window
 
-  /// @brief The bound that satisfies both.
+  /// @brief The highest bound that satisfies this one and `other`.
   RateBound MinWith(const RateBound& other) const {
     return {std::min(per_second, other.per_second),
             std::min(slack, other.slack)};
@@ -24,8 +24,9 @@
 };
 
 /// @brief How many hosts may send to an upstream of bounded rate at the same
-/// time. Each of them may send one request at once, and half of the slack is
-/// reserved because hosts learn late of hosts that start or stop.
+/// time. Each of these hosts may exceed its rate by one request; together these
+/// requests use half of the slack. The other half is reserved, because hosts
+/// learn late of hosts that start or stop.
 int RateSenderCount(double slack);
 
 /// @brief Decides which hosts send to an upstream of bounded rate. All hosts
@@ -50,7 +51,7 @@
 
   /// @brief Sets how many hosts the fleet may have, including this host and
   /// hosts that it cannot reach. A host that sees fewer than about two thirds
-  /// of the fleet uses only the share of a bound that falls to the hosts it
+  /// of the fleet scales each bound down to the share of the fleet that it
   /// sees, as the unseen hosts may send as well.
   void SetFleetSize(int hosts) { fleet_size_ = hosts; }
 
@@ -60,7 +61,8 @@
               std::uint64_t upstream_hash,
               const std::string& upstream_region) const;
 
-  /// @brief Number of hosts ranked so far, to measure the cost of ranking.
+  /// @brief Number of rank comparisons with other hosts so far, to measure the
+  /// cost of ranking.
   std::uint64_t ranked_count() const { return ranked_; }
 
  private:
--- a/include/pathcleat/routing/recent_keys.hpp
+++ b/include/pathcleat/routing/recent_keys.hpp
@@ -7,8 +7,8 @@
 
 namespace pathcleat {
 
-/// @brief The affinity keys that one upstream served last, newest first: the
-/// keys for which it is expected to be warm.
+/// @brief The affinity keys that this host last sent to one upstream, newest
+/// first. The upstream is expected to be warm for these keys.
 /// @ingroup routing
 class RecentKeys {
  public:
--- a/include/pathcleat/routing/request_profile.hpp
+++ b/include/pathcleat/routing/request_profile.hpp
@@ -7,14 +7,15 @@
 
 namespace pathcleat {
 
-/// @brief What this host has learned from one route's requests.
+/// @brief Estimates that this host makes from one route's requests.
 /// @ingroup routing
 struct RequestProfile {
   RequestProfile(Duration target_latency, bool learns_warmth)
       : warmth(target_latency, learns_warmth) {}
 
-  WarmthModel warmth;            ///< run times, warm and cold
-  double answer_bytes = 1'000;   ///< moving average
+  WarmthModel warmth;  ///< run times, warm and cold
+  double answer_bytes =
+      1'000;  ///< moving average of the size of an answer's body
   UsualDeadline usual_deadline;  ///< that callers send with first attempts
 };
 
--- a/include/pathcleat/routing/retry_scheduler.hpp
+++ b/include/pathcleat/routing/retry_scheduler.hpp
@@ -8,7 +8,8 @@
 
 namespace pathcleat {
 
-/// @brief The longest delay after which a retry is still of use to its caller.
+/// @brief The longest delay that the caller accepts and after which a retry can
+/// still be answered before the caller gives up.
 /// @param caller_left time until the caller gives up.
 /// @param service time from a free slot to the response.
 /// @ingroup routing
@@ -18,10 +19,12 @@
 /// All times count from now.
 /// @ingroup routing
 struct RetryWindow {
-  Duration earliest{0};        ///< until there is capacity for it
-  Duration latest_in_time{0};  ///< latest retry answered within the target
-  Duration latest{0};          ///< latest retry of use to its caller
-  Duration spacing{0};  ///< between two retries that there is capacity for
+  Duration earliest{0};  ///< until there is capacity for the request
+  /// Longest delay with an answer within the target latency.
+  Duration latest_in_time{0};
+  Duration latest{0};  ///< longest delay of use to the caller (LatestRetry)
+  /// Between two retries, so that the capacity suffices for both.
+  Duration spacing{0};
 };
 
 /// @brief Assigns refused requests a time to retry, each a time of its own, as
@@ -43,8 +46,8 @@
   // requests within the longest delay that callers accept.
   static constexpr std::size_t kMaxReserved = 1'024;
 
-  // The spacing is tried whole, then halved up to three times, so that reserved
-  // times may be an eighth of it apart.
+  // Number of spacings that are tried: the full spacing, then a half, a quarter
+  // and an eighth of it.
   static constexpr int kMaxSpacings = 4;
 
   Duration ChooseDelay(const RetryWindow& window, Time now) const;
--- a/include/pathcleat/routing/route.hpp
+++ b/include/pathcleat/routing/route.hpp
@@ -24,15 +24,16 @@
   std::string host;         ///< in the Host header, without a port
   std::string path_prefix;  ///< begins and ends with a slash
   std::vector<RouteSplit> splits;
-  bool repeatable = false;  ///< may run more than once
+  bool repeatable = false;  ///< whether a request may run more than once
   bool large_answers = false;
   bool sticky =
-      false;  ///< requests of one affinity key go to the same upstreams
-  /// Whether callers must send a key of a client account, if there are
-  /// accounts.
+      false;  ///< whether requests of one affinity key go to the same upstreams
+  /// Whether callers must send the API key of a client account. Not required
+  /// if no accounts are configured.
   bool needs_account_key = true;
-  int priority = 0;      ///< 0 is the most urgent
-  int max_attempts = 1;  ///< upstreams that one request may be sent to
+  int priority = 0;  ///< 0 is the most urgent
+  int max_attempts =
+      1;  ///< number of upstreams that one request may be sent to
   Duration timeout{5'000'000};
   Duration target_latency{1'000'000};
   std::vector<std::string> allowed_regions;  ///< empty: any region
--- a/include/pathcleat/routing/route_table.hpp
+++ b/include/pathcleat/routing/route_table.hpp
@@ -12,13 +12,13 @@
 
 namespace pathcleat {
 
-/// @brief The routes in force, indexed for look-ups. The version only rises.
-/// Not thread-safe.
+/// @brief The routes in force, indexed for look-ups. The version never
+/// decreases. Not thread-safe.
 /// @ingroup routing
 class RouteTable {
  public:
   /// @brief Replaces the routes if the version is newer.
-  /// @return false, and nothing changed, if it is not newer.
+  /// @return false, without effect, if the version is not newer.
   bool ReplaceIfNewer(RoutingConfig config);
 
   bool IsLoaded() const { return config_ != nullptr; }
@@ -32,7 +32,7 @@
   }
 
   /// @brief The host's route with the longest prefix of the path; null if there
-  /// is none. The pointer keeps its version alive.
+  /// is none. The pointer keeps the route's configuration version alive.
   /// @param host value of the Host header; a port in it is ignored.
   /// @param target request target; a query in it is ignored.
   std::shared_ptr<const Route> Find(std::string_view host,
@@ -49,7 +49,8 @@
   std::map<std::string, const ServiceInfo*, std::less<>> services_;
 };
 
-/// @brief Picks one of a route's splits, each in proportion to its weight.
+/// @brief Picks one of a route's splits. Each split covers a part of the
+/// positions proportional to its weight.
 /// @param position of the request, in [0, 1).
 /// @return null for a route without splits.
 /// @ingroup routing
--- a/include/pathcleat/routing/shift_table.hpp
+++ b/include/pathcleat/routing/shift_table.hpp
@@ -16,8 +16,9 @@
 struct ShiftStatus {
   ShiftPlan plan;
   double current_share = 0;
-  std::uint64_t offered = 0;  ///< requests counted by the shift, at this host
-  std::uint64_t moved = 0;    ///< of these, sent to another region
+  /// Requests that would stay in this region without the shift.
+  std::uint64_t offered = 0;
+  std::uint64_t moved = 0;  ///< of these, sent to another region
   RampDecision last_decision = RampDecision::kHeldStaleData;
 };
 
--- a/include/pathcleat/routing/slowness.hpp
+++ b/include/pathcleat/routing/slowness.hpp
@@ -24,8 +24,9 @@
   /// @brief Adds a completed run that took `ratio` times the usual run time.
   void OnRun(double ratio, Time now) { AddSample(ratio, now); }
 
-  /// @brief Adds a request without an answer for `ratio` times the usual time:
-  /// a lower bound, so it only raises the estimate.
+  /// @brief Adds a request that had no answer after `ratio` times the usual
+  /// time. Its full run time may be longer still, so the sample never lowers
+  /// the estimate.
   void OnNoAnswer(double ratio, Time now) {
     if (ratio > Value(now)) {
       AddSample(ratio, now);
@@ -38,7 +39,8 @@
   static constexpr double kSampleWeight = 0.25;
   static constexpr double kMinRatio = 0.8;
   static constexpr double kMaxRatio = 8;
-  // About as long as upstreams stay slow in known incidents (4 to 7 s).
+  // Slightly above the 4 to 7 s for which upstreams stayed slow in known
+  // incidents.
   static constexpr double kDecaySeconds = 8;
 
   void AddSample(double ratio, Time now) {
--- a/include/pathcleat/routing/split_balancer.hpp
+++ b/include/pathcleat/routing/split_balancer.hpp
@@ -11,7 +11,8 @@
 
 /// @brief Distributes a route's requests among its services by weight. A key
 /// keeps its service while the weights are met; if a few popular keys would
-/// distort them, requests go to the service furthest below its share.
+/// make a service exceed its share, requests go to the service furthest below
+/// its share.
 /// @ingroup routing
 class SplitBalancer {
  public:
--- a/include/pathcleat/routing/upstream.hpp
+++ b/include/pathcleat/routing/upstream.hpp
@@ -27,31 +27,37 @@
   UpstreamLoad load;
   UpstreamHealth health;
   RecentKeys keys;
-  RetryScheduler retry_scheduler;  ///< for requests refused for its queue
-  Time cold_until;         ///< accepts only a low request rate until then
-  TokenBucket rate_share;  ///< this host's share of its bounded rate
-  UpstreamLimit limit;     ///< stated in its answers
-  bool limit_unreadable = false;     ///< its last answer stated an invalid one
-  bool may_be_rate_bounded = false;  ///< tracked for that by UpstreamTable
-  std::uint64_t passed_over = 0;  ///< requests that found no rate_share token
-  std::uint64_t not_run = 0;      ///< requests that it reported as not run
+  /// For requests refused because of the upstream's queue.
+  RetryScheduler retry_scheduler;
+  Time cold_until;         ///< until when it accepts only a low request rate
+  TokenBucket rate_share;  ///< this host's share of the upstream's bounded rate
+  UpstreamLimit limit;     ///< stated in the upstream's answers
+  /// Whether the last answer of the upstream stated an invalid limit.
+  bool limit_unreadable = false;
+  /// Whether UpstreamTable::MaybeRateBounded includes the upstream.
+  bool may_be_rate_bounded = false;
+  /// Number of times that a choice skipped the upstream because rate_share had
+  /// no token.
+  std::uint64_t passed_over = 0;
+  /// Number of requests that the upstream reported as not run.
+  std::uint64_t not_run = 0;
   Slowness slowness;
   /// Set while its list entry is missing: until when the entry may return.
   std::optional<Time> lapse_deadline;
-  Time open_from;        ///< gets no requests before this time
-  bool removed = false;  ///< no longer listed; requests in flight go on
+  Time open_from;        ///< time before which it gets no requests
+  bool removed = false;  ///< no longer listed; requests in flight continue
 
   bool IsCold(Time now) const { return now < cold_until; }
 
-  /// @brief Whether all hosts together must keep to a bounded request rate for
-  /// it, and this host to its share of that rate.
+  /// @brief Whether the request rate of all hosts together to the upstream is
+  /// bounded. If so, this host may use only its share of that rate.
   bool IsRateBounded(Time now) const {
     return IsCold(now) || limit.IsInForce(now);
   }
 
-  /// @brief Slots that requests can use: fewer than it has while its rate limit
-  /// is in force.
-  /// @param run_seconds run time of one request; 0: not known.
+  /// @brief Slots that requests can use. While a rate limit is in force, these
+  /// are fewer than the upstream has.
+  /// @param run_seconds run time of one request in seconds; 0: unknown.
   double UsableSlots(double run_seconds, Time now) const;
 };
 
--- a/include/pathcleat/routing/upstream_health.hpp
+++ b/include/pathcleat/routing/upstream_health.hpp
@@ -7,11 +7,12 @@
 
 namespace pathcleat {
 
-/// @brief Decides whether an upstream may receive requests, by this host's own
-/// attempts alone. After consecutive failures the upstream is suspended for a
-/// delay that doubles with each further failure, then probed by one request at
-/// a time. While requests are in flight and no answer at all arrives, it gets
-/// no more requests.
+/// @brief Decides whether an upstream may receive requests, by the results of
+/// this host's own attempts alone. After consecutive failures the upstream is
+/// suspended for a delay that doubles with each further failure, then probed by
+/// one request at a time. An upstream that has answered none of the requests in
+/// flight for too long (IsSilent) gets no more requests until it answers or
+/// they end.
 /// @ingroup routing
 class UpstreamHealth {
  public:
@@ -22,7 +23,8 @@
   /// @brief Call when a request has ended, with or without an answer.
   void OnEnded() { --in_flight_; }
 
-  /// @brief Counts a request as in flight again after OnEnded.
+  /// @brief Reverts the OnEnded of a request for which OnEnded will be called
+  /// again.
   void OnEndReverted() { ++in_flight_; }
 
   /// @brief Call when the upstream has answered, with any status.
--- a/include/pathcleat/routing/upstream_info.hpp
+++ b/include/pathcleat/routing/upstream_info.hpp
@@ -20,9 +20,10 @@
   /// An upstream may keep its id over a restart but loses its state. 0: not
   /// reported.
   std::uint64_t started_ms = 0;
-  int slots = 1;
+  int slots = 1;  ///< number of requests that it runs at once
   bool leaving = false;
-  /// Time for which it accepts only a low request rate, as of the report.
+  /// Time for which the upstream still accepts only a low request rate, as of
+  /// the report.
   Duration cold_remaining{0};
 
   bool operator==(const UpstreamInfo&) const = default;
--- a/include/pathcleat/routing/upstream_limit.hpp
+++ b/include/pathcleat/routing/upstream_limit.hpp
@@ -9,15 +9,16 @@
 
 namespace pathcleat {
 
-/// @brief Rate limit of an upstream for all hosts together, as one of its
-/// answers stated it.
+/// @brief What one answer of an upstream stated about its rate limit, which
+/// applies to all hosts together.
 /// @ingroup routing
 struct LimitObservation {
-  std::optional<double> per_second;  ///< empty: the answer stated no limit
-  /// When this held for certain: the receipt of an answer with a limit, or the
-  /// sending of a request whose answer stated none.
+  /// Requests a second; empty: the answer stated no limit.
+  std::optional<double> per_second;
+  /// With a limit: when the answer was received. Without a limit: when the
+  /// request was sent, as a limit may have started after that.
   Time observed_at;
-  std::string host;    ///< that received the answer
+  std::string host;    ///< host that received the answer
   std::string domain;  ///< failure domain of that host
 };
 
--- a/include/pathcleat/routing/upstream_load.hpp
+++ b/include/pathcleat/routing/upstream_load.hpp
@@ -24,12 +24,13 @@
 /// @ingroup routing
 class UpstreamLoad {
  public:
-  /// @brief Sets whether the estimate decays from a report to the usual load by
-  /// other hosts; otherwise it decays to no load.
+  /// @brief Sets whether the estimate of other hosts' requests decays from the
+  /// last report to their usual number; otherwise it decays to 0.
   void SetRememberUsual(bool remember) { remember_usual_ = remember; }
 
-  /// @brief Sets an average over upstreams to which this upstream's reports
-  /// contribute, and which replaces them in the estimate once they are old.
+  /// @brief Sets the average over several upstreams, including this one. The
+  /// estimate uses the average in place of this upstream's own reports once
+  /// they are old.
   void SetSharedAverage(std::shared_ptr<AverageLoad> average) {
     shared_average_ = std::move(average);
   }
@@ -37,17 +38,19 @@
   void OnSent() { ++own_in_flight_; }
   void OnEnded() { --own_in_flight_; }
 
-  /// @brief Adds the report of an answer. Call before OnEnded.
+  /// @brief Adds the load report of an answer. Call before OnEnded.
   void OnReport(const LoadReport& report, Time now);
 
   int own_in_flight() const { return own_in_flight_; }
 
-  /// @brief Expected requests of all hosts running or waiting there now.
+  /// @brief Expected number of requests, of all hosts, that run or wait at the
+  /// upstream now.
   double ExpectedRequests(Time now) const;
 
-  /// @brief ExpectedRequests by this upstream's own reports, without the shared
-  /// average: with it, reports of a few busy upstreams would move traffic away
-  /// from all upstreams without a recent report.
+  /// @brief The same estimate without the shared average, from this upstream's
+  /// own reports alone. If upstreams were compared by ExpectedRequests, reports
+  /// of a few busy upstreams would move traffic away from all upstreams without
+  /// a recent report.
   double ExpectedFromReports(Time now) const;
 
  private:
@@ -60,8 +63,9 @@
   int own_in_flight_ = 0;
   double usual_other_requests_ = 0;  ///< recent average of other_requests_
   double other_requests_ = 0;  ///< requests of other hosts at reported_at_
-  std::optional<Time> reported_at_;              ///< time of the last report
-  std::shared_ptr<AverageLoad> shared_average_;  ///< null: no load is assumed
+  std::optional<Time> reported_at_;  ///< time of the last report
+  /// Null: without reports, no load by other hosts is assumed.
+  std::shared_ptr<AverageLoad> shared_average_;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/routing/upstream_picker.hpp
+++ b/include/pathcleat/routing/upstream_picker.hpp
@@ -21,7 +21,8 @@
 
 namespace pathcleat {
 
-/// @brief Location of a host, and the costs and limits of its choices.
+/// @brief Location of a host, and the costs and limits by which it chooses
+/// upstreams.
 /// @ingroup routing
 struct PickerSettings {
   std::string domain;
@@ -29,7 +30,8 @@
   /// Cost per gigabyte, in units of the value of one answer in time.
   double cross_domain_cost_per_gigabyte = 0;
   double cross_region_cost_per_gigabyte = 0;
-  /// Most requests in flight from this region to others, by region.
+  /// Maximum number of requests in flight from this region to each other
+  /// region, by name of the other region.
   std::map<std::string, int> link_limits;
   PolicySwitches policy;
 };
@@ -39,7 +41,7 @@
 struct AnswerMeasurements {
   Duration took{0};  ///< from sending the request to the answer's last byte
   std::size_t bytes = 0;  ///< of the answer's body
-  bool queued = false;    ///< requests waited at the upstream
+  bool queued = false;    ///< whether requests waited at the upstream
 };
 
 /// @brief Chooses the upstream of each request: the one with the highest value
@@ -55,8 +57,8 @@
   Pick Choose(const PickRequest& request, Time now);
 
   /// @brief Time after which the caller of a refused request should retry:
-  /// until `next`, or any upstream if it has none, is expected to have
-  /// capacity.
+  /// until the upstream of `next` is expected to have capacity, or any
+  /// upstream if `next` has none.
   Duration RetryDelay(const PickRequest& request, const Pick& next, Time now);
 
   /// @brief Headroom and latency of a service's upstreams in a region.
--- a/include/pathcleat/routing/upstream_table.hpp
+++ b/include/pathcleat/routing/upstream_table.hpp
@@ -25,17 +25,19 @@
   explicit UpstreamTable(std::map<std::string, std::string> region_of_domain,
                          PolicySwitches policy = {});
 
-  /// @brief Adds or updates an entry. The other state of a listed upstream is
-  /// kept, unless the upstream has restarted under its id.
-  /// @return whether it has restarted.
+  /// @brief Adds or updates an entry. A listed upstream keeps its state
+  /// apart from the entry, unless it has restarted under the same id.
+  /// @return whether the upstream has restarted.
   bool Put(const UpstreamInfo& entry, Time now);
 
   /// @brief Removes an entry; its upstream gets no new requests.
   void Remove(const std::string& id);
 
-  /// @brief Marks an entry as missing from the list; it may return until a
-  /// given time. The upstream still gets requests.
-  /// @return false, and no effect, if it is not listed or is leaving.
+  /// @brief Marks an entry as missing from the list. The upstream still gets
+  /// requests.
+  /// @param until when the entry may still return to the list.
+  /// @return false, without effect, if the upstream is not listed or is
+  /// leaving.
   bool Lapse(const std::string& id, Time until);
 
   /// @brief Stops or resumes new requests to a failure domain.
@@ -59,8 +61,9 @@
   /// @brief All listed upstreams of a service.
   const std::vector<UpstreamPtr>& ForService(std::string_view service) const;
 
-  /// @brief Upstreams whose rate may be bounded. Only they are checked several
-  /// times a second; they are few, so the cost does not grow with the list.
+  /// @brief Upstreams whose rate may be bounded. Only these few upstreams are
+  /// checked several times a second, so that the cost does not grow with the
+  /// list.
   const std::vector<UpstreamPtr>& MaybeRateBounded(Time now);
 
   /// @brief Upstreams whose entries have lapsed.
--- a/include/pathcleat/routing/urgency_tracker.hpp
+++ b/include/pathcleat/routing/urgency_tracker.hpp
@@ -18,9 +18,10 @@
   auto operator<=>(const Urgency&) const = default;
 };
 
-/// @brief Share of each kind of a service's requests that this host has
-/// recently sent to an upstream, so that no kind is served at a lower rate than
-/// a less urgent one. Not thread-safe.
+/// @brief Tracks which share of each kind of a service's requests this host
+/// has recently sent to an upstream, so that no kind is served at a lower rate
+/// than a less urgent one. A kind is the requests of one route that have the
+/// same account priority. Not thread-safe.
 /// @ingroup routing
 class UrgencyTracker {
  public:
@@ -32,15 +33,15 @@
   /// @brief Counts a request of a kind that was sent to an upstream.
   void OnSent(const std::string& kind, Time now);
 
-  /// @brief Whether a higher share of this kind is sent than of a more urgent
-  /// kind.
+  /// @brief Whether a higher share of this kind is sent than of any one more
+  /// urgent kind.
   bool IsOverServed(const std::string& kind, Time now) const;
 
  private:
   struct Counts {
     Urgency urgency;
     double offered = 0;  ///< first attempts, weighted by age as of updated_at
-    double sent = 0;     ///< requests sent, weighted alike
+    double sent = 0;     ///< requests sent, weighted in the same way
     Time updated_at;
 
     void DecayTo(Time now);
--- a/include/pathcleat/routing/usual_deadline.hpp
+++ b/include/pathcleat/routing/usual_deadline.hpp
@@ -8,9 +8,9 @@
 namespace pathcleat {
 
 /// @brief Learns the deadline that a route's callers send with their first
-/// attempts: the value that recurs, as the deadlines of retries differ from
-/// each other. A single caller with an unusual deadline does not change it. Not
-/// thread-safe.
+/// attempts. First attempts repeat the same value, while the deadlines of
+/// retries differ from each other. A single caller with an unusual deadline
+/// does not change it. Not thread-safe.
 /// @ingroup routing
 class UsualDeadline {
  public:
@@ -26,7 +26,8 @@
     }
   }
 
-  /// @brief Time since the caller's first attempt, by the deadline it sent now.
+  /// @brief Time since the caller's first attempt, estimated from the deadline
+  /// that the caller sent with the current attempt.
   Duration SinceFirstTry(Duration deadline) const {
     return Matches(deadline) ? Duration::zero()
                              : std::max(Duration::zero(), value_ - deadline);
@@ -35,11 +36,12 @@
   Duration value() const { return value_; }
 
  private:
-  // A matching deadline outweighs this many others, so that the value is kept
-  // while at least one request in five is a first attempt.
+  // A matching deadline outweighs this many different ones, so that the value
+  // is kept while at least one request in five is a first attempt.
   static constexpr int kVotesPerMatch = 4;
-  // At most this many consecutive requests must differ before the value
-  // changes.
+  // Bounds how long a value outlasts its use: it is replaced at the latest by
+  // the first request after this many consecutive requests with other
+  // deadlines.
   static constexpr int kMaxVotes = 64;
   // Clock differences and queues at callers shorten a deadline by up to this
   // part of it.
--- a/include/pathcleat/routing/version_filter.hpp
+++ b/include/pathcleat/routing/version_filter.hpp
@@ -9,7 +9,8 @@
 namespace pathcleat {
 
 /// @brief Removes the candidates that a version rule does not allow. This may
-/// leave none, even if upstreams of other versions could serve the request.
+/// leave no candidates, even if upstreams of other versions could serve the
+/// request.
 /// @ingroup routing
 void FilterByVersion(std::vector<Candidate>& candidates,
                      const VersionRule& rule);
--- a/include/pathcleat/routing/warmth.hpp
+++ b/include/pathcleat/routing/warmth.hpp
@@ -9,13 +9,15 @@
 
 namespace pathcleat {
 
-/// @brief Why an upstream may be warm for a key, and so run it in less time:
-/// this host has sent the key there, or other hosts are likely to have, as they
-/// rank the upstreams of a key in the same order.
+/// @brief Evidence that an upstream is warm for a key, which means that it runs
+/// requests with the key in less time. Either this host sent the key to the
+/// upstream, or other hosts probably did, as all hosts rank the upstreams of a
+/// key in the same order.
 /// @ingroup routing
 struct WarmthEvidence {
-  bool sent_recently = false;  ///< by this host
-  std::size_t rank = 0;        ///< of the upstream for the key; 0: nearest
+  bool sent_recently = false;  ///< whether this host sent the key to it
+  /// Rank of the upstream by distance from the key; 0: nearest.
+  std::size_t rank = 0;
 };
 
 /// @brief Learns from run times how often an upstream is warm for a key, by
@@ -24,16 +26,17 @@
 class WarmthModel {
  public:
   /// @param target_latency of the route; sets the initial run times.
-  /// @param learns whether probabilities are learned; else the initial ones
-  /// stay.
+  /// @param learns whether the probabilities are learned; if not, they keep
+  /// their initial values.
   explicit WarmthModel(Duration target_latency, bool learns = true);
 
   /// @brief Probability that the upstream is warm.
   double Probability(const WarmthEvidence& evidence) const;
 
-  /// @brief Adds a run without queueing, as it would take on an upstream of the
-  /// usual speed.
-  /// @return whether it was a warm run.
+  /// @brief Adds the run time of one request.
+  /// @param run time without queueing, converted to an upstream of the usual
+  /// speed.
+  /// @return whether the run was a warm run.
   bool OnRun(const WarmthEvidence& evidence, Duration run);
 
   /// @brief Whether a run on an upstream of the usual speed is a warm run.
--- a/include/pathcleat/store/fleet_change.hpp
+++ b/include/pathcleat/store/fleet_change.hpp
@@ -29,9 +29,9 @@
   std::string service;
 };
 
-/// @brief A row that could not be decoded. An operator's row is ignored, so
-/// that its previous value stays in force; the upstream of an upstream's row is
-/// not used.
+/// @brief A row that could not be decoded. If an operator wrote the row, its
+/// previous value stays in force. If the row is the entry of an upstream, that
+/// upstream is not used.
 /// @ingroup store
 struct UnreadableRow {
   std::string key;
--- a/include/pathcleat/store/fleet_source.hpp
+++ b/include/pathcleat/store/fleet_source.hpp
@@ -35,9 +35,10 @@
   std::uint64_t version = 0;  ///< version from which to watch
   /// Version of the newest change in the answer, or 0.
   std::uint64_t newest_change_version = 0;
-  std::string next_page;  ///< of a read: start of the next page; empty: none
-  bool is_full = false;   ///< of a watch: `changes` is the complete state
-  bool relayed = false;   ///< answered by another host instead of the store
+  /// Of a read: start of the next page; empty: no more pages.
+  std::string next_page;
+  bool is_full = false;  ///< of a watch: `changes` is the complete state
+  bool relayed = false;  ///< answered by another host instead of the store
   /// Missing entries may have expired instead of having been removed.
   bool removals_uncertain = false;
   Transfer transfer;  ///< size, origin and times of the answer
@@ -52,12 +53,14 @@
   virtual ~FleetSource() = default;
 
   /// @brief Reads one page of the complete state of a topic.
-  /// @param from empty for the first page, else next_page of the last answer.
+  /// @param from empty for the first page, otherwise next_page of the previous
+  /// answer.
   virtual void Read(SourceTopic topic,
                     const std::string& from,
                     Callback callback) = 0;
 
-  /// @brief Waits for changes after a version and reports them at once.
+  /// @brief Waits for changes after a version and reports them as soon as they
+  /// occur.
   /// @param wait time after which the watch is answered without changes.
   virtual void Watch(SourceTopic topic,
                      std::uint64_t after,
--- a/include/pathcleat/store/rollout_status.hpp
+++ b/include/pathcleat/store/rollout_status.hpp
@@ -28,7 +28,7 @@
 /// @ingroup store
 struct RolloutStatusReadResult {
   StoreOutcome outcome = StoreOutcome::kNotDone;
-  std::uint64_t version = 0;  ///< of the row
+  std::uint64_t version = 0;  ///< version of the row
   RolloutStatus status;       ///< empty service: the row could not be decoded
 };
 
--- a/include/pathcleat/store/store_call_stats.hpp
+++ b/include/pathcleat/store/store_call_stats.hpp
@@ -16,8 +16,9 @@
 struct StoreCallStats {
   /// Number of calls by verb and outcome.
   std::map<std::pair<std::string, StoreOutcome>, std::uint64_t> calls;
-  Histogram latency;                     ///< of calls other than watches
-  std::uint64_t silent_connections = 0;  ///< closed as no bytes arrived
+  Histogram latency;  ///< of calls other than watches
+  /// Connections closed because no bytes arrived.
+  std::uint64_t silent_connections = 0;
 
   /// @brief Counts a completed call.
   /// @param is_watch whether the call waits for changes.
--- a/src/pathcleat/routing/admission_control.cpp
+++ b/src/pathcleat/routing/admission_control.cpp
@@ -142,7 +142,8 @@
     }
   }
   if (earliest_is_bounded) {
-    // A retry may be sent to any of the rate-bounded upstreams.
+    // The retry may be sent to any of the rate-bounded upstreams, so the
+    // spacing follows from the sum of their rates.
     window.spacing = Scale(kSecond, 1 / bounded_rate);
   }
   return scheduler->Reserve(window, now);
--- a/src/pathcleat/routing/admission_control_test.cpp
+++ b/src/pathcleat/routing/admission_control_test.cpp
@@ -129,7 +129,8 @@
   cr_assert(fixture.Choose(kStart + refused.retry_after).upstream != nullptr);
 }
 
-Test(admission_control, without_an_estimate_the_latest_useful_time_is_given) {
+Test(admission_control,
+     without_an_estimate_the_latest_useful_retry_time_is_given) {
   RetryFixture fixture;
   fixture.table().Remove("n0");
   const Pick refused = fixture.Choose(kStart);
--- a/src/pathcleat/routing/average_load.cpp
+++ b/src/pathcleat/routing/average_load.cpp
@@ -9,9 +9,10 @@
 
 // Bursts last a few seconds, as for the usual load of one upstream.
 constexpr double kDecayMicros = 2'000'000;
-// Weight of the assumption that upstreams are idle, in reports: a single report
-// proves little, and without new reports the average falls to zero.
-constexpr double kIdleReportWeight = 1;
+// The average includes this many assumed reports of an idle upstream. They
+// limit the effect of a single report, and let the average fall to zero without
+// new reports.
+constexpr double kAssumedIdleReports = 1;
 
 }  // namespace
 
@@ -29,7 +30,7 @@
 
 double AverageLoad::Value(Time now) const {
   const double decay = DecayFactor(now);
-  return sum_ * decay / (reports_ * decay + kIdleReportWeight);
+  return sum_ * decay / (reports_ * decay + kAssumedIdleReports);
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/routing/key_placement.cpp
+++ b/src/pathcleat/routing/key_placement.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t kNearestUpstreams = 2;
 
 // Added to the distance of upstreams without a share, so that they rank after
-// those that have one.
+// upstreams with a share.
 constexpr double kNoShareOffset = 1e3;
 
 bool IsNearer(const Candidate& a, const Candidate& b) {
--- a/src/pathcleat/routing/limit_exchange.cpp
+++ b/src/pathcleat/routing/limit_exchange.cpp
@@ -8,7 +8,8 @@
 namespace pathcleat {
 namespace {
 
-// Four rounds of heartbeats, as datagrams get lost.
+// Each observation is reported in four rounds of heartbeats, as datagrams may
+// be lost.
 constexpr Duration kReportWindow{2'000'000};
 // A report takes less than this to arrive. The receiver adds it to the age of
 // each entry: an observation that looked newer than it is would be kept alive
@@ -94,7 +95,7 @@
   }
 }
 
-// Entries that do not fit come first in the next report.
+// Entries that do not fit in a report come first in the next one.
 LimitReport LimitExchange::MakeReport(
     bool forward_to_domain,
     const Upstreams& upstreams,
--- a/src/pathcleat/routing/rate_share.cpp
+++ b/src/pathcleat/routing/rate_share.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr double kSenderSlackShare = 0.5;
-// Two parts of a fleet that cannot reach each other never both have this share
-// of the hosts.
+// A host that sees at least this share of the fleet uses the whole bound. Of
+// two parts of a fleet that cannot reach each other, at most one is that large.
 constexpr double kMajorityShare = 0.67;
 
 }  // namespace
--- a/src/pathcleat/routing/rate_share_test.cpp
+++ b/src/pathcleat/routing/rate_share_test.cpp
@@ -139,8 +139,8 @@
   }));
 }
 
-// Guards against parts of a fleet that cannot reach each other and each use the
-// whole bound.
+// Guards against a split fleet in which both parts, unable to reach each other,
+// use the whole bound.
 Test(rate_share, parts_of_a_fleet_that_cannot_reach_each_other_keep_the_bound) {
   cr_assert(Holds("the sum over both parts", [] {
     const int count = *rc::gen::inRange(2, 60);
--- a/src/pathcleat/routing/region_shares.cpp
+++ b/src/pathcleat/routing/region_shares.cpp
@@ -29,9 +29,9 @@
 
 }  // namespace
 
-// Keys placed by capacity go by the slots that are left beside those of pinned
-// accounts. Callers are assumed to be spread over the regions as the hosts are,
-// and all regions are to be equally busy.
+// Keys are placed by the slots that pinned accounts do not use. Callers are
+// assumed to be spread over the regions as the hosts are, and all regions are
+// to be equally busy.
 void RegionShares::Update(
     const std::map<std::string, RegionCapacity>& regions) {
   double slots = 0;
--- a/src/pathcleat/routing/retry_scheduler.cpp
+++ b/src/pathcleat/routing/retry_scheduler.cpp
@@ -14,9 +14,9 @@
 }  // namespace
 
 Duration LatestRetry(Duration caller_left, Duration service) {
-  const Duration accepted = caller_left / kAcceptedDelayDivisor;
+  const Duration max_accepted = caller_left / kAcceptedDelayDivisor;
   const Duration in_time = caller_left - service;
-  return std::max(Duration::zero(), std::min(accepted, in_time));
+  return std::max(Duration::zero(), std::min(max_accepted, in_time));
 }
 
 Duration RetryScheduler::Reserve(const RetryWindow& window, Time now) {
--- a/src/pathcleat/routing/slowness_test.cpp
+++ b/src/pathcleat/routing/slowness_test.cpp
@@ -16,7 +16,7 @@
     slowness.OnNoAnswer(6, kStart);
   }
   cr_assert_gt(slowness.Value(kStart), 3);
-  // A wait shorter than the estimate predicts does not lower it.
+  // A wait shorter than the expected run time does not lower the estimate.
   const double before = slowness.Value(kStart);
   slowness.OnNoAnswer(1.5, kStart);
   cr_assert_eq(slowness.Value(kStart), before);
--- a/src/pathcleat/routing/split_balancer.cpp
+++ b/src/pathcleat/routing/split_balancer.cpp
@@ -9,7 +9,8 @@
 namespace pathcleat {
 namespace {
 
-// Keys leave a split once it exceeds its share by this part of all requests.
+// Requests move from a split to another once the split exceeds its share by
+// this part of all recent requests.
 constexpr double kMaxExcessShare = 0.02;
 // Number of requests in which a count decays to about a third.
 constexpr double kDecayRequests = 200;
--- a/src/pathcleat/routing/upstream_load.cpp
+++ b/src/pathcleat/routing/upstream_load.cpp
@@ -61,7 +61,7 @@
   return usual_other_requests_ * std::exp(-AgeMicros(now) / kUsualDecayMicros);
 }
 
-// The shared average counts only as the upstream's own report grows old.
+// The shared average gains weight as the upstream's last report ages.
 double UpstreamLoad::UsualAt(Time now) const {
   const double own = OwnUsualAt(now);
   if (!shared_average_) {
--- a/src/pathcleat/routing/upstream_picker.cpp
+++ b/src/pathcleat/routing/upstream_picker.cpp
@@ -11,17 +11,20 @@
 namespace {
 
 constexpr double kBytesPerGigabyte = 1e9;
-// Value of an answer after its target latency; one in time has the value 1.
+// Value of an answer after its target latency. An answer in time has the value
+// 1.
 constexpr double kLateAnswerValue = 0.2;
-// Width of the fall in value around the target latency, as a share of it.
+// The value of an answer falls smoothly around the target latency. This is the
+// width of that fall, as a share of the target latency.
 constexpr double kLatenessSpread = 0.15;
 // Cost of one slot-second at an upstream, in values of one answer in time.
 constexpr double kSlotSecondCost = 0.3;
 // Answers of at least this size stay in their region if it has an upstream.
 constexpr double kLargeAnswerBytes = 32'768;
 constexpr double kWarmThreshold = 0.5;
-// Cost per rank: a key leaves its nearest upstream only for an answer of this
-// much more value. With a lower cost, more upstreams than necessary become warm
+// Cost per rank, in values of one answer in time: a key leaves its nearest
+// upstream only if the answer of the other one has a value higher by this much
+// per rank. With a lower cost, more upstreams than necessary become warm
 // for the key, and the region that is short of slots fills up.
 constexpr double kRankCost = 0.08;
 // Ranks beyond those of a key's few upstreams cost no more than this rank.
@@ -44,9 +47,10 @@
   return kLateAnswerValue + (1 - kLateAnswerValue) * on_time;
 }
 
-// Keeps only an upstream whose limit is due for a probe, if there is one: few
-// hosts send to a limited upstream, and their keys may rarely select it. Only
-// first attempts of repeatable requests are used as probes.
+// If the limit of an upstream is due for a probe, keeps only that upstream as a
+// candidate. Otherwise it might rarely be chosen, as few hosts send to a
+// limited upstream and few of their keys may belong to it. Only first attempts
+// of repeatable requests are used as probes.
 void KeepOnlyProbeTarget(std::vector<Candidate>& candidates,
                          const PickRequest& request,
                          Time now) {
@@ -131,8 +135,8 @@
   });
 }
 
-// Large answers stay in their region if it has an upstream: the transfer of one
-// between regions costs more than its value.
+// Large answers stay in their region if it has an upstream: the transfer of a
+// large answer between regions costs more than the answer's value.
 void UpstreamPicker::KeepLargeAnswersLocal(std::vector<Candidate>& candidates,
                                            const PickRequest& request) {
   const bool has_local = std::any_of(
--- a/src/pathcleat/routing/upstream_picker_limits_test.cpp
+++ b/src/pathcleat/routing/upstream_picker_limits_test.cpp
@@ -36,7 +36,8 @@
       cr_assert_gt(pick.passed_over, 0);
     }
   }
-  // Two upstreams at 2 requests per second each, with a burst of 1 each.
+  // Two upstreams, each with 2 requests per second for 5 s and a burst of 1
+  // request.
   cr_assert_leq(sent, 22);
   cr_assert_geq(sent, 15);
 }
--- a/src/pathcleat/routing/upstream_picker_test.cpp
+++ b/src/pathcleat/routing/upstream_picker_test.cpp
@@ -185,7 +185,7 @@
   }));
 }
 
-// Retries of all hosts in any window stay within ratio x requests + slack.
+// Retries never exceed a share of the first attempts plus a fixed burst.
 // Fails with the refill in RetryBudget::OnFirstAttempt doubled.
 Test(promise, retries_stay_within_their_budget) {
   cr_assert(Holds("retries <= burst + share * first attempts", [] {
@@ -223,7 +223,7 @@
       ++sent;
     }
   }
-  // Two upstreams at 2 requests per second each, with a burst of 1 each.
+  // Two upstreams, each with 2 requests per second and a burst of 1 request.
   cr_assert_leq(sent, 22);
   cr_assert_geq(sent, 15);
 }
--- a/src/pathcleat/routing/upstream_table.cpp
+++ b/src/pathcleat/routing/upstream_table.cpp
@@ -13,9 +13,9 @@
 // About as many keys as an upstream of the users' services keeps cached.
 constexpr std::size_t kRecentKeyCount = 48;
 constexpr double kRateShareBurst = 1;
-// No upstream of the users' services runs a request in less.
+// No upstream of the users' services runs a request in less time.
 constexpr double kMinRunSeconds = 0.05;
-// Limits that differ by a smaller part count as equal.
+// Two limits count as equal if their relative difference is at most this.
 constexpr double kLimitTolerance = 0.01;
 // Rollout orders and the upstream list each reach a host within 0.5 s of the
 // store's answer; the delay is twice that.
--- a/src/pathcleat/routing/upstream_table_test.cpp
+++ b/src/pathcleat/routing/upstream_table_test.cpp
@@ -28,7 +28,8 @@
 // Guards against periodic work, four times a second, that grows with the list:
 // walking 10,000 entries takes 0.5 ms of the 25 ms that a tenth of a core
 // allows.
-Test(upstream_table, periodic_checks_cover_only_rate_bounded_and_lapsed) {
+Test(upstream_table,
+     periodic_checks_cover_only_rate_bounded_and_lapsed_upstreams) {
   for (const int upstreams : {100, 1'000}) {
     UpstreamTable table = TableOf(upstreams);
     cr_assert(table.MaybeRateBounded(kStart).empty());
--- a/src/pathcleat/routing/urgency_tracker.cpp
+++ b/src/pathcleat/routing/urgency_tracker.cpp
@@ -14,9 +14,9 @@
 constexpr double kMinOffered = 20;
 // Kinds with a lower decayed count are dropped.
 constexpr double kMinCount = 0.1;
-// Shares that differ by no more count as equal: a share of some tens of
-// requests is no more precise. The users' requirements allow a difference of
-// 0.05.
+// Two shares count as equal if their difference is at most this: a share of
+// some tens of requests is no more precise. The users' requirements allow a
+// difference of 0.05.
 constexpr double kShareTolerance = 0.04;
 
 }  // namespace
--- a/src/pathcleat/routing/version_filter.cpp
+++ b/src/pathcleat/routing/version_filter.cpp
@@ -10,8 +10,9 @@
 namespace pathcleat {
 namespace {
 
-// Keeps a share of each region's candidates, at least one, lowest hash first.
-void KeepFirstPerRegion(std::vector<Candidate>& candidates, double share) {
+// Keeps a share of each region's candidates, at least one: the upstreams with
+// the lowest hashes.
+void KeepSharePerRegion(std::vector<Candidate>& candidates, double share) {
   std::map<std::string, std::size_t> remaining;
   for (const Candidate& candidate : candidates) {
     ++remaining[candidate.upstream->region];
@@ -32,15 +33,15 @@
 
 }  // namespace
 
-// In a trial of a version, the first upstreams of each region get all of its
-// requests, so that they are as busy as the upstreams of other versions.
+// In a trial of a version, a few upstreams of each region get all requests to
+// that version, so that they are as busy as the upstreams of other versions.
 void FilterByVersion(std::vector<Candidate>& candidates,
                      const VersionRule& rule) {
   std::erase_if(candidates, [&rule](const Candidate& candidate) {
     return !rule.Allows(candidate.upstream->info.version);
   });
   if (!rule.required_version.empty()) {
-    KeepFirstPerRegion(candidates, rule.upstream_share);
+    KeepSharePerRegion(candidates, rule.upstream_share);
   }
 }
 
