--- a/include/pathcleat/accounts/account.hpp
+++ b/include/pathcleat/accounts/account.hpp
@@ -14,18 +14,20 @@
 /// @ingroup accounts
 struct AccountLimit {
   double per_second = 0;  ///< requests a second; 0: no limit
-  double burst = 0;       ///< requests allowed beyond the rate in any window
+  double burst = 0;       ///< requests allowed above the rate in any window
 
   bool IsSet() const { return per_second > 0; }
   bool operator==(const AccountLimit&) const = default;
 };
 
-/// @brief A customer of the operators whose callers authenticate by keys.
+/// @brief A client account: one customer of the operators. The customer's
+/// callers authenticate with API keys.
 /// @ingroup accounts
 struct Account {
   std::string name;
   std::vector<KeyedDigest> key_digests;
-  std::optional<int> priority;  ///< overrides the route's; 0: most urgent
+  std::optional<int>
+      priority;  ///< replaces the route's priority; 0: most urgent
   AccountLimit limit;
   std::vector<std::string> allowed_regions;  ///< empty: any region
 };
@@ -41,9 +43,9 @@
 
 /// @brief Checks that the accounts can be configured together. A key must
 /// belong to one account only, names must be unique, and rates and bursts must
-/// be numbers in range: an ambiguous configuration is refused rather than
-/// guessed at. A burst without a rate limits nothing and is valid.
-/// @return the first fault found; nothing if there is none.
+/// be numbers in range. An ambiguous configuration is refused. A burst without
+/// a rate is valid and has no effect.
+/// @return the first fault found; nothing if the accounts have no fault.
 /// @ingroup accounts
 std::optional<std::string> ValidateAccounts(
     const std::vector<Account>& accounts);
--- a/include/pathcleat/accounts/account_limiter.hpp
+++ b/include/pathcleat/accounts/account_limiter.hpp
@@ -13,24 +13,26 @@
 
 namespace pathcleat {
 
-/// @brief What a host has learnt about the rest of the fleet when it decides on
-/// a request of an account.
+/// @brief State of the rest of the fleet, as this host has received it, for a
+/// decision on a request of an account.
 /// @ingroup accounts
 struct QuotaInput {
   AccountUsage other_usage;  ///< sum over all other hosts
   int host_count = 1;        ///< hosts that share the limit, this one included
-  int never_seen_count = 0;  ///< of them, never heard from by this host
+  int never_seen_count = 0;  ///< hosts among host_count without a heartbeat
+                             ///< since this host started
   bool has_silent_host =
-      false;  ///< a host that used a share does not report now
+      false;  ///< a host that may be using a share sends no reports now
 };
 
 /// @brief One host's part in the enforcement of one account's limit. All hosts
 /// together keep the limit without a request to each other.
 ///
 /// Far below the limit no shares are enforced: each host admits all requests as
-/// long as its own demand is near what it reported. Shares are enforced when
-/// the demand that all hosts reported exceeds the limit, when few tokens of the
-/// fleet are left, or when much more arrives at this host than it reported. A
+/// long as its own demand is near the demand that it reported last. Shares are
+/// enforced when the demand that all hosts reported exceeds the limit, when few
+/// tokens of the fleet are left, or when the demand at this host is far above
+/// its last report. A
 /// host's share is proportional to the demand that it reported last, plus a
 /// small equal part for hosts where the account is new. The shares of all hosts
 /// sum to 1, as each host computes with its own last report and with the
@@ -54,18 +56,19 @@
   /// @brief Admits one request, if the limit allows it.
   bool TryAcquire(const QuotaInput& fleet, Time now);
 
-  /// @brief Withdraws an admitted request that has not run: it does not count.
+  /// @brief Withdraws an admitted request that has not run. The request does
+  /// not count against the limit.
   void Release(Time now);
 
-  /// @brief How long until one more request would be admitted; zero: now.
+  /// @brief Time until one more request would be admitted; zero: now.
   Duration TimeUntilAvailable(const QuotaInput& fleet, Time now) const;
 
   /// @brief Mean time between two admitted requests in the long run.
   Duration MeanInterval(const QuotaInput& fleet) const;
 
   /// @brief The usage to report to the other hosts. From now on this host's
-  /// share is computed from it.
-  /// @param has_silent_host whether some host does not report now.
+  /// share is computed from the reported usage.
+  /// @param has_silent_host whether some host sends no reports now.
   AccountUsage ReportUsage(bool has_silent_host, Time now);
 
   /// @brief Whether shares are enforced now.
@@ -77,8 +80,8 @@
   /// @brief Requests a second that arrive at this host.
   double Demand(Time now) const { return demand_.PerSecond(now); }
 
-  /// @brief Whether the state can be discarded: no shares are enforced and next
-  /// to no requests arrive.
+  /// @brief Whether the state can be discarded: no shares are enforced and
+  /// almost no requests arrive.
   bool IsIdle(Time now) const;
 
  private:
@@ -101,9 +104,10 @@
   std::array<double, 6>
       recent_demand_{};  ///< demand in the reports of the last 3 s
   std::size_t next_recent_demand_ = 0;
-  double fleet_tokens_ = 0;    ///< tokens left for all hosts, as far as known
-  double unreported_use_ = 0;  ///< of them, estimated use not reported yet
-  double tokens_ = 0;          ///< of them, what this host may use
+  double fleet_tokens_ = 0;  ///< estimated tokens left for all hosts together
+  double unreported_use_ =
+      0;  ///< estimated use by all hosts that is not reported yet, in tokens
+  double tokens_ = 0;  ///< tokens that this host may use
   bool share_enforced_ = false;
   bool started_ = false;
   Time updated_at_;     ///< time of fleet_tokens_ and tokens_
--- a/include/pathcleat/accounts/account_table.hpp
+++ b/include/pathcleat/accounts/account_table.hpp
@@ -24,7 +24,7 @@
   bool RequiresKeys() const { return accounts_ && !accounts_->empty(); }
 
   /// @brief The account that a key belongs to; null if there is none. The
-  /// pointer keeps the list it was found in alive.
+  /// pointer keeps the whole list of accounts alive.
   std::shared_ptr<const Account> FindByKey(const KeyedDigest& key) const;
 
   /// @brief The account with this name; null if there is none.
@@ -35,7 +35,7 @@
 
  private:
   Accounts accounts_;
-  /// Sorted by digest: 20 bytes a key, where a hash table takes 64.
+  /// Sorted by digest. Takes 20 bytes a key; a hash table would take 64 bytes.
   std::vector<std::pair<KeyedDigest, std::uint32_t>> by_key_;
 };
 
--- a/include/pathcleat/accounts/keyed_hasher.hpp
+++ b/include/pathcleat/accounts/keyed_hasher.hpp
@@ -11,9 +11,9 @@
 
 namespace pathcleat {
 
-/// @brief Keyed hash that replaces a client account's key everywhere but in the
-/// store. It is equal on all hosts of a fleet, and the key cannot be derived
-/// from it.
+/// @brief Keyed hash of a client account's key, used instead of the key
+/// everywhere but in the store. All hosts of a fleet compute the same digest
+/// for a key, and the key cannot be derived from the digest.
 /// @ingroup accounts
 using KeyedDigest = std::array<std::uint8_t, 16>;
 
@@ -22,15 +22,15 @@
 /// @ingroup accounts
 std::string ShortHex(const KeyedDigest& digest);
 
-/// @brief Computes digests of keys with a secret of the fleet. The time that a
-/// look-up of a digest takes reveals nothing useful: without the secret nobody
-/// can choose a key whose digest begins like another key's digest. Not
-/// thread-safe.
+/// @brief Computes digests of keys with a secret of the fleet. A caller cannot
+/// find a key by measuring how long the look-up of its digest takes: without
+/// the secret nobody can choose a key whose digest begins like another key's
+/// digest. Not thread-safe.
 /// @ingroup accounts
 class KeyedHasher {
  public:
   /// @param purpose separates this use of the fleet's secret from other uses:
-  /// the same text has another digest for each purpose.
+  /// the same text has a different digest for each purpose.
   explicit KeyedHasher(std::string_view purpose = "client account keys")
       : purpose_(purpose) {}
 
--- a/include/pathcleat/accounts/peer_usage.hpp
+++ b/include/pathcleat/accounts/peer_usage.hpp
@@ -11,11 +11,11 @@
 
 namespace pathcleat {
 
-/// @brief Usage of the accounts' limits by the other hosts, by their last
-/// reports: one report for each host of the own failure domain and one for each
-/// other domain. A source that has become silent may be dead or cut off, and
-/// this host cannot find out which: its last report continues to count. Not
-/// thread-safe.
+/// @brief Usage of the accounts' limits by the other hosts, taken from the last
+/// report of each source. A source is a host of the own failure domain or
+/// another domain as a whole. A source that sends no reports may be dead or cut
+/// off, and this host cannot distinguish the two cases, so the source's last
+/// report continues to count. Not thread-safe.
 /// @ingroup accounts
 class PeerUsage {
  public:
@@ -29,17 +29,19 @@
   /// @brief Sum over all other hosts for an account.
   AccountUsage UsageOf(std::uint64_t account) const;
 
-  /// @brief Whether a source is silent whose last report had entries.
+  /// @brief Whether a source whose last report had entries sends no reports
+  /// now.
   bool HasSilentSource(Time now) const;
 
-  /// @brief Drops sources that have been silent for 10 s, if this host sees
-  /// most of the fleet: then the silent sources are dead or in the smaller part
-  /// of a network partition. In the smaller part nothing is dropped, so its
-  /// hosts keep the share that they had.
-  /// @param sees_majority whether most of the listed hosts are alive here.
+  /// @brief Drops sources that have sent no report for 10 s, if this host
+  /// considers most of the fleet alive: then the silent sources are dead or in
+  /// the smaller part of a network partition. Hosts in the smaller part drop no
+  /// source and so keep their share.
+  /// @param sees_majority whether this host considers most of the listed hosts
+  /// alive.
   void ExpireSilentSources(bool sees_majority, Time now);
 
-  /// @brief Drops the usage of a host that ended by a planned stop.
+  /// @brief Drops the usage of a host after its planned stop.
   void RemoveHost(const std::string& host);
 
   /// @brief Sums over the hosts of the own domain, without this host.
--- a/include/pathcleat/accounts/quota_bounds.hpp
+++ b/include/pathcleat/accounts/quota_bounds.hpp
@@ -5,13 +5,15 @@
 
 namespace pathcleat {
 
-/// @brief How far all hosts together may exceed an account's limit. They can
-/// exceed it because reports of usage reach the other hosts with a delay.
+/// @brief How far all hosts together may exceed an account's limit. The hosts
+/// can exceed the limit because usage reports arrive with a delay.
 /// @ingroup accounts
 struct QuotaBounds {
-  Duration window{5'000'000};  ///< any time span of this length is checked
-  double overage = 0.1;  ///< allowed excess, as a share of a window's limit
-  double slack = 20;     ///< requests allowed beyond that
+  Duration window{
+      5'000'000};  ///< length of each time span in which the limit is checked
+  double overage =
+      0.1;            ///< allowed excess, as a share of the limit of a window
+  double slack = 20;  ///< requests a window allowed in addition to the overage
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/accounts/quota_control.hpp
+++ b/include/pathcleat/accounts/quota_control.hpp
@@ -18,19 +18,22 @@
 struct QuotaDecision {
   bool allowed = true;
   double limit_per_second = 0;
-  double fleet_demand = 0;  ///< requests a second, as far as known to this host
-  double share = 1;         ///< this host's part of the limit
-  Duration time_until_available{0};  ///< until this host may admit another
-  Duration mean_interval{0};         ///< between admitted requests, on average
+  double fleet_demand =
+      0;  ///< requests a second of all hosts, by the reports that this host has
+  double share = 1;  ///< this host's part of the limit
+  Duration time_until_available{
+      0};                     ///< until this host may admit one more request
+  Duration mean_interval{0};  ///< average time between two admitted requests
 };
 
 /// @brief The hosts that share the limits.
 /// @ingroup accounts
 struct QuotaHosts {
-  int host_count = 1;  ///< this one included
-  int never_seen_count =
-      0;  ///< of them, not heard from since this host started
-  bool sees_majority = false;  ///< most of the listed hosts are alive here
+  int host_count = 1;  ///< hosts that share the limits, this host included
+  int never_seen_count = 0;  ///< hosts among host_count without a heartbeat
+                             ///< since this host started
+  bool sees_majority =
+      false;  ///< this host considers most of the listed hosts alive
 };
 
 /// @brief Enforces the limits of all accounts at this host and reports the
@@ -52,25 +55,26 @@
   /// few times a second.
   void SetHosts(const QuotaHosts& hosts, Time now);
 
-  /// @brief A host has ended by a planned stop: its usage is dropped.
+  /// @brief Drops the usage of a host after its planned stop.
   void OnHostStopped(const std::string& host) { peer_usage_.RemoveHost(host); }
 
   /// @brief Admits or refuses a request of an account.
+  /// @return the decision; its figures are set only if the request is refused.
   QuotaDecision Admit(const Account& account, Time now);
 
   /// @brief Withdraws an admitted request that was refused later and has not
   /// run.
   void Release(const Account& account, Time now);
 
-  /// @brief Requests a second that come to the fleet from accounts that have
-  /// allowed regions and a limit, by region. The demand of an account with
-  /// several regions is divided evenly among them.
+  /// @brief Requests a second, by region, of the accounts that have allowed
+  /// regions and a limit. The demand of an account counts up to its limit, and
+  /// is divided evenly among the account's regions.
   std::map<std::string, double> DemandByHomeRegion(
       const std::vector<Account>& accounts,
       Time now) const;
 
-  /// @brief The figures that a decision on the account would be based on now;
-  /// admits nothing.
+  /// @brief The figures that a decision on the account would be based on now.
+  /// Admits no request.
   QuotaDecision Explain(const Account& account, Time now) const;
 
   /// @brief Whether this host began to enforce shares of a limit since its last
--- a/include/pathcleat/accounts/usage_report.hpp
+++ b/include/pathcleat/accounts/usage_report.hpp
@@ -16,16 +16,17 @@
 /// @brief Requests a second of one account, averaged over about a second.
 /// @ingroup accounts
 struct AccountUsage {
-  double demand = 0;        ///< requests that arrive
-  double share_weight = 0;  ///< weight of the host's share: the demand, or less
-  double admitted = 0;      ///< of the demand, admitted within the limit
+  double demand = 0;  ///< requests that arrive
+  double share_weight =
+      0;  ///< weight by which the host's share is computed; at most the demand
+  double admitted = 0;  ///< requests that were admitted
 };
 
 /// @brief Usage of one account as reported by one source.
 /// @ingroup accounts
 struct UsageEntry {
   std::uint64_t account_id = 0;  ///< see AccountId
-  float demand = 0;              ///< this and the next two: as in AccountUsage
+  float demand = 0;  ///< demand, share_weight, admitted: see AccountUsage
   float share_weight = 0;
   float admitted = 0;
 
@@ -35,8 +36,8 @@
   }
 };
 
-/// @brief Maximum number of entries in a report: at 20 bytes each they fit a
-/// datagram of 1,472 bytes.
+/// @brief Maximum number of entries in a report. An entry takes 20 bytes, so
+/// that a full report fits a datagram of 1,472 bytes.
 /// @ingroup accounts
 inline constexpr std::size_t kMaxUsageEntries = 66;
 
@@ -48,7 +49,7 @@
   std::string host;  ///< empty: sum over the whole domain
   HybridTime time;
   bool forward_to_domain =
-      false;  ///< the receiver sends it on to its own domain
+      false;  ///< the receiver forwards the report to its own domain
   std::vector<UsageEntry> entries;
 
   template <class Archive>
--- a/include/pathcleat/crashes/crash_report.hpp
+++ b/include/pathcleat/crashes/crash_report.hpp
@@ -22,8 +22,8 @@
 /// @brief One upstream that ended while it had a request.
 /// @ingroup crashes
 struct CrashObservation {
-  std::uint64_t upstream_hash = 0;  ///< hash of its id
-  std::uint32_t age_ms = 0;
+  std::uint64_t upstream_hash = 0;  ///< hash of the upstream's id
+  std::uint32_t age_ms = 0;         ///< since the upstream ended
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -41,10 +41,11 @@
 struct CrashEntry {
   RequestDigest request = 0;
   std::vector<CrashObservation>
-      observations;  ///< since the last answer; kCrashBlockThreshold at most
+      observations;  ///< since the last answer; at most kCrashBlockThreshold
   std::uint32_t answer_age_ms =
       kNeverAnswered;  ///< since an upstream last answered the request
-  std::uint8_t failed_trials = 0;  ///< crashes by trials of the blocked request
+  std::uint8_t failed_trials =
+      0;  ///< trials of the blocked request that crashed an upstream
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -52,18 +53,18 @@
   }
 };
 
-/// @brief Maximum number of entries in a report: at 57 bytes each they fit a
-/// datagram of 1,472 bytes.
+/// @brief Maximum number of entries in a report. An entry takes 57 bytes, so
+/// that a full report fits a datagram of 1,472 bytes.
 /// @ingroup crashes
 inline constexpr std::size_t kMaxCrashEntries = 24;
 
 /// @brief Report on requests that crash upstreams, exchanged between hosts.
 /// @ingroup crashes
 struct CrashReport {
-  std::string domain;  ///< of the sending host
+  std::string domain;  ///< failure domain of the sending host
   std::string host;    ///< sending host
   bool forward_to_domain =
-      false;  ///< the receiver sends it on to its own domain
+      false;  ///< the receiver forwards the report to its own domain
   std::vector<CrashEntry> entries;
 
   template <class Archive>
@@ -87,8 +88,9 @@
   virtual ~CrashPublisher() = default;
 
   /// @brief The report of this host to its own failure domain.
-  /// @param is_reporter whether this host reports for its domain. Then blocked
-  /// requests are reported repeatedly, as some hosts may have been cut off.
+  /// @param is_reporter whether this host reports for its domain. A reporter
+  /// repeats the blocked requests, as some hosts may have been cut off during
+  /// earlier reports.
   virtual CrashReport OwnCrashes(bool is_reporter, Time now) = 0;
 
   /// @brief The report on the own domain to other domains, sent by the hosts
--- a/include/pathcleat/crashes/crash_tracker.hpp
+++ b/include/pathcleat/crashes/crash_tracker.hpp
@@ -20,13 +20,13 @@
 /// decision is based on.
 /// @ingroup crashes
 struct CrashDecision {
-  bool blocked = false;  ///< must not be sent now
+  bool blocked = false;  ///< the request must not be sent now
   std::size_t crash_count =
       0;  ///< upstreams that ended while running the request
   int failed_trials = 0;
-  Duration age{0};  ///< since the last of them ended
+  Duration age{0};  ///< since the last of these upstreams ended
   Duration retry_after{
-      0};  ///< if blocked: until the request may be tried again
+      0};  ///< if blocked: time until the request may be tried again
   std::string
       reported_by;  ///< host that last reported on the request; empty: none
 };
@@ -50,14 +50,14 @@
 /// crash is weak evidence against a request. Three upstreams that ended while
 /// running the same request, without an answer to the request in between, are
 /// taken as proof that the request is the cause: each host blocks the request
-/// once it has these observations. An answer to the request at any host clears
-/// it.
+/// when it has received these observations. An answer to the request at any
+/// host removes the earlier observations and unblocks the request.
 ///
-/// Upstreams may be repaired, so a blocked request is tried again: after a
-/// minute, and after twice as long each time that the trial crashes another
-/// upstream. At any moment one host of the fleet may try the request, chosen by
-/// a rank that all hosts compute alike, and each host tries it at most once in
-/// its turn. Not thread-safe.
+/// Upstreams may be repaired, so a blocked request is tried again after one
+/// minute. Each trial that crashes another upstream doubles this time, up to 64
+/// minutes. After this time, turns of 30 s follow each other. In each turn one
+/// host of the fleet may try the request, once. All hosts compute the same rank
+/// of the hosts for a turn, and the first in rank is chosen. Not thread-safe.
 /// @ingroup crashes
 class CrashTracker final : public CrashPublisher {
  public:
@@ -73,13 +73,14 @@
     on_block_change_ = std::move(callback);
   }
 
-  /// @brief Whether no request is suspected. Then no request needs a digest.
+  /// @brief Whether no request is suspected. If so, no digests of requests
+  /// are needed.
   bool IsEmpty() const { return suspects_.empty(); }
   std::size_t size() const { return suspects_.size(); }
   std::size_t BlockedCount() const;
 
   /// @brief Records that an upstream ended while it had the request.
-  /// @param upstream hash of its id.
+  /// @param upstream hash of the upstream's id.
   void OnCrash(RequestDigest request, std::uint64_t upstream, Time now);
 
   /// @brief Records that an upstream answered the request, so the request did
@@ -90,8 +91,8 @@
   CrashDecision Decide(RequestDigest request, Time now) const;
 
   /// @brief Records that the request is sent.
-  /// @return whether the request is blocked, so that this send is the host's
-  /// trial of its turn.
+  /// @return whether the request is blocked, so that this send counts as this
+  /// host's trial in the current turn.
   bool OnSent(RequestDigest request, Time now);
 
   /// @brief Sets the hashes of the names of the other hosts that are alive.
@@ -110,7 +111,7 @@
  private:
   /// @brief When and how often an entry is still to be reported.
   struct PublishState {
-    int remaining = 0;  ///< number of reports
+    int remaining = 0;  ///< number of reports still to send
     Time due;           ///< time of the next report
     Time last_sent;     ///< time of the last report
 
@@ -120,10 +121,10 @@
   };
   struct Suspect {
     SuspectRequest state;
-    std::string reported_by;  ///< as in CrashDecision
+    std::string reported_by;  ///< see CrashDecision::reported_by
     std::optional<Time>
         last_trial_turn;  ///< start of the turn of this host's last trial
-    Time changed_at;      ///< last change of this entry here
+    Time changed_at;      ///< last change of this entry at this host
     PublishState for_domain;
     PublishState for_other_domains;
   };
--- a/include/pathcleat/crashes/request_digest.hpp
+++ b/include/pathcleat/crashes/request_digest.hpp
@@ -10,16 +10,17 @@
 
 namespace pathcleat {
 
-/// @brief Identifies a request independently of its request id: equal on all
-/// hosts of a fleet for the same method, host, path with query, client account
-/// and body. Callers without an account are not distinguished, as the same
-/// request comes from many addresses.
+/// @brief Identifies a request by its content, independently of its request id.
+/// All hosts of a fleet compute the same digest for the same method, Host
+/// header, path with query, client account and body. The caller's address is
+/// not included, as callers without an account send the same request from many
+/// addresses.
 /// @ingroup crashes
 using RequestDigest = std::uint64_t;
 
 /// @brief Separates digests of requests from other uses of the fleet's secret.
-/// Without the secret nobody can construct a request with the digest of another
-/// request, to get that one blocked.
+/// Without the secret nobody can construct a request that has the digest of
+/// another request, in order to get the other request blocked.
 /// @ingroup crashes
 inline constexpr std::string_view kRequestDigestPurpose = "request digests";
 
--- a/include/pathcleat/crashes/suspect_request.hpp
+++ b/include/pathcleat/crashes/suspect_request.hpp
@@ -11,22 +11,22 @@
 namespace pathcleat {
 
 /// @brief State of one request that may crash upstreams: the upstreams that
-/// ended while running the request since its last answer. The states of several
-/// hosts can be merged in any order, and repeatedly.
+/// ended while running the request since the request's last answer. The states
+/// of several hosts can be merged in any order, and repeatedly.
 /// @ingroup crashes
 class SuspectRequest {
  public:
   /// @brief Records that an upstream ended while running the request.
-  /// @return whether that changed the state.
+  /// @return whether the state changed.
   bool AddCrash(std::uint64_t upstream, Time at);
 
-  /// @brief Records that an upstream answered the request: earlier crashes were
-  /// not caused by it.
-  /// @return whether that removed crashes.
+  /// @brief Records that an upstream answered the request, so that earlier
+  /// crashes were not caused by the request.
+  /// @return whether crashes were removed.
   bool ClearUntil(Time at);
 
   /// @brief Merges the state of another host.
-  /// @return whether that added or removed crashes.
+  /// @return whether crashes were added or removed.
   bool Merge(const CrashEntry& entry, Time now);
 
   CrashEntry ToEntry(RequestDigest request, Time now) const;
@@ -39,10 +39,10 @@
   }
   int failed_trials() const { return failed_trials_; }
 
-  /// @brief When the last of them ended, among the crashes that counted.
+  /// @brief Time of the last of the crashes that are counted.
   Time LastCrashTime() const;
 
-  /// @brief When a blocked request may be tried again.
+  /// @brief Time from which a blocked request may be tried again.
   Time BlockedUntil() const;
 
   /// @brief Whether the state can be discarded, as it is too old to have an
@@ -56,7 +56,7 @@
   };
 
   std::vector<Observation>
-      observations_;  ///< since answered_at_; kCrashBlockThreshold at most
+      observations_;  ///< since answered_at_; at most kCrashBlockThreshold
   Time answered_at_ = Time::min();
   std::uint8_t failed_trials_ = 0;
 };
--- a/include/pathcleat/rollouts/canary_limiter.hpp
+++ b/include/pathcleat/rollouts/canary_limiter.hpp
@@ -9,8 +9,8 @@
 /// share of all requests that this host has sent to the service: each request
 /// to the new version must be preceded by enough requests to other versions. So
 /// the limit holds for the sum over all hosts without communication between
-/// them, and a host that restarts has no saved-up allowance to use a second
-/// time. Not thread-safe.
+/// them. A host that restarts counts from zero and must send requests to other
+/// versions before it may send one to the new version. Not thread-safe.
 /// @ingroup rollouts
 class CanaryLimiter {
  public:
--- a/include/pathcleat/rollouts/rollout.hpp
+++ b/include/pathcleat/rollouts/rollout.hpp
@@ -22,11 +22,11 @@
 struct RolloutInput {
   bool is_order_active = true;  ///< false: the order was withdrawn
   Duration elapsed{0};          ///< since the start of the rollout
-  int host_count = 1;           ///< that may send requests, this one included
+  int host_count = 1;  ///< hosts that may send requests, this host included
 };
 
-/// @brief One order to move a service to a version: how this host follows and
-/// evaluates it. A version in doubt is rolled back, never completed.
+/// @brief Carries out and evaluates, at this host, one order to move a service
+/// to a version. A version that may be bad is rolled back, never completed.
 /// @ingroup rollouts
 class Rollout {
  public:
@@ -44,7 +44,7 @@
   VersionRulePtr RuleFor(bool is_first_attempt) const;
 
   /// @brief Whether a request for which a version was chosen earlier may still
-  /// be sent to that version, by the decisions made since.
+  /// be sent to that version. Decisions made after the choice may exclude it.
   bool IsVersionAllowed(const std::string& version) const;
 
   /// @brief Counts a request sent to an upstream.
@@ -100,12 +100,13 @@
   CanaryLimiter canary_limiter_;
   RolloutTally own_tally_;
   std::set<std::string> versions_;
-  // Until the list of upstreams is received, both are assumed to run, so that
-  // the version rules apply.
+  // Until the list of upstreams is received, the new version and some other
+  // version are assumed to run, so that the version rules apply.
   bool other_versions_run_ = true;
   bool new_version_runs_ = true;
   TallyTable tally_table_;
-  RolloutTally evaluated_tally_;  ///< already in the sequential tests
+  RolloutTally
+      evaluated_tally_;  ///< answers that the sequential tests already include
   VersionEvaluator all_routes_;
   std::map<std::uint64_t, VersionEvaluator> by_route_;
   VersionRulePtr canary_rule_;
--- a/include/pathcleat/rollouts/rollout_control.hpp
+++ b/include/pathcleat/rollouts/rollout_control.hpp
@@ -13,7 +13,7 @@
 
 namespace pathcleat {
 
-/// @brief A decision that is due, with its reason.
+/// @brief A decision to be made now on a rollout, with its reason.
 /// @ingroup rollouts
 struct ProposedStep {
   RolloutStep step;
@@ -23,17 +23,17 @@
 /// @brief State of the fleet that decisions on rollouts depend on.
 /// @ingroup rollouts
 struct RolloutContext {
-  int host_count = 1;  ///< that may send requests, this one included
+  int host_count = 1;  ///< hosts that may send requests, this host included
   HybridTime time;
 };
 
 /// @brief All rollouts at this host: the orders, the decisions, and the counts
-/// reported by hosts. Any host may decide. Of two contradicting decisions the
-/// operators' command log keeps the first. Not thread-safe.
+/// reported by hosts. Any host may make a decision. Of two contradicting
+/// decisions the operators' command log keeps the first. Not thread-safe.
 /// @ingroup rollouts
 class RolloutControl final : public TallyPublisher {
  public:
-  /// @param domain own failure domain.
+  /// @param domain failure domain of this host.
   /// @param incarnation differs at each start of a host.
   RolloutControl(std::string domain, std::uint64_t incarnation)
       : domain_(std::move(domain)), incarnation_(incarnation) {}
@@ -41,7 +41,7 @@
   /// @brief Sets all orders that are active.
   void SetOrders(const std::vector<RolloutOrder>& orders);
 
-  /// @brief Sets all decisions that have been made.
+  /// @brief Sets all decisions made so far, by any host.
   void SetStates(const RolloutStates& states);
 
   /// @brief The newest rollout of a service, running or finished; null if there
--- a/include/pathcleat/rollouts/rollout_order.hpp
+++ b/include/pathcleat/rollouts/rollout_order.hpp
@@ -13,7 +13,8 @@
 struct RolloutOrder {
   std::string service;
   std::string version;
-  Duration timeout{0};   ///< from the order to its completion or rollback
+  Duration timeout{
+      0};  ///< longest time from the order to its completion or rollback
   std::uint64_t id = 0;  ///< increases with each order of the service
 
   bool operator==(const RolloutOrder&) const = default;
--- a/include/pathcleat/rollouts/rollout_tally.hpp
+++ b/include/pathcleat/rollouts/rollout_tally.hpp
@@ -17,7 +17,8 @@
 
   std::uint64_t total() const { return good + bad; }
   void Add(const AnswerCounts& other);
-  /// @brief Sets each count to the maximum of both: counts never decrease.
+  /// @brief Sets each count to the maximum of the two values, as counts never
+  /// decrease.
   void MergeMax(const AnswerCounts& other);
 
   template <class Archive>
@@ -63,12 +64,12 @@
   /// @brief The report on the own failure domain to other domains.
   virtual RolloutTallies DomainTallies(Time now) const = 0;
 
-  /// @brief Handles a report of a host of the own failure domain.
+  /// @brief Handles a report from a host of the own failure domain.
   virtual void OnHostTallies(std::uint64_t incarnation,
                              const RolloutTallies& tallies,
                              Time now) = 0;
 
-  /// @brief Handles a report on a failure domain.
+  /// @brief Handles a report on a whole failure domain.
   virtual void OnDomainTallies(const std::string& domain,
                                const RolloutTallies& tallies,
                                Time now) = 0;
--- a/include/pathcleat/rollouts/tally_table.hpp
+++ b/include/pathcleat/rollouts/tally_table.hpp
@@ -11,17 +11,17 @@
 
 namespace pathcleat {
 
-/// @brief Sums the reports of all hosts on one order. Counted answers stay,
-/// also those of dead hosts. Requests in flight count only as long as they are
-/// reported. Not thread-safe.
+/// @brief Sums the reports of all hosts on one order. Answers stay in the sum
+/// after the host that counted them has died. Requests in flight are included
+/// only as long as their host reports. Not thread-safe.
 /// @ingroup rollouts
 class TallyTable {
  public:
   explicit TallyTable(std::uint64_t order) : order_(order) {}
 
   /// @brief Handles the tally of a host of the own failure domain.
-  /// @param incarnation differs at each start of the host: its counts restart
-  /// from zero.
+  /// @param incarnation differs at each start of the host, as the host's counts
+  /// restart from zero.
   void OnHostTally(std::uint64_t incarnation,
                    const RolloutTally& tally,
                    Time now);
@@ -53,7 +53,7 @@
   std::uint64_t order_;
   std::map<std::uint64_t, Received> hosts_;  ///< by incarnation
   Received own_domain_;                      ///< as reported by another host
-  std::map<std::string, Received> domains_;  ///< all but the own domain
+  std::map<std::string, Received> domains_;  ///< all domains but the own one
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/rollouts/version_rule.hpp
+++ b/include/pathcleat/rollouts/version_rule.hpp
@@ -12,8 +12,10 @@
 struct VersionRule {
   std::string required_version;  ///< empty: any version that is not excluded
   std::set<std::string> excluded_versions;
-  /// With required_version: the share of that version's upstreams that get
-  /// requests, so that these are as busy as the service's other upstreams.
+  /// With required_version: the share of that version's upstreams, in each
+  /// region, that get requests. The few requests of a trial are not spread over
+  /// all upstreams of the version, so that the upstreams that get requests are
+  /// as busy as those of other versions.
   double upstream_share = 1;
 
   bool Allows(const std::string& version) const {
@@ -22,7 +24,7 @@
   }
 };
 
-/// @brief Null: any version.
+/// @brief Shared version rule; null: a request may go to any version.
 /// @ingroup rollouts
 using VersionRulePtr = std::shared_ptr<const VersionRule>;
 
--- a/include/pathcleat/steer/client_block_table.hpp
+++ b/include/pathcleat/steer/client_block_table.hpp
@@ -19,9 +19,9 @@
 /// @brief Maps client addresses to regions, for millions of address blocks.
 /// Rows are stored in flat arrays (6 bytes a row), one pair of arrays for each
 /// value of the address's first byte, with an index by the second byte. Changes
-/// are collected in a small ordered overlay. When it has grown to 4,096 entries
-/// it is merged into the arrays, one pair after the other, so that a merge
-/// needs little additional memory. Not thread-safe.
+/// are collected in a small ordered map, the overlay. When the overlay has
+/// 4,096 entries, its changes are merged into the arrays, one pair after the
+/// other, so that a merge needs little additional memory. Not thread-safe.
 /// @ingroup steer
 class ClientBlockTable {
  public:
@@ -55,8 +55,8 @@
   struct Chunk {
     std::vector<std::uint32_t> starts;
     std::vector<std::uint16_t> regions;
-    std::vector<std::uint32_t>
-        index;  ///< by second byte: row that its first address is in
+    std::vector<std::uint32_t> index;  ///< by second byte: row that contains
+                                       ///< the first address with that byte
   };
   struct Change {
     std::uint32_t first = 0;
--- a/include/pathcleat/steer/config_change.hpp
+++ b/include/pathcleat/steer/config_change.hpp
@@ -36,8 +36,8 @@
   }
 };
 
-/// @brief Starts a shift. It replaces the service's shift out of the same
-/// region.
+/// @brief Starts a shift. The new shift replaces the service's shift out of the
+/// same region, if there is one.
 /// @ingroup steer
 struct StartShift {
   ShiftPlan plan;
@@ -60,7 +60,8 @@
   }
 };
 
-/// @brief Maps a block of client addresses to the region nearest to it.
+/// @brief Maps a block of client addresses to the region that is nearest to
+/// these clients.
 /// @ingroup steer
 struct AssignClientBlock {
   std::uint32_t first_address = 0;
@@ -83,7 +84,7 @@
 /// @brief One accepted change of the configuration.
 /// @ingroup steer
 struct ConfigChange {
-  std::uint64_t version = 0;  ///< 1 for the first, without gaps
+  std::uint64_t version = 0;  ///< 1 for the first change; each change adds 1
   std::string command_id;     ///< unique to the operator's command
   HybridTime time;
   ConfigOperation operation;
--- a/include/pathcleat/steer/config_log.hpp
+++ b/include/pathcleat/steer/config_log.hpp
@@ -27,17 +27,20 @@
   /// @return the changes that were applied.
   std::vector<ConfigChange> Apply(const std::vector<ConfigChange>& changes);
 
-  /// @brief Replaces the state by another one if that is newer.
-  /// @return whether it was newer.
+  /// @brief Replaces the own state by the given state if the given state is
+  /// newer.
+  /// @return whether the state was replaced.
   bool ReplaceIfNewer(const ConfigState& state);
 
   /// @brief The changes after a version, oldest first.
   /// @param max_changes maximum number to return.
-  /// @return empty if there are none, or if they are no longer kept.
+  /// @return empty if there are no such changes, or if this host no longer
+  /// keeps them.
   std::vector<ConfigChange> ChangesAfter(std::uint64_t version,
                                          std::size_t max_changes) const;
 
-  /// @brief Whether a peer at this version can be updated by kept changes.
+  /// @brief Whether a peer that has this version can be updated with the
+  /// changes that are kept.
   bool CanReplayFrom(std::uint64_t version) const;
 
  private:
--- a/include/pathcleat/steer/config_state.hpp
+++ b/include/pathcleat/steer/config_state.hpp
@@ -12,10 +12,11 @@
 
 namespace pathcleat {
 
-/// @brief The configuration at one version: the result of all changes up to it.
+/// @brief The configuration at one version: the result of all changes up to
+/// that version.
 /// @ingroup steer
 struct ConfigState {
-  std::uint64_t version = 0;  ///< 0: the settings, without any change
+  std::uint64_t version = 0;  ///< 0: the settings, before any change
   std::set<std::string> drained_upstreams;
   std::set<std::string> drained_regions;
   std::map<std::pair<std::string, std::string>, ShiftPlan>
--- a/include/pathcleat/steer/key_claim.hpp
+++ b/include/pathcleat/steer/key_claim.hpp
@@ -12,38 +12,40 @@
 /// @brief State of an idempotency key's row.
 /// @ingroup steer
 enum class KeyState {
-  kRunning,   ///< claimed; its request may be running
-  kFinished,  ///< its request ran, and the response is stored
-  kUnknown,   ///< its request may have run; it is never run again
+  kRunning,   ///< the key is claimed; its request may be running
+  kFinished,  ///< the key's request ran, and the response is stored
+  kUnknown,   ///< the key's request may have run; it is never run again
 };
 
-/// @brief The parts of a row read from the store that the claim's decision
-/// depends on.
+/// @brief The parts of a key's row, as read from the store, that the decision
+/// of a claim depends on.
 /// @ingroup steer
 struct ObservedKey {
   std::uint64_t version = 0;  ///< 0: there is no row
   KeyState state = KeyState::kRunning;
-  std::string token;              ///< of the claim that wrote the row
-  std::uint64_t fingerprint = 0;  ///< of the request
-  bool is_overdue = false;        ///< the deadline of its request has passed
+  std::string token;  ///< token of the claim that wrote the row
+  std::uint64_t fingerprint =
+      0;                    ///< hash of the request that the key was used for
+  bool is_overdue = false;  ///< the deadline of the row's request has passed
 };
 
 /// @brief Next step for a request with an idempotency key.
 /// @ingroup steer
 enum class KeyAction {
-  kPut,             ///< write the claim if there is no row
+  kPut,             ///< write the claim to the store, if the key has no row
   kRead,            ///< read the row
   kRun,             ///< this request owns the key: run it, once
   kReplayAnswer,    ///< send the stored response
   kAnswerRunning,   ///< answer that the request is still running
   kAnswerUnknown,   ///< answer that the request may have run
-  kAnswerMismatch,  ///< the key was used for another request
+  kAnswerMismatch,  ///< answer that the key was used for another request
   kRefuseNotRun,    ///< the claim is not confirmed: refuse as not run
 };
 
-/// @brief Decides whether a request with an idempotency key may be run. kRun is
-/// returned at most once for a key over all hosts, for any order of lost, late
-/// or repeated store answers. Does no I/O; not thread-safe.
+/// @brief Decides whether a request with an idempotency key may be run. For
+/// each key, at most one claim among those of all hosts returns kRun, and only
+/// once. This holds even if answers of the store are lost, late, repeated or
+/// out of order. Does no I/O; not thread-safe.
 /// @ingroup steer
 class KeyClaim {
  public:
@@ -54,19 +56,19 @@
   KeyAction Start() const { return KeyAction::kPut; }
 
   /// @brief Handles the store's answer to kPut.
-  /// @param version of the row, for kDone.
+  /// @param version the row's version, if the outcome is kDone.
   KeyAction OnPut(StoreOutcome outcome, std::uint64_t version);
 
-  /// @brief Handles the row read for kRead.
+  /// @brief Handles the row that was read after kRead.
   KeyAction OnRead(const ObservedKey& row);
 
-  /// @brief Handles a failed read.
+  /// @brief Handles a read that failed after kRead.
   static KeyAction OnReadFailed();
 
   const std::string& token() const { return token_; }
   std::uint64_t fingerprint() const { return fingerprint_; }
 
-  /// @brief Version of the claimed row, after kRun.
+  /// @brief Version of the claimed row; set when kRun has been returned.
   std::uint64_t version() const { return version_; }
 
  private:
--- a/include/pathcleat/steer/retry_budget.hpp
+++ b/include/pathcleat/steer/retry_budget.hpp
@@ -10,14 +10,14 @@
 /// @ingroup steer
 class RetryBudget {
  public:
-  /// @param share retries added by each first attempt, e.g. 0.1.
-  /// @param burst maximum number of retries saved up.
+  /// @param share retries that each first attempt adds to the budget, e.g. 0.1.
+  /// @param burst maximum number of retries in the budget.
   RetryBudget(double share, double burst);
 
   void OnFirstAttempt();
 
-  /// @brief Changes how many retries can be saved up. Saved retries beyond that
-  /// are lost.
+  /// @brief Sets the maximum number of retries in the budget. Retries above the
+  /// new maximum are discarded.
   void SetBurst(double burst);
 
   /// @brief Uses one retry, if one is available.
--- a/include/pathcleat/steer/rollout_step.hpp
+++ b/include/pathcleat/steer/rollout_step.hpp
@@ -14,8 +14,8 @@
 /// @ingroup steer
 enum class RolloutPhase : std::uint8_t {
   kRunning,     ///< a small share of requests goes to the new version
-  kPromoted,    ///< new requests go to the new version; the old finishes
-  kCompleted,   ///< the old version may end at once
+  kPromoted,    ///< old versions finish their work and get no new requests
+  kCompleted,   ///< upstreams of the old versions may end at once
   kRolledBack,  ///< no more requests go to the new version
 };
 
@@ -28,8 +28,9 @@
 /// @ingroup steer
 struct RolloutStep {
   std::string service;
-  std::uint64_t order_id = 0;  ///< order that it belongs to; 0: the current one
-  std::string version;         ///< that the order asks for
+  std::uint64_t order_id =
+      0;  ///< order that the step belongs to; 0: the current order
+  std::string version;  ///< version that the order asks for
   RolloutPhase phase = RolloutPhase::kRunning;
   std::set<std::string>
       replaced_versions;  ///< for kPromoted: versions that get no new requests
@@ -40,7 +41,7 @@
   }
 };
 
-/// @brief What has been decided on a service's newest rollout.
+/// @brief State of a service's newest rollout, after all decisions so far.
 /// @ingroup steer
 struct RolloutState {
   std::uint64_t order_id = 0;
@@ -66,7 +67,7 @@
 
 /// @brief Applies a decision if it is a valid successor of the current state: a
 /// newer order starts a new rollout, and a final phase never changes. Of two
-/// contradicting decisions the first one is kept.
+/// contradicting decisions the first is kept.
 /// @return whether the decision was applied.
 /// @ingroup steer
 bool Apply(RolloutStates& states, const RolloutStep& step, HybridTime time);
--- a/include/pathcleat/steer/shift.hpp
+++ b/include/pathcleat/steer/shift.hpp
@@ -11,12 +11,15 @@
 /// @brief A planned move of a service's traffic from one region to another.
 /// @ingroup steer
 struct ShiftPlan {
-  std::uint64_t id = 0;  ///< configuration version that started it
+  std::uint64_t id =
+      0;  ///< version of the configuration change that started the shift
   std::string service;
   std::string from_region;
   std::string to_region;
-  double cap = 0;         ///< maximum share of offered requests moved, 0 to 1
-  Duration ramp_time{0};  ///< shortest time from no move to the cap
+  double cap =
+      0;  ///< maximum share of the offered requests that are moved, 0 to 1
+  Duration ramp_time{
+      0};  ///< minimum time in which the moved share grows from 0 to the cap
 
   template <class Archive>
   void save(Archive& archive) const {  // NOLINT: named by cereal
@@ -31,15 +34,17 @@
   }
 };
 
-/// @brief State of a shift's target region, by which its ramp is controlled.
+/// @brief State of a shift's target region. It determines whether the moved
+/// share may grow.
 /// @ingroup steer
 struct ShiftTargetState {
   double headroom = 0;  ///< free share of the target's slots, 0 to 1
   Duration latency{0};  ///< typical latency at the target
-  Duration age{0};      ///< of this information
+  Duration age{0};      ///< age of this state
 };
 
-/// @brief Result of a ramp decision.
+/// @brief Decision whether the moved share grows, and the reason if it does
+/// not.
 /// @ingroup steer
 enum class RampDecision {
   kAdvanced,
@@ -53,9 +58,10 @@
 /// @ingroup steer
 const char* ToString(RampDecision decision);
 
-/// @brief Applies one shift at one host. The guarantee "moved <= cap x offered"
-/// holds at every prefix of this host's own counts, so it holds for the sum
-/// over all hosts without communication between them. Not thread-safe.
+/// @brief Applies one shift at one host. At any time, the requests that this
+/// host has moved are at most cap times the requests offered to this host. So
+/// the same bound holds for the sums over all hosts, without communication
+/// between them. Not thread-safe.
 /// @ingroup steer
 class ShiftControl {
  public:
@@ -68,18 +74,19 @@
   void OnOffered() { ++offered_; }
 
   /// @brief Whether the requests of this caller are moved at the current share.
-  /// Callers are ordered by hash, so a moved caller stays moved as the share
-  /// grows.
-  /// @param caller_hash position of the caller in [0, 1).
+  /// The callers with the lowest hashes are moved, so that a moved caller stays
+  /// moved when the share grows.
+  /// @param caller_hash hash of the caller, scaled to [0, 1).
   bool ShouldMove(double caller_hash) const {
     return caller_hash < current_share_;
   }
 
   /// @brief Counts one request sent away from the source region, if the cap
-  /// allows it. Every such request counts: shifted, spilled over or retried.
+  /// allows it. Requests that were shifted, spilled over or retried all count.
   bool TryMove();
 
-  /// @brief Decides on the next step of the ramp. Call about once a second.
+  /// @brief Increases the moved share if the target's state allows it. Call
+  /// about once a second.
   RampDecision Advance(const ShiftTargetState& target, Time now);
 
   double current_share() const { return current_share_; }
--- a/include/pathcleat/steer/token_bucket.hpp
+++ b/include/pathcleat/steer/token_bucket.hpp
@@ -13,7 +13,7 @@
 class TokenBucket {
  public:
   /// @param per_second long-term rate.
-  /// @param burst calls that may come at once.
+  /// @param burst maximum number of calls at one moment.
   TokenBucket(double per_second, double burst);
 
   /// @brief Acquires a token for one call, if the rate allows it now.
@@ -25,8 +25,8 @@
   /// @brief Whether TryAcquire would succeed now.
   bool CanAcquire(Time now) const;
 
-  /// @brief How long until TryAcquire would succeed; nothing: never at this
-  /// rate.
+  /// @brief Time until TryAcquire would succeed; nothing if it never would at
+  /// this rate.
   std::optional<Duration> TimeUntilAvailable(Time now) const;
 
   double rate_per_second() const { return per_second_; }
--- a/src/pathcleat/accounts/account_limiter.cpp
+++ b/src/pathcleat/accounts/account_limiter.cpp
@@ -9,27 +9,30 @@
 namespace pathcleat {
 namespace {
 
-// Ratios given below with a scenario name are the fullest window in
-// pathcleat-lab quotas (seeds 1 and 2), as a fraction of what a window may
-// admit, with only that constant changed.
+// The reasons for some constants below name a scenario of pathcleat-lab quotas
+// and a window ratio: the number of requests in the window with the most
+// requests, divided by the number that a window may have. Each ratio was
+// measured with seeds 1 and 2, with only that constant changed.
 
-// Parts of the overage and of the slack that are used up by hosts computing
-// their shares at slightly different times; the rest is left for requests that
-// are in flight when a surge begins. The slack part is large because at a few
-// requests a second chance alone brings more requests at once than the limit
-// allows.
+// Parts of the overage and of the slack that are used up because hosts compute
+// their shares at slightly different times. The rest is left for requests that
+// are in flight when a surge begins. The part of the slack is large because at
+// a few requests a second random variation alone exceeds the limit at times.
 constexpr double kUsedOverageRatio = 0.1;
 constexpr double kUsedSlackRatio = 0.5;
-// Part of a limit that is shared equally, the rest by demand, so that a host
-// where the account is new gets something. At 1.0 a surge that comes to two
-// hosts only gets 0.67 of the limit instead of all of it.
+// Shares have a part that is proportional to demand and a part that is equal
+// for all hosts, so that a host where the account is new gets a share above 0.
+// This is the ratio of the equal part to the proportional part. With a ratio of
+// 1.0, a surge at only two hosts is admitted at 0.67 of the limit instead of
+// the whole limit.
 constexpr double kEqualShareRatio = 0.15;
-// A fleet surge: demand above the limit by this factor, plus the noise of a few
-// requests a second (in square roots of the rate).
+// A fleet surge: the demand at all hosts exceeds kSurgeFactor times the limit's
+// rate plus kSurgeNoise times the square root of that rate. The square root
+// allows for random variation at a few requests a second.
 constexpr double kSurgeFactor = 1.1;
 constexpr double kSurgeNoise = 1.5;
-// Shares are no longer enforced once demand has stayed below this part of the
-// limit for this long.
+// Shares are no longer enforced when the demand has stayed below
+// kNearLimitRatio of the limit for kBelowLimitTime.
 constexpr double kNearLimitRatio = 0.9;
 constexpr Duration kBelowLimitTime{300'000};
 // Shares are enforced when less than this part of the fleet's tokens is left.
@@ -37,36 +40,43 @@
 // Part of the fleet's tokens assumed to be left when a host starts: the other
 // hosts may have used them up.
 constexpr double kInitialFleetTokensRatio = 0.5;
-// While shares are not enforced, a host may hold this part of its share of the
-// fleet's capacity, or this many requests if the account is small, and its
-// tokens refill faster than its share by this factor.
+// While shares are not enforced, a host's token capacity is
+// kUnenforcedCapacityRatio times its share of the fleet's capacity, but at
+// least kUnenforcedMinRequests. Its tokens refill at kUnenforcedRateFactor
+// times its share of the limit's rate.
 constexpr double kUnenforcedCapacityRatio = 0.7;
 constexpr double kUnenforcedMinRequests = 4;
 constexpr double kUnenforcedRateFactor = 1.3;
-// Part of the host's capacity that is filled at the start.
+// Part of the host's token capacity that is available when the host starts, and
+// at least available when the host no longer enforces shares.
 constexpr double kInitialHostTokensRatio = 0.25;
-// A local surge: demand at this host above its last report by this factor and
-// beyond noise.
+// A local surge: with r as the last reported demand in requests a second, the
+// demand at this host exceeds kLocalSurgeFactor * r, plus kLocalSurgeNoise *
+// sqrt(r) for random variation, plus kLocalSurgeMinPerSecond / (1 + r), which
+// matters only if r is small.
 constexpr double kLocalSurgeFactor = 1.7;
 constexpr double kLocalSurgeNoise = 2;
 constexpr double kLocalSurgeMinPerSecond = 3.5;
-// Time from a request until every host accounts for it: a heartbeat round, a
-// report round, and the averaging time.
+// Time until every host has included a request in its figures: a heartbeat
+// interval, a report interval, and the averaging time.
 constexpr double kReportDelaySeconds = 1.2;
-// Time in which the tokens left are used up. Twice the delay of reports, so
-// that the hosts' rates do not oscillate together.
+// Time in which the tokens left are to be used up. About twice
+// kReportDelaySeconds, so that the hosts' rates do not oscillate together.
 constexpr double kSpendSeconds = 2.5;
-// Seconds of the rate that are held in reserve for use by other hosts that is
-// not reported yet. Without the reserve the window of "60% killed in a rush" is
-// at 1.04 instead of 0.96.
+// Tokens kept in reserve for use by other hosts that is not reported yet, as
+// the number of seconds in which the limit's rate adds as many tokens. Without
+// the reserve the window ratio of "60% killed in a rush" is 1.04 instead of
+// 0.96.
 constexpr double kReserveSeconds = 0.3;
-// Time in which an overdraft is made up for; it must fit into the window. With
-// 2.5 s the window of "60% killed in a rush" is at 0.99, and that of "large,
-// rush" at 0.945 instead of 0.93.
+// Time in which the fleet makes up for tokens used in excess (an overdraft). It
+// must be shorter than the window. With 2.5 s the window ratio of "60% killed
+// in a rush" is 0.99, and the ratio of "large, rush" is 0.945 instead of 0.93.
 constexpr double kRepaySeconds = 1.2;
-// Part of the rate that remains available after the limit was exceeded.
+// Part of the limit's rate that hosts may always admit, also while they make up
+// for an overdraft.
 constexpr double kMinRateRatio = 0.05;
-// Seconds of its share of the rate that a host may save up.
+// Unused tokens that a host may keep while shares are enforced, as the number
+// of seconds in which its share of the limit's rate adds as many tokens.
 constexpr double kMaxSavedSeconds = 0.5;
 
 double Seconds(Duration duration) {
@@ -149,8 +159,8 @@
          fleet_tokens_ < kLowTokensRatio * FleetCapacity();
 }
 
-// Whether much more arrives here than was reported. Other hosts may see the
-// same surge, but their reports arrive only later.
+// Whether the demand at this host is far above its last report. Other hosts may
+// have the same surge, but their reports arrive only later.
 bool AccountLimiter::IsLocalSurge(Time now) const {
   return demand_.PerSecond(now) >
          reported_demand_ * kLocalSurgeFactor +
@@ -158,8 +168,8 @@
              kLocalSurgeMinPerSecond / (1 + reported_demand_);
 }
 
-// Requests a second beyond the limit, on the assumption that demand at the
-// other hosts has grown as much as here.
+// Requests a second in excess of the limit, on the assumption that the demand
+// at the other hosts has grown by the same factor as at this host.
 double AccountLimiter::ExcessDemand(const QuotaInput& fleet, Time now) const {
   const double own = demand_.PerSecond(now);
   const double growth =
@@ -250,10 +260,10 @@
   return FromSeconds(1 / (HostShare(fleet) * limit_.per_second));
 }
 
-// The last report before a host fell silent may not have reached that host, and
-// that host's own demand may have grown meanwhile. So while a host is silent,
-// reports the lowest demand of the time in which the host was still considered
-// alive.
+// A host that sends no reports may not have received this host's last report
+// either, and its own demand may have grown meanwhile. So while a host is
+// silent, this host reports the lowest demand of the time in which the silent
+// host was still considered alive.
 AccountUsage AccountLimiter::ReportUsage(bool has_silent_host, Time now) {
   const double demand = demand_.PerSecond(now);
   if (has_silent_host) {
--- a/src/pathcleat/accounts/account_test.cpp
+++ b/src/pathcleat/accounts/account_test.cpp
@@ -44,8 +44,8 @@
   cr_assert_not(account.limit.IsSet());
 }
 
-// Guards against a host that takes a changed account for unchanged and keeps
-// the old version.
+// Guards against a host that does not detect a change of an account and keeps
+// the account's old version.
 Test(account, accounts_that_differ_in_any_field_have_different_hashes) {
   const Account plain = MakeAccount("a", 1);
   std::vector<Account> accounts(8, plain);
--- a/src/pathcleat/accounts/caller_identity.cpp
+++ b/src/pathcleat/accounts/caller_identity.cpp
@@ -11,8 +11,8 @@
 
 constexpr std::string_view kHeaderName = "Authorization";
 constexpr std::string_view kScheme = "Bearer ";
-// Keys issued today have 20 characters; tokens of other kinds may have
-// hundreds.
+// Keys that are issued now have 20 characters. Bearer tokens of other kinds may
+// have hundreds of characters.
 constexpr std::size_t kMaxKeyLength = 1'024;
 
 bool IsPrintable(char character) {
--- a/src/pathcleat/accounts/peer_usage.cpp
+++ b/src/pathcleat/accounts/peer_usage.cpp
@@ -6,12 +6,13 @@
 namespace pathcleat {
 namespace {
 
-// Reports come twice a second. Equal to the time for which a host counts as
+// Time without a report after which a source counts as silent. Reports are sent
+// twice a second. The value is equal to the time for which a host counts as
 // alive without a heartbeat.
 constexpr Duration kSilenceTimeout{2'500'000};
-// Longer than network cuts of a few seconds and than the restart of a killed
-// process: until then a share that may still be in use elsewhere is not used
-// here.
+// Time after which the share of a silent source may be used by other hosts. It
+// is longer than network cuts of a few seconds and than the restart of a killed
+// process, as the source may still use its share until then.
 constexpr Duration kSilentSourceTtl{10'000'000};
 // Rounding error that may remain in a sum after its parts were subtracted, in
 // requests a second.
--- a/src/pathcleat/accounts/quota_control.cpp
+++ b/src/pathcleat/accounts/quota_control.cpp
@@ -9,9 +9,9 @@
 namespace pathcleat {
 namespace {
 
-// A host reports an account only if the fleet would exceed this part of the
-// account's limit with all hosts as busy as this one: so the unreported demand
-// of all hosts stays below this part.
+// A host reports an account only if its own demand, multiplied by the number of
+// hosts, exceeds this part of the account's limit. So the demand that hosts do
+// not report adds up to at most this part of the limit.
 constexpr double kMinReportedRatio = 0.1;
 
 // The entries with the highest demand, as many as fit one report.
@@ -98,9 +98,9 @@
       limiters_.try_emplace(id, account.limit, bounds_, MixHashes(seed_, id))
           .first->second;
   const QuotaInput state = StateOf(id, now);
-  const bool was_shared = limiter.IsShareEnforced();
+  const bool was_enforced = limiter.IsShareEnforced();
   const bool allowed = limiter.TryAcquire(state, now);
-  has_updates_ = has_updates_ || (limiter.IsShareEnforced() && !was_shared);
+  has_updates_ = has_updates_ || (limiter.IsShareEnforced() && !was_enforced);
   QuotaDecision decision;
   if (!allowed) {
     decision = DecisionOf(limiter, state, now);
--- a/src/pathcleat/crashes/crash_tracker.cpp
+++ b/src/pathcleat/crashes/crash_tracker.cpp
@@ -9,21 +9,22 @@
 namespace pathcleat {
 namespace {
 
-// About 150 bytes each. If more requests are suspected, those nearest to being
-// blocked are kept.
+// An entry takes about 150 bytes. If more requests are suspected, the entries
+// with the most crashes are kept.
 constexpr std::size_t kMaxSuspects = 1'024;
-// Longer than any trial takes, so that two trials do not overlap.
+// Length of a turn, in which one host may try a blocked request. It is longer
+// than any trial takes, so that two trials do not overlap.
 constexpr Duration kTrialTurn = std::chrono::seconds(30);
 // Reports are repeated as datagrams get lost. A single crash does not block a
 // request and is repeated less often.
 constexpr int kReportsOfSingleCrash = 2;
 constexpr int kReportsOfChange = 4;
 constexpr Duration kReportInterval{400'000};
-// A host that was cut off when others were notified receives the entry again
-// after at most this interval. The repeats end when callers are unlikely to
-// send the request again.
+// Entries of blocked requests are repeated at kRepeatInterval, for hosts that
+// were cut off when the entry was first sent. The repeats end after
+// kRepeatWindow, when callers are unlikely to send the request again.
 constexpr Duration kRepeatInterval{2'000'000};
-constexpr Duration kRepeatTime = std::chrono::minutes(2);
+constexpr Duration kRepeatWindow = std::chrono::minutes(2);
 // A change received within the own domain is kept for other domains this long,
 // in case this host becomes the one that reports to them.
 constexpr Duration kUpdateTtl = std::chrono::seconds(5);
@@ -38,7 +39,7 @@
   return first + (now - first) / kTrialTurn * kTrialTurn;
 }
 
-// Keeps the entries nearest to being blocked, as many as fit into a report.
+// Keeps the entries with the most crashes, as many as fit into a report.
 void KeepMostSuspect(std::vector<CrashEntry>& entries) {
   std::sort(entries.begin(), entries.end(),
             [](const CrashEntry& a, const CrashEntry& b) {
@@ -69,7 +70,7 @@
 }
 
 // Finds or adds an entry. If there is no free slot, removes the entry with the
-// fewest crashes, the oldest of these.
+// fewest crashes. Of several such entries the oldest is removed.
 CrashTracker::Suspect& CrashTracker::FindOrAdd(RequestDigest request) {
   const auto found = suspects_.find(request);
   if (found != suspects_.end()) {
@@ -129,8 +130,8 @@
   }
 }
 
-// Each host ranks the hosts that it considers alive. If hosts disagree on
-// these, several hosts may try the request, each of them once in a turn.
+// Each host ranks the hosts that it considers alive. If hosts disagree on which
+// hosts are alive, several of them may try the request, each once in a turn.
 bool CrashTracker::IsTrialAllowed(RequestDigest request,
                                   const Suspect& suspect,
                                   Time now) const {
@@ -200,7 +201,7 @@
                                        bool repeats_blocked,
                                        Time now) const {
   const bool again = repeats_blocked && suspect.IsBlocked() &&
-                     now - suspect.LastCrashTime() < kRepeatTime &&
+                     now - suspect.LastCrashTime() < kRepeatWindow &&
                      now - last_sent >= kRepeatInterval;
   return again || (remaining > 0 && now >= due);
 }
--- a/src/pathcleat/crashes/crash_tracker_test.cpp
+++ b/src/pathcleat/crashes/crash_tracker_test.cpp
@@ -20,7 +20,7 @@
 using std::chrono::seconds;
 
 constexpr RequestDigest kRequest = 7;
-constexpr RequestDigest kOther = 8;
+constexpr RequestDigest kOtherRequest = 8;
 
 Time At(Duration since) {
   return Time(std::chrono::hours(10)) + since;
@@ -44,13 +44,13 @@
   cr_assert_not(IsBlocked(tracker, At(seconds(1))));
   tracker.OnCrash(kRequest, 3, At(seconds(2)));
   cr_assert(IsBlocked(tracker, At(seconds(2))));
-  cr_assert_not(tracker.Decide(kOther, At(seconds(2))).blocked);
+  cr_assert_not(tracker.Decide(kOtherRequest, At(seconds(2))).blocked);
   cr_assert_eq(tracker.Decide(kRequest, At(seconds(2))).retry_after,
                minutes(1));
 }
 
-// Guards against one crash that counts several times because several hosts saw
-// it.
+// Guards against one crash that is counted several times because several hosts
+// observed it.
 Test(crash_tracker, one_upstream_counts_once) {
   CrashTracker tracker("a", "a-1");
   for (int i = 0; i < 5; ++i) {
@@ -218,8 +218,8 @@
 }
 
 // Guards against state that grows with the number of requests that were in
-// flight at crashed upstreams, and against the loss of the entry that is nearly
-// blocked.
+// flight at crashed upstreams, and against the removal of an entry that lacks
+// only one crash to be blocked.
 Test(crash_tracker,
      state_is_bounded_and_keeps_the_entry_nearest_to_being_blocked) {
   constexpr RequestDigest kMany = 5'000;
--- a/src/pathcleat/crashes/request_digest_test.cpp
+++ b/src/pathcleat/crashes/request_digest_test.cpp
@@ -46,8 +46,8 @@
   cr_assert_neq(DigestOf(MakeRequest(), "club", MakeHasher("another")), whole);
 }
 
-// Guards against a request that gets the digest of another one by moving bytes
-// from one part to the next.
+// Guards against two requests with the same digest that differ only in where
+// one part of the request ends and the next part begins.
 Test(request_digest, parts_are_separated) {
   const KeyedHasher hasher = MakeHasher("secret");
   HttpRequest moved = MakeRequest();
--- a/src/pathcleat/crashes/suspect_request.cpp
+++ b/src/pathcleat/crashes/suspect_request.cpp
@@ -7,11 +7,11 @@
 namespace pathcleat {
 namespace {
 
-// Long enough for a request that comes rarely to reach its third crash.
+// Long enough for a request that is sent rarely to cause its third crash.
 constexpr Duration kSuspectTtl = std::chrono::minutes(10);
 constexpr Duration kBlockedTtl = std::chrono::hours(2);
-// Reports of a crash that are still in flight must not arrive after the later
-// answer was discarded.
+// Time for which an answer is kept. A report of an earlier crash may still be
+// in flight; it must arrive within this time, so that the crash is not counted.
 constexpr Duration kAnswerTtl = std::chrono::seconds(15);
 constexpr Duration kFirstBlockTime = std::chrono::minutes(1);
 constexpr int kMaxDoublings = 6;  // a block time of 64 minutes
--- a/src/pathcleat/rollouts/rollout.cpp
+++ b/src/pathcleat/rollouts/rollout.cpp
@@ -7,22 +7,24 @@
 namespace pathcleat {
 namespace {
 
-// The users allow a bad version a tenth of a service's requests and 50 more.
-// The margin below a tenth is for hosts that have not received the order yet.
+// A requirement of the users: a bad version gets at most a tenth of a service's
+// requests plus 50 requests. The margin below a tenth is for requests sent by
+// hosts that have not received the order yet.
 constexpr double kCanaryShare = 0.08;
-// Parts of the order's timeout. No version is promoted before the first, so
-// that a version that fails late is still found. A version that is not found
-// good by the second is rolled back. The time from the second to the third is
-// left for the old version's work to end; if the work has not ended by then,
-// the new version is rolled back.
+// Parts of the order's timeout. No version is promoted before kMinTrialRatio,
+// so that a version that fails late is still detected. A version that has not
+// been found good by kMaxTrialRatio is rolled back. The old version's work must
+// end by kFinishRatio, otherwise the new version is rolled back.
 constexpr double kMinTrialRatio = 0.5;
 constexpr double kMaxTrialRatio = 0.75;
 constexpr double kFinishRatio = 0.97;
-// From this many bad answers on, the share of bad answers is checked as well.
-// That is in time for the users' limit, which applies from the 50th bad answer.
+// Minimum number of bad answers at which the share of bad answers is checked
+// too. It is below 50, the number of bad answers from which the users' limit
+// applies.
 constexpr std::uint64_t kMinBadForShareCheck = 25;
-// Standard errors above the usual share. 3.1 are exceeded by chance once in
-// 1,000 checks, and a rollout has a few dozen of them.
+// Number of standard errors by which the share of bad answers may exceed the
+// usual share. By chance, 3.1 standard errors are exceeded once in 1,000
+// checks, and a rollout has a few dozen checks.
 constexpr double kMaxStandardErrors = 4;
 
 AnswerCounts Since(const AnswerCounts& now, const AnswerCounts& before) {
@@ -65,7 +67,7 @@
 // the rollout.
 VersionRulePtr Rollout::RuleFor(bool is_first_attempt) const {
   if (!other_versions_run_ || !new_version_runs_) {
-    return nullptr;  // only one choice is left
+    return nullptr;  // only one version runs
   }
   if (!state_ || state_->phase == RolloutPhase::kRolledBack) {
     return other_versions_rule_;
@@ -144,7 +146,8 @@
                      [](const auto& route) { return route.second.IsBad(); });
 }
 
-// Requires also that no single route is in doubt.
+// A version is good only if its answers on each single route are likely good as
+// well.
 bool Rollout::IsGood() const {
   return all_routes_.IsGood() &&
          std::all_of(by_route_.begin(), by_route_.end(), [](const auto& route) {
@@ -210,9 +213,10 @@
   return std::nullopt;
 }
 
-// The old version ends at once when the rollout is completed. So all hosts that
-// may send must have reported that they no longer send to the old version, and
-// its work must have ended.
+// Upstreams of the old version may end at once when the rollout is completed.
+// So before that, all hosts that may send requests must have reported that they
+// no longer send to the old version, and the old version's work must have
+// ended.
 std::optional<RolloutStep> Rollout::ProposeStepWhilePromoted(
     const RolloutInput& input,
     Time now,
--- a/src/pathcleat/rollouts/rollout_test.cpp
+++ b/src/pathcleat/rollouts/rollout_test.cpp
@@ -20,15 +20,15 @@
 
 // Quality of a version's answers.
 struct AnswerModel {
-  double bad = 0;        ///< share of bad answers
+  double bad = 0;        ///< share of bad answers among the affected answers
   Duration bad_from{0};  ///< all answers before that are good
   std::uint64_t only_route =
       0;  ///< bad answers on this route only; 0: on all routes
 };
 
-// Hosts that each send by their own canary limiter, receive each other's
-// tallies, and are killed and restarted, with one log of decisions as the store
-// would keep it.
+// Simulates hosts that each use their own canary limiter, receive each other's
+// tallies, and can be killed and restarted. All hosts share one log of
+// decisions, which stands for the store.
 class Fleet {
  public:
   Fleet(int hosts, std::uint64_t seed) : random_(seed) {
@@ -90,7 +90,7 @@
   RolloutPhase phase() { return states_["s"].phase; }
   int sent() const { return sent_; }
   int new_version_sent() const { return new_version_sent_; }
-  int bad_seen() const { return bad_seen_; }
+  int new_version_bad_answers() const { return new_version_bad_answers_; }
 
  private:
   void Send(RolloutControl& control,
@@ -111,7 +111,7 @@
     rollout.OnAnswer(version, route, bad);
     ++sent_;
     new_version_sent_ += version == "v2" ? 1 : 0;
-    bad_seen_ += version == "v2" && bad ? 1 : 0;
+    new_version_bad_answers_ += version == "v2" && bad ? 1 : 0;
   }
 
   std::mt19937_64 random_;
@@ -120,13 +120,14 @@
   RolloutStates states_;
   int sent_ = 0;
   int new_version_sent_ = 0;
-  int bad_seen_ = 0;
+  int new_version_bad_answers_ = 0;
   int sent_at_rollback_ = 0;
 };
 
 // Promise: no decision sends more than a tenth of a service's requests to a
-// version on trial, whatever hosts have received from each other. Fails with
-// the comparison in CanaryLimiter::MaySend switched off.
+// version on trial, regardless of the reports that hosts have received
+// from each other. Fails if the comparison in CanaryLimiter::MaySend is
+// removed.
 Test(promise, canary_version_gets_its_share_at_most) {
   cr_assert(Holds("fresh <= 0.1 * sent, over deaths and starts", [] {
     const int hosts = *rc::gen::inRange(1, 8);
@@ -182,11 +183,12 @@
 RolloutPhase RunRollout(const AnswerModel& new_version,
                         const AnswerModel& other_versions,
                         std::uint64_t seed,
-                        int* bad_seen = nullptr) {
+                        int* new_version_bad_answers = nullptr) {
   Fleet fleet(kHosts, seed);
   fleet.Run(new_version, other_versions, kRate);
-  if (bad_seen != nullptr) {
-    *bad_seen = std::max(*bad_seen, fleet.bad_seen());
+  if (new_version_bad_answers != nullptr) {
+    *new_version_bad_answers =
+        std::max(*new_version_bad_answers, fleet.new_version_bad_answers());
   }
   return fleet.phase();
 }
@@ -207,29 +209,29 @@
   }
 }
 
-// The users' limit allows 50 bad answers before it applies.
-constexpr int kMaxBadSeen = 50;
+// Number of bad answers that the users' limit allows in any case.
+constexpr int kMaxBadAnswers = 50;
 
-// Fails with Rollout::IsBad switched off.
+// Fails if Rollout::IsBad always returns false.
 Test(rollout, failing_version_is_rolled_back) {
   const std::vector<AnswerModel> models{{0.2, Duration(0), 0},
                                         {1.0, Duration(0), 0},
                                         {0.2, Duration(3'000'000), 0},
                                         {0.5, Duration(0), kRoute}};
   for (const AnswerModel& model : models) {
-    int bad_seen = 0;
+    int new_version_bad_answers = 0;
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
       const AnswerModel usual{0.004, Duration(0), 0};
-      cr_assert(RunRollout(model, usual, seed, &bad_seen) ==
+      cr_assert(RunRollout(model, usual, seed, &new_version_bad_answers) ==
                 RolloutPhase::kRolledBack);
     }
-    cr_assert_leq(bad_seen, kMaxBadSeen);
+    cr_assert_leq(new_version_bad_answers, kMaxBadAnswers);
   }
 }
 
-// Guards against completing a version that turns bad after all requests go to
-// it or at the end of its trial: it is rolled back before the other version
-// ends.
+// Guards against the completion of a version that becomes bad at the end of its
+// trial or after it was promoted. Such a version must be rolled back before the
+// other version ends.
 Test(rollout, version_in_doubt_is_never_completed) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     const AnswerModel usual{0.004, Duration(0), 0};
@@ -319,9 +321,9 @@
   control.SetStates({{"s", state}});
 }
 
-// Guards against a host that has just started and takes an empty list of
-// upstreams for one without other versions: the version on trial then got
-// requests like any other.
+// Guards against a host that has just started, has no list of upstreams yet,
+// and concludes that no other version runs. Such a host sent requests to the
+// version on trial without a limit.
 Test(promise, missing_list_allows_no_version_on_trial) {
   RolloutControl control("d", 1);
   control.SetOrders({MakeOrder()});
@@ -337,9 +339,10 @@
   cr_assert_not(rollout.RuleFor(false)->Allows("v1"));
 }
 
-// Guards against a request that is sent by a choice made before a decision:
-// while its connection opened, the version on trial was rolled back, or the old
-// version was replaced.
+// Guards against a request that is sent to a version that a decision has
+// excluded after the version was chosen: while the request's connection was
+// opened, the version on trial was rolled back, or the old version was
+// replaced.
 Test(promise, decision_applies_to_versions_chosen_earlier) {
   RolloutControl control("d", 1);
   control.SetOrders({MakeOrder()});
--- a/src/pathcleat/rollouts/tally_table.cpp
+++ b/src/pathcleat/rollouts/tally_table.cpp
@@ -6,8 +6,8 @@
 namespace pathcleat {
 namespace {
 
-// Tallies come twice a second. An older tally may be from a dead host, and its
-// requests in flight no longer count.
+// Tallies are sent twice a second. A tally that is older than this may be from
+// a dead host, and its requests in flight no longer count.
 constexpr Duration kInFlightTtl{2'500'000};
 
 void MergeMaxAnswers(RolloutTally& kept, const RolloutTally& received) {
@@ -65,8 +65,9 @@
   }
 }
 
-// A host of a large domain receives the tallies of few hosts directly. Both
-// sums count the same answers, so their maximum is used.
+// In a large domain a host receives the tallies of only some hosts directly;
+// the sum over the domain is relayed by another host. The direct sum and the
+// relayed sum count the same answers, so the maximum of the two is used.
 RolloutTally TallyTable::DomainTally(Time now) const {
   RolloutTally direct;
   direct.order_id = order_;
--- a/src/pathcleat/rollouts/version_evaluator.cpp
+++ b/src/pathcleat/rollouts/version_evaluator.cpp
@@ -7,23 +7,26 @@
 namespace pathcleat {
 namespace {
 
-// Excess of the bad share over the usual share: up to the first a version
-// counts as good, so that random variation alone does not make it bad; from the
-// second on it counts as bad.
+// Excess of the share of bad answers over the usual share. Up to kGoodExcess a
+// version counts as good, so that random variation alone does not make it bad.
+// From kBadExcess on (with kBadUsualFactor) it counts as bad.
 constexpr double kGoodExcess = 0.02;
 constexpr double kBadExcess = 0.07;
-// Where many answers are bad anyway, their share varies more by chance.
+// The share of a bad version also grows with the usual share by this factor:
+// the higher the usual share, the more the share of bad answers varies by
+// chance.
 constexpr double kBadUsualFactor = 1.5;
 // ln(1,000): an error probability of 1 in 1,000, in either direction.
 constexpr double kDecisionThreshold = 6.907755;
-// A version whose cumulative sum has reached half of that threshold is in doubt
-// and not promoted.
+// A version whose cumulative sum has reached half of kDecisionThreshold may be
+// bad and is not promoted.
 constexpr double kDoubtThreshold = kDecisionThreshold / 2;
-// Prior of a version without answers: 1 bad of 100, with the weight of 50
-// answers.
+// Prior of the share of bad answers, before there are answers: 1 in 100, with
+// the weight of 50 answers.
 constexpr double kPriorBad = 0.5;
 constexpr double kPriorAnswers = 50;
-// With a larger usual share the bad hypothesis would exceed a share of 1.
+// Upper bound of the usual share, so that the share of the bad hypothesis stays
+// below 1.
 constexpr double kMaxUsual = 0.5;
 
 }  // namespace
--- a/src/pathcleat/steer/client_block_table.cpp
+++ b/src/pathcleat/steer/client_block_table.cpp
@@ -144,7 +144,7 @@
   }
 }
 
-// The changes are sorted, disjoint, and all within the chunk.
+// Requires changes that are sorted, disjoint, and within the chunk.
 void ClientBlockTable::Merge(Chunk& chunk, const std::vector<Change>& changes) {
   const std::uint32_t chunk_last = chunk.starts.front() | kChunkMask;
   Chunk merged;
@@ -182,7 +182,8 @@
 }
 
 std::size_t ClientBlockTable::MemoryBytes() const {
-  // A red-black tree node: three pointers, a colour, and the entry.
+  // Size of a node of the overlay, a red-black tree: three pointers, a colour,
+  // and the entry.
   constexpr std::size_t kNodeBytes = 4 * sizeof(void*) + 16;
   std::size_t bytes = overlay_.size() * kNodeBytes;
   for (const Chunk& chunk : chunks_) {
--- a/src/pathcleat/steer/client_block_table_test.cpp
+++ b/src/pathcleat/steer/client_block_table_test.cpp
@@ -11,8 +11,8 @@
 constexpr std::uint32_t kGridSize = 4'096;
 constexpr std::uint32_t kGridStep = 1U << 18;
 
-// Compares the table with a plain array that gets the same assignments, on a
-// coarse grid of addresses.
+// Compares the table with a plain array that gets the same assignments. The
+// blocks start and end on a coarse grid of addresses.
 Test(client_block_table, agrees_with_a_plain_array) {
   cr_assert(Holds("any assignments, compacted at any time", [] {
     std::vector<std::uint16_t> expected(kGridSize, 0);
--- a/src/pathcleat/steer/config_log_test.cpp
+++ b/src/pathcleat/steer/config_log_test.cpp
@@ -37,8 +37,8 @@
   return a.version == b.version && a.drained_upstreams == b.drained_upstreams;
 }
 
-// Promise: an accepted configuration never reverts. Fails with the version
-// check in ConfigLog::ReplaceIfNewer or in Apply switched off.
+// Promise: an accepted configuration never reverts. Fails if the version check
+// in ConfigLog::ReplaceIfNewer or in Apply is removed.
 Test(promise, configuration_never_reverts) {
   cr_assert(Holds("any peers, stale, repeated or out of order", [] {
     constexpr std::uint64_t kNewest = 30;
@@ -55,7 +55,8 @@
         log.Apply(Changes(version, std::min(kNewest, version + length)));
       }
       RC_ASSERT(log.version() >= before);
-      // The same version is the same state, however it was reached.
+      // Hosts at the same version must have the same state, whether they
+      // applied single changes or replaced the whole state.
       RC_ASSERT(Same(log.state(), StateAt(log.version())));
     }
   }));
--- a/src/pathcleat/steer/key_claim.cpp
+++ b/src/pathcleat/steer/key_claim.cpp
@@ -5,8 +5,8 @@
 
 namespace pathcleat {
 namespace {
-// Store calls that a claim may make beyond the first: one to read the row back,
-// one to write it again if the read found nothing, and one to read that back.
+// Store calls that a claim may make after the first put: one to read the row,
+// one to put the row again if the read found none, and one to read it again.
 constexpr int kMaxRetries = 3;
 }  // namespace
 
@@ -31,7 +31,7 @@
     case StoreOutcome::kConflict:
     case StoreOutcome::kUnknown:
       // The row belongs to another claim, or to this claim if the answer to its
-      // put was lost. The row's token shows which.
+      // put was lost. The token in the row shows which of the two it is.
       return Retry(KeyAction::kRead);
     case StoreOutcome::kNotDone:
     case StoreOutcome::kHistoryGone:
--- a/src/pathcleat/steer/key_claim_test.cpp
+++ b/src/pathcleat/steer/key_claim_test.cpp
@@ -15,12 +15,12 @@
   ObservedKey key;
 };
 
-// The result that the caller of one attempt received.
+// The answer that the caller received for one attempt.
 enum class CallerResult { kNothing, kNotRun, kOtherAnswer };
 
-// Simulates one key that is used through several entry hosts, with a store that
-// delays writes, loses answers after the write, and becomes unreachable. Hosts
-// crash between any two steps, and requests are lost before or after they ran.
+// Simulates one key that callers use at several entry hosts. The store delays
+// writes, loses answers after a write, and becomes unreachable. Hosts crash
+// between any two steps, and requests are lost before or after they ran.
 class KeySimulation {
  public:
   void StartAttempt() {
@@ -155,9 +155,9 @@
 };
 
 // Promises: a request that may not be repeated runs at most once, and a caller
-// that is told "not run" can rely on it. Fails if a lost put is taken for done,
-// if an overdue running row is claimed again, or if a read-back ignores the
-// token.
+// that receives "not run" can rely on it. Fails if a put without an answer is
+// considered done, if an overdue running row is claimed again, or if OnRead
+// does not compare the token.
 Test(promise, keyed_request_runs_at_most_once) {
   cr_assert(Holds("any order of loss, delay, crash and repeat", [] {
     KeySimulation simulation;
--- a/src/pathcleat/steer/shift.cpp
+++ b/src/pathcleat/steer/shift.cpp
@@ -10,10 +10,10 @@
 constexpr Duration kMaxStateAge{2'000'000};
 // Minimum free share of the target's slots at which a shift still advances.
 constexpr double kMinHeadroom = 0.15;
-// Ratio of the target's latency to that at the start of the shift above which
-// the shift is held.
+// Maximum ratio of the target's latency to its latency at the start of the
+// shift. Above this ratio the moved share does not grow.
 constexpr double kMaxLatencyRatio = 1.5;
-// Used if a plan has no ramp time: the whole cap in one step.
+// Ramp time of a plan without one: the moved share reaches the cap in one step.
 constexpr Duration kMinRampTime{1};
 
 }  // namespace
@@ -55,8 +55,8 @@
         plan_.cap * elapsed / static_cast<double>(ramp_time.count());
     current_share_ = std::min(plan_.cap, current_share_ + step);
   }
-  // Time spent on hold is not caught up: the ramp never gets steeper than
-  // planned.
+  // Time during which the share was not allowed to grow is not made up for, so
+  // that the share never grows faster than planned.
   last_advance_ = now;
   return last_decision_;
 }
--- a/src/pathcleat/steer/shift_test.cpp
+++ b/src/pathcleat/steer/shift_test.cpp
@@ -20,8 +20,8 @@
   return plan;
 }
 
-// Promise: a shift never moves more traffic than its cap allows. Fails with the
-// comparison in ShiftControl::TryMove switched off.
+// Promise: a shift never moves more traffic than its cap allows. Fails if the
+// comparison in ShiftControl::TryMove is removed.
 Test(promise, shift_never_passes_its_cap) {
   cr_assert(Holds("moved <= cap * offered at every prefix", [] {
     const double cap = *rc::gen::inRange(1, 101) / 100.0;
--- a/src/pathcleat/steer/token_bucket_test.cpp
+++ b/src/pathcleat/steer/token_bucket_test.cpp
@@ -6,8 +6,8 @@
 namespace pathcleat {
 namespace {
 
-// Guards against calls that were not made but still use up the rate, and
-// against more returned tokens than one burst.
+// Guards against calls that use up tokens although they were not made, and
+// against returned tokens that raise the bucket above its burst.
 Test(token_bucket, released_tokens_can_be_acquired_again_up_to_the_burst) {
   const Time start{std::chrono::hours(1)};
   TokenBucket bucket(1, 1);
