--- a/include/pathcleat/feeds/change_journal.hpp
+++ b/include/pathcleat/feeds/change_journal.hpp
@@ -22,8 +22,8 @@
   /// @brief Records that a key changed. Versions must not decrease.
   void Append(std::uint64_t version, const std::string& key);
 
-  /// @brief Drops all changes after the topic was read completely at a version:
-  /// changes before that version cannot be listed any more.
+  /// @brief Clears the log, because the whole topic was read anew at `version`.
+  /// From then on ChangedSince returns `std::nullopt` for earlier versions.
   void ResetTo(std::uint64_t version);
 
   /// @brief The keys that changed after a version; `std::nullopt` if the log
@@ -38,7 +38,7 @@
   };
 
   std::size_t capacity_;
-  std::uint64_t complete_after_ = 0;  ///< the log holds all changes after it
+  std::uint64_t complete_after_ = 0;  ///< no later change is missing
   std::deque<Change> changes_;
 };
 
--- a/include/pathcleat/feeds/config_lag.hpp
+++ b/include/pathcleat/feeds/config_lag.hpp
@@ -15,8 +15,8 @@
 /// @ingroup feeds
 class ConfigLag {
  public:
-  /// @param report_ttl how long a reported version counts after the last report
-  /// of a newer version.
+  /// @param report_ttl reported versions stop counting if for this long no host
+  /// has reported a version newer than the one in force on this host.
   explicit ConfigLag(Duration report_ttl) : report_ttl_(report_ttl) {}
 
   /// @brief Records that another host has had a version in force for `age`.
@@ -35,8 +35,9 @@
  private:
   Duration report_ttl_;
   std::uint64_t applied_ = 0;
-  Time last_report_;                       ///< last report of a newer version
-  std::map<std::uint64_t, Time> missing_;  ///< in force since, by version
+  Time last_report_;  ///< of a version newer than applied_
+  /// By version that this host lacks: when it came into force on another host.
+  std::map<std::uint64_t, Time> missing_;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/feeds/config_update.hpp
+++ b/include/pathcleat/feeds/config_update.hpp
@@ -24,8 +24,8 @@
 /// full, or with routes and accounts as deltas to an older version.
 /// @ingroup feeds
 struct ConfigUpdate {
-  RoutingConfig config;  ///< without routes and accounts if it is a delta
-  std::uint64_t base_version = 0;  ///< to which deltas apply; 0: full
+  RoutingConfig config;            ///< a delta has no routes and accounts here
+  std::uint64_t base_version = 0;  ///< version that deltas apply to; 0: full
   ListDelta<Route> routes;
   ListDelta<Account> accounts;
 };
--- a/include/pathcleat/feeds/fleet_snapshot.hpp
+++ b/include/pathcleat/feeds/fleet_snapshot.hpp
@@ -15,17 +15,19 @@
 
 namespace pathcleat {
 
-/// @brief The data that one host has on a topic. Another host that does not
-/// read the platform's tables itself adopts the data from it.
+/// @brief The data that one host has on a topic, in the form in which it is
+/// sent to hosts that do not read the platform's tables themselves.
 /// @ingroup feeds
 struct FleetSnapshot {
   SourceTopic topic = SourceTopic::kOrders;
   std::uint64_t version = 0;  ///< version up to which the data is complete
   std::uint64_t newest_change_version = 0;  ///< seen by the host
-  bool is_full = true;              ///< false: only changes since a version
-  bool removals_uncertain = false;  ///< the store was unreachable recently
-  std::string config_update;        ///< for kOrders; empty: unchanged
-  RoutingConfig config;             ///< decoded from config_update; not sent
+  bool is_full = true;  ///< false: only changes since a version
+  /// The store was unreachable recently: missing entries may have expired
+  /// instead of having been removed.
+  bool removals_uncertain = false;
+  std::string config_update;  ///< for kOrders; empty: unchanged
+  RoutingConfig config;       ///< decoded from config_update; not sent
   std::set<std::string> drained_domains;  ///< for kOrders: all drained domains
   std::vector<RolloutOrder> rollout_orders;  ///< for kOrders: all active orders
   std::vector<UpstreamInfo> upstreams;       ///< for kUpstreams
--- a/include/pathcleat/feeds/peer_feed.hpp
+++ b/include/pathcleat/feeds/peer_feed.hpp
@@ -33,7 +33,7 @@
   Transfer transfer;
 };
 
-/// @brief A fetch from another host in flight.
+/// @brief A fetch from another host that has not ended yet.
 /// @ingroup feeds
 struct PeerFetch {
   FeedPeer peer;
@@ -43,9 +43,10 @@
 
 using PeerFetchPtr = std::shared_ptr<const PeerFetch>;
 
-/// @brief Serves this host's data of the platform's tables to other hosts, at
-/// once or as soon as it changes, and fetches theirs (HTTP, authenticated with
-/// the hosts' key).
+/// @brief Serves this host's copy of the platform's tables to other hosts and
+/// fetches the copies of other hosts. A request is answered at once or, if it
+/// waits for a change, as soon as the copy changes. Answers are sent by HTTP
+/// and authenticated with the key that all hosts of the fleet share.
 /// @ingroup feeds
 class PeerFeed {
  public:
@@ -75,13 +76,13 @@
 
   /// @brief Sets whether this host watches the store itself. While it does not,
   /// requests that would wait for a change are rejected: two hosts that wait
-  /// for each other would never get one.
+  /// for each other would never receive a change.
   void SetWatchingStore(bool watching_store);
 
   /// @brief Fetches from another host the changes since the request's version
   /// and since the configuration in force on this host.
-  /// @return the fetch, for Cancel; null if it could not be started. The
-  /// handler has then been called with `std::nullopt`.
+  /// @return the fetch, for Cancel; null if it could not be started. In that
+  /// case the handler has already been called with `std::nullopt`.
   PeerFetchPtr Fetch(const FeedPeer& peer,
                      FeedRequest request,
                      Handler handler);
@@ -103,7 +104,7 @@
   // same moment.
   struct CachedAnswer {
     FeedRequest request;
-    std::uint64_t newest = 0;  ///< version of the newest change in it
+    std::uint64_t newest = 0;  ///< version of the answer's newest change
     std::string body;
     Time encoded_at;
   };
@@ -133,7 +134,7 @@
   std::vector<CachedAnswer> cached_answers_;  ///< encoded and authenticated
   std::string key_;
   bool watching_store_ = false;
-  bool needs_full_config_ = false;  ///< a delta did not apply
+  bool needs_full_config_ = false;  ///< the last delta did not apply
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/feeds/relayed_source.hpp
+++ b/include/pathcleat/feeds/relayed_source.hpp
@@ -71,11 +71,15 @@
   const HostTable& hosts_;
   int domains_;
   std::function<void()> on_access_;
-  std::map<std::string, Time> avoided_peers_;  ///< end time by peer address
-  std::map<SourceTopic, PeerFetchPtr> peer_watches_;  ///< in flight
-  std::map<SourceTopic, bool> store_answers_;  ///< whether calls are answered
-  std::set<SourceTopic> broken_watches_;       ///< last watch got no answer
-  std::map<SourceTopic, Time> waiting_since_;  ///< for others to read it
+  std::map<std::string, Time> avoided_peers_;  ///< address -> end of avoidance
+  std::map<SourceTopic, PeerFetchPtr> peer_watches_;  ///< watches in flight
+  /// By topic: the store answered the last call, and the topic still comes from
+  /// the store.
+  std::map<SourceTopic, bool> store_answers_;
+  /// Topics whose last watch at the store got no answer.
+  std::set<SourceTopic> broken_watches_;
+  /// By topic: since when this host has waited for other hosts to read it.
+  std::map<SourceTopic, Time> waiting_since_;
   std::optional<Time> store_failed_at_;
 };
 
--- a/include/pathcleat/feeds/snapshot_provider.hpp
+++ b/include/pathcleat/feeds/snapshot_provider.hpp
@@ -12,8 +12,8 @@
 /// @ingroup feeds
 struct FeedRequest {
   SourceTopic topic = SourceTopic::kOrders;
-  std::uint64_t after = 0;  ///< version at the requester; 0: send all data
-  Duration wait{0};         ///< how long to wait for a change if there is none
+  std::uint64_t after = 0;  ///< version the requester has; 0: send all
+  Duration wait{0};         ///< how long to wait if there is no change yet
   std::uint64_t config_version = 0;  ///< in force at the requester; 0: none
 };
 
--- a/include/pathcleat/feeds/source_watcher.hpp
+++ b/include/pathcleat/feeds/source_watcher.hpp
@@ -18,10 +18,12 @@
 struct SourceUpdate {
   bool is_full = false;  ///< complete: entries that are not listed are gone
   std::uint64_t version = 0;  ///< version up to which the data is complete
-  std::uint64_t newest_change_version = 0;  ///< in the update, or 0
-  bool relayed = false;  ///< it came from another host, not from the store
-  bool removals_uncertain = false;  ///< removed entries may only have lapsed
-  Transfer transfer;                ///< source, size and duration
+  /// Version of the newest change in the update; 0: the update has no changes.
+  std::uint64_t newest_change_version = 0;
+  bool relayed = false;  ///< received from another host, not from the store
+  /// Missing entries may have expired instead of having been removed.
+  bool removals_uncertain = false;
+  Transfer transfer;  ///< source, size and duration
   std::vector<FleetChange> changes;
 };
 
@@ -48,9 +50,9 @@
   /// see that version soon, it considers its watch dead and restarts it.
   void OnPeerVersion(std::uint64_t version, Time now);
 
-  /// @brief Restarts a watch that began before `since`. Such a watch may be
-  /// lost, because the store failed another call at that time or because this
-  /// host was stalled from then on.
+  /// @brief Restarts a watch that began before `since`, the time at which
+  /// the store failed another call or a stall of this host began. The store may
+  /// never answer such a watch.
   void RestartIfOlderThan(Time since);
 
   /// @brief Handles an answer that another host gave to a fetch made in
@@ -83,7 +85,7 @@
   void OnRead(const SourceAnswer& answer);
   void Watch();
   void RestartWatch();
-  void OnWatch(const SourceAnswer& answer);
+  void OnWatchAnswer(const SourceAnswer& answer);
   void RetryAfterBackoff(std::function<void()> next);
   void RunAfter(Duration pause, std::function<void()> next);
   FleetSource::Callback ForCurrentGeneration(
@@ -108,7 +110,7 @@
   Time last_restart_;  ///< when a watch last counted as dead
   Time watch_started_at_;
   Time answered_at_;
-  bool last_call_failed_ = false;  ///< or its watch counted as dead
+  bool last_call_failed_ = false;  ///< or the watch counted as dead
   bool reading_ = false;           ///< a read of the whole topic is in progress
   bool store_reachable_ = false;   ///< the last call to the store was answered
   bool last_call_answered_ = false;  ///< by the store or by another host
--- a/include/pathcleat/fleet/domain_report.hpp
+++ b/include/pathcleat/fleet/domain_report.hpp
@@ -24,7 +24,7 @@
 /// @ingroup fleet
 struct MemberObservation {
   std::uint64_t id = 0;      ///< IncarnationId
-  std::uint16_t age_ms = 0;  ///< of its last heartbeat; at most 32,767
+  std::uint16_t age_ms = 0;  ///< age of its last heartbeat, at most 32,767 ms
   bool leaving = false;
 
   // The age and the flag share two bytes, as every byte of an observation is
@@ -68,7 +68,7 @@
 struct DomainReport {
   std::string domain;  ///< domain of the reported hosts
   HybridTime time;
-  bool forward_to_domain = false;  ///< receiver forwards it to its domain
+  bool forward_to_domain = false;  ///< receiver sends it on in its own domain
   std::vector<MemberGroup> groups;
   std::vector<HostInfo> host_infos;  ///< complete records of a few hosts
   RolloutTallies rollout_tallies;  ///< of all hosts of the domain; in the first
--- a/include/pathcleat/fleet/domain_reporter.hpp
+++ b/include/pathcleat/fleet/domain_reporter.hpp
@@ -27,13 +27,15 @@
   explicit DomainReporter(const HostTable& hosts, Time started)
       : hosts_(hosts), started_(started) {}
 
-  /// @brief Whether this host reports for its domain now. Two hosts do, so
-  /// that the loss of one leaves no gap. For a moment more than two may report
-  /// while hosts disagree on which hosts are alive; receivers accept that.
+  /// @brief Whether this host reports for its domain now. Two hosts of a domain
+  /// report, so that reports continue if one of them fails. While hosts
+  /// disagree on which hosts are alive, more than two may report; receivers
+  /// accept that.
   bool IsReporter(Time now) const;
 
-  /// @brief Starts the next round: what this host has on the hosts of its
-  /// domain, split into reports that each fit a datagram.
+  /// @brief Starts the next round and returns its reports: the data that this
+  /// host has on the hosts of its domain, split so that each report fits a
+  /// datagram.
   /// @param versions the versions that this host itself has in force.
   std::vector<DomainReport> MakeReports(const HostVersions& versions, Time now);
 
@@ -52,8 +54,8 @@
   const HostTable& hosts_;
   Time started_;
   std::uint64_t round_ = 0;
-  std::size_t next_new_ = 0;    ///< round-robin position among new hosts
-  std::size_t next_other_ = 0;  ///< round-robin position among the others
+  std::size_t next_new_host_ = 0;    ///< round-robin position among new hosts
+  std::size_t next_other_host_ = 0;  ///< round-robin position among other hosts
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/fleet/host_table.hpp
+++ b/include/pathcleat/fleet/host_table.hpp
@@ -15,7 +15,7 @@
 
 namespace pathcleat {
 
-/// @brief What this host has on another host.
+/// @brief The data that this host has on another host.
 /// @ingroup fleet
 struct KnownHost {
   HostInfo info;
@@ -45,14 +45,14 @@
   /// meanwhile, so that time does not count towards the timeout of others.
   void CheckForStall(Time now);
 
-  /// @brief Duration of the last stall of this host, and resets it: zero if
-  /// there was no stall since the last call.
+  /// @brief Returns the duration of the last stall of this host and resets it
+  /// to zero, so that each stall is returned once; zero if there was none.
   Duration TakeStallDuration() { return std::exchange(unreported_stall_, {}); }
 
   /// @brief Adds the host of a store row, or replaces an older incarnation.
   void OnStoreRow(const HostInfo& host, Time now);
 
-  /// @brief Records a heartbeat that the host itself sent.
+  /// @brief Records a heartbeat that arrived directly from its sender `host`.
   /// @return whether the host was dead or not listed before.
   bool OnHeartbeat(const HostInfo& host,
                    const HostVersions& versions,
@@ -71,11 +71,11 @@
 
   bool IsAlive(const KnownHost& host, Time now) const;
 
-  /// @brief Whether a host is counted where limits are divided among all hosts.
-  /// It is counted for longer than it counts as alive, and also if only a store
-  /// row lists it, as a host that has just started has not received all
-  /// heartbeats yet. A host that counts too few others uses more than its share
-  /// of a limit.
+  /// @brief Whether `host` is counted where limits are divided among all hosts.
+  /// A host that counts too few other hosts uses more than its share of a
+  /// limit. So a host is counted for longer than it counts as alive. A store
+  /// row is enough to be counted, because this host has not received the
+  /// heartbeats of all other hosts yet when it has just started.
   bool SharesLimits(const KnownHost& host, Time now) const;
 
   /// @brief Names of the hosts whose heartbeats timed out since the last call.
--- a/include/pathcleat/fleet/host_versions.hpp
+++ b/include/pathcleat/fleet/host_versions.hpp
@@ -15,7 +15,7 @@
   std::uint64_t orders = 0;     ///< newest change of the orders seen
   std::uint64_t upstreams = 0;  ///< newest change of the upstreams seen
   StoreAccess store_access = StoreAccess::kFollowingPeer;
-  std::uint32_t config_age_ms = 0;  ///< since the host received that one
+  std::uint32_t config_age_ms = 0;  ///< time since `config` came into force
 
   template <class Archive>
   void serialize(Archive& archive) {
--- a/include/pathcleat/fleet/peer_link.hpp
+++ b/include/pathcleat/fleet/peer_link.hpp
@@ -29,7 +29,7 @@
 /// @ingroup fleet
 struct PeerPublishers {
   UsagePublisher& usage;    ///< usage of account limits, in separate messages
-  TallyPublisher& tallies;  ///< of rollouts, in heartbeats and domain reports
+  TallyPublisher& tallies;  ///< rollout tallies, in heartbeats and reports
   CrashPublisher& crashes;  ///< crashing requests, in separate messages
   LimitPublisher& limits;   ///< upstreams' rate limits, in separate messages
 };
@@ -73,10 +73,13 @@
   /// domains.
   void PublishUsage();
 
-  /// @brief Sends new observations of requests that crash upstreams.
+  /// @brief Sends new observations of requests that crash upstreams to the own
+  /// domain and, if this host reports for its domain, to the other domains.
   void PublishCrashes();
 
-  /// @brief Sends recent observations of upstreams' rate limits.
+  /// @brief Sends recent observations of upstreams' rate limits to the hosts
+  /// that receive this host's heartbeats and, if this host reports for its
+  /// domain, to the other domains and to the rest of its own.
   void PublishLimits();
 
  private:
--- a/include/pathcleat/fleet/peer_traffic.hpp
+++ b/include/pathcleat/fleet/peer_traffic.hpp
@@ -11,7 +11,7 @@
 /// @ingroup fleet
 enum class PeerMessageKind : std::uint8_t {
   kHeartbeat,
-  kDomainReport,  ///< on the hosts of a failure domain
+  kDomainReport,  ///< report on the hosts of a failure domain
   kUsage,         ///< usage of client accounts' limits
   kCrashes,       ///< requests that crash upstreams
   kLimits,        ///< rate limits from upstreams' answers
--- a/include/pathcleat/fleet/relay_choice.hpp
+++ b/include/pathcleat/fleet/relay_choice.hpp
@@ -23,7 +23,7 @@
 /// @ingroup fleet
 struct StoreReadCriteria {
   int domain_count = 1;  ///< failure domains of the fleet
-  Duration waited{0};    ///< for a host of its domain to read the table
+  Duration waited{0};    ///< how long this host has waited for others
 };
 
 /// @brief Whether this host should read a whole table from the store now.
@@ -31,9 +31,9 @@
 /// If hundreds of hosts started at one moment and each read the table, the
 /// store would send 3 GB for 986 hosts and 10,002 upstreams. So in each failure
 /// domain only the few highest-ranked hosts read the table, ranked among the
-/// hosts that are alive or were just listed by store rows. The other hosts get
-/// its contents from these, and if none arrive in time, they read the store
-/// too, a few hosts per second.
+/// hosts that are alive or were just listed by store rows. The other hosts of
+/// the domain wait and fetch the table from them. If that does not succeed in
+/// time, the other hosts read the store too, a few hosts per second.
 /// @ingroup fleet
 bool ShouldReadStore(const HostTable& hosts,
                      const StoreReadCriteria& criteria,
--- a/include/pathcleat/records/command_log.hpp
+++ b/include/pathcleat/records/command_log.hpp
@@ -23,11 +23,11 @@
   Error error;                ///< the reason, if not accepted
 };
 
-/// @brief The log of operators' commands. Change n is one row of the store and
-/// is written only if that row does not exist, so that of two conflicting
-/// commands one is rejected with a reference to the other. Hosts see in each
-/// other's heartbeats that there are newer commands and read them from the
-/// store.
+/// @brief The log of operators' commands. Change number n is one row of the
+/// store and is written only if that row does not exist, so that of two
+/// conflicting commands one is rejected with a reference to the other. Hosts
+/// see in each other's heartbeats that there are newer commands and read them
+/// from the store.
 /// @ingroup records
 class CommandLog {
  public:
@@ -79,7 +79,7 @@
   TableStore& store_;
   EventLog& events_;
   std::function<void()> on_change_;
-  std::vector<ConfigChange> startup_changes_;  ///< not in force yet
+  std::vector<ConfigChange> startup_changes_;  ///< read, but not applied yet
   ConfigLog log_;
   std::vector<Done> scan_callbacks_;
   bool loaded_ = false;
--- a/include/pathcleat/records/rollout_writer.hpp
+++ b/include/pathcleat/records/rollout_writer.hpp
@@ -15,8 +15,8 @@
 /// status to the store for the operators. Every host may do both: of two
 /// contradicting decisions the log keeps the first, and a status is written
 /// only if the stored one is still the one that was read. So another host can
-/// continue for a writer that is killed at any point, and a lost answer of the
-/// store is harmless.
+/// continue the work of a host that is killed at any point, and a lost answer
+/// of the store is harmless.
 /// @ingroup records
 class RolloutWriter {
  public:
@@ -27,8 +27,8 @@
 
   /// @brief Submits the decisions that are due and publishes the status of
   /// rollouts. Call this a few times a second.
-  /// @param ahead number of living hosts that do this before this host; this
-  /// host waits for a time proportional to it, so that they can act first.
+  /// @param ahead number of living hosts that should act before this host. This
+  /// host waits for a time proportional to `ahead`, so that they can do so.
   void Tick(const std::vector<ProposedStep>& due, int ahead, Time now);
 
  private:
--- a/include/pathcleat/records/startup_loader.hpp
+++ b/include/pathcleat/records/startup_loader.hpp
@@ -12,9 +12,9 @@
 
 /// @brief Loads the fleet's rows from the store at startup: writes this host's
 /// row and reads the rows of the other hosts, the secrets and the commands, in
-/// two calls. This host's row is written before the others are read, so that of
-/// two hosts that start together at least one finds the other. If the write is
-/// not confirmed, both are repeated.
+/// two calls. This host's row is written before the other rows are read, so
+/// that of two hosts that start together at least one finds the other. If the
+/// write is not confirmed, the write and the read are repeated.
 /// @ingroup records
 class StartupLoader {
  public:
--- a/src/pathcleat/feeds/config_update.cpp
+++ b/src/pathcleat/feeds/config_update.cpp
@@ -12,7 +12,7 @@
 
 namespace pathcleat {
 
-// cereal finds these by argument-dependent lookup.
+// cereal finds the functions below by argument-dependent lookup.
 // NOLINTBEGIN(readability-identifier-naming)
 template <class Archive, class DurationType>
 void SerializeDuration(Archive& archive, DurationType& duration) {
--- a/src/pathcleat/feeds/peer_feed.cpp
+++ b/src/pathcleat/feeds/peer_feed.cpp
@@ -21,18 +21,18 @@
 constexpr const char* kWaitMs = "wait_ms";
 constexpr const char* kConfig = "config";
 constexpr Duration kConnectTimeout{300'000};
-// In addition to the wait time of the request, as hosts answer at once or at
-// the end of that time.
+// The first byte of an answer must arrive within the request's wait time plus
+// this timeout, as hosts answer at once or at the end of the wait time.
 constexpr Duration kAnswerTimeout{1'000'000};
-// Time without any byte of an answer that has begun: covers two TCP
-// retransmissions. A full configuration takes 0.15 s at 10 Mbit/s, so an answer
-// that still arrives has shorter gaps.
+// Once an answer has begun, it is given up if no byte of it arrives for this
+// long. The time covers two TCP retransmissions. A full configuration takes
+// 0.15 s at 10 Mbit/s, so an answer that still arrives has shorter gaps.
 constexpr Duration kProgressTimeout{1'500'000};
 // Time without an acknowledgement after which a connection counts as dead. With
 // the probes' interval, a dead watch is found after 2 s, as for watches of the
-// store. This keeps a follower within bounds of 2.5 s and 3 s on the delay of a
-// configuration, even if no heartbeat reports a newer version; a bound of 2 s
-// is exceeded in that case.
+// store. So even if no heartbeat reports a newer version, a follower gets each
+// configuration in time where the bound on this delay is 2.5 s or 3 s. A bound
+// of 2 s is exceeded in that case.
 constexpr Duration kPeerAckTimeout{1'000'000};
 // Time for the largest snapshot at 10 Mbit/s.
 constexpr Duration kTransferTimeout{14'000'000};
@@ -44,7 +44,7 @@
 // answer (how long an upstream is still cold, whether entries may have lapsed)
 // are out of date by at most this much.
 constexpr Duration kAnswerTtl{200'000};
-// Followers have about this many different versions at the same time.
+// At any time the followers of a host have about this many different versions.
 constexpr std::size_t kMaxCachedAnswers = 4;
 
 const char* PathOf(SourceTopic topic) {
--- a/src/pathcleat/feeds/peer_feed_test.cpp
+++ b/src/pathcleat/feeds/peer_feed_test.cpp
@@ -115,9 +115,9 @@
 
 // A watch waits for up to 20 s, and another host may send a newer version
 // meanwhile. The answer is then a delta to the version at the start of the
-// watch; taken as a failure, the relay was avoided for 5 s and the full
-// configuration read from the store. Fails (no answer) with IsSuperseded always
-// false.
+// watch. When such an answer counted as a failure, the relay was avoided for
+// 5 s and the full configuration was read from the store. Fails (no answer)
+// with IsSuperseded always false.
 Test(peer_feed, watch_superseded_by_another_answer_is_no_failure) {
   PeerFeedFixture fixture(5);
   fixture.StartFetch(5, kWait);
@@ -151,9 +151,9 @@
                "a delta is enough");
 }
 
-// A delta that does not apply makes the next fetches request the full
-// configuration, but only until it is in force. Fails with needs_full_config_
-// kept if the version received is already in force.
+// After a delta that does not apply, fetches request the full configuration
+// until a configuration of that version is in force. Fails if CompleteConfig
+// does not reset needs_full_config_ for a version that is already in force.
 Test(peer_feed, full_configuration_is_requested_until_in_force) {
   PeerFeedFixture fixture(5);
   fixture.client_data.CorruptConfig();
--- a/src/pathcleat/feeds/relayed_source.cpp
+++ b/src/pathcleat/feeds/relayed_source.cpp
@@ -173,8 +173,9 @@
 
 // Whether a watch got no answer for the first time in a row. This alone does
 // not count as a failure of the store; the outcome of the next call, a moment
-// later, decides. Relays that took the store for failed at a broken watch would
-// all reject their followers at the same moment and so send them to the store.
+// later, decides. If relays treated one broken watch as a failure of the store,
+// all of them would reject their followers at the same moment, and the
+// followers would call the store.
 bool RelayedSource::IsFirstBrokenWatch(SourceTopic topic,
                                        CallKind kind,
                                        StoreOutcome outcome) {
--- a/src/pathcleat/feeds/source_watcher.cpp
+++ b/src/pathcleat/feeds/source_watcher.cpp
@@ -25,11 +25,12 @@
 
 namespace {
 
-// While a relay pauses, other hosts may have a change that its followers get
-// only after the pause. So both lag limits exceed the pause by the time of two
-// hops at 10 Mbit/s. The pause is longer for upstreams, because upstreams that
-// join or leave continue to serve for seconds, and they do so in long series:
-// with hundreds of upstreams, all day. Orders must be applied within 2 s.
+// While a relay pauses, other hosts may have a change that the relay's
+// followers get only after the pause. So both lag limits exceed the pause by
+// the time of two hops at 10 Mbit/s. The pause is longer for upstreams, because
+// upstreams that join or leave continue to serve for seconds, and they do so in
+// long series: with hundreds of upstreams, all day. Orders must be applied
+// within 2 s.
 constexpr SourceWatcher::Timing kOrdersTiming{
     Duration(250'000), Duration(400'000), Duration(700'000)};
 constexpr SourceWatcher::Timing kUpstreamsTiming{
@@ -106,7 +107,7 @@
   reading_ = false;
   watch_started_at_ = BootClock::now();
   source_.Watch(topic_, version_, last_call_failed_ ? kNoWait : kMaxWatchTime,
-                ForCurrentGeneration(&SourceWatcher::OnWatch));
+                ForCurrentGeneration(&SourceWatcher::OnWatchAnswer));
 }
 
 void SourceWatcher::RestartWatch() {
@@ -122,7 +123,7 @@
   }
 }
 
-void SourceWatcher::OnWatch(const SourceAnswer& answer) {
+void SourceWatcher::OnWatchAnswer(const SourceAnswer& answer) {
   if (answer.outcome == StoreOutcome::kHistoryGone) {
     RecordOutcome(answer);
     Start();
@@ -133,7 +134,8 @@
     RetryAfterBackoff([this] { Watch(); });
     return;
   }
-  // Data that was fetched from a peer since may be newer than this answer.
+  // Data fetched from a peer since the watch began may be newer than its
+  // answer.
   const bool has_changes = !answer.changes.empty() || answer.is_full;
   if (answer.version >= version_) {
     Handle(answer, answer.is_full);
--- a/src/pathcleat/feeds/source_watcher_test.cpp
+++ b/src/pathcleat/feeds/source_watcher_test.cpp
@@ -123,8 +123,8 @@
 
 // A read of the whole topic that took longer than the time after which a watch
 // counts as dead was replaced by a watch, which again reported lost history:
-// the topic was sent again and again, and never used. Fails without reading_ in
-// OnPeerVersion.
+// the topic was sent again and again, and never used. Fails without the check
+// of reading_ in OnPeerVersion.
 Test(source_watcher, whole_read_is_not_restarted_when_peers_have_more) {
   WatcherFixture fixture;
   fixture.source.reads.back()(WatcherFixture::Done(7));
@@ -143,8 +143,8 @@
 }
 
 // The answer to a watch that began before newer data came from a peer would
-// bring back entries that are gone since. Fails without the comparison in
-// OnWatch.
+// restore entries that have been removed since. Fails without the comparison of
+// versions in OnWatchAnswer.
 Test(source_watcher, answer_older_than_data_from_a_peer_is_ignored) {
   WatcherFixture fixture;
   fixture.source.reads.back()(WatcherFixture::Done(7));
--- a/src/pathcleat/fleet/domain_reporter.cpp
+++ b/src/pathcleat/fleet/domain_reporter.cpp
@@ -16,26 +16,26 @@
 // domains then get reports on this domain again before its hosts time out
 // there, 2.5 s after their last heartbeat.
 constexpr Duration kReporterTimeout{1'100'000};
-// At 10 bytes a host and 45 bytes a group, this many hosts in three groups fit
-// a datagram of 1,472 bytes. More groups are rare and cost a second packet.
+// At 10 bytes per host and 45 bytes per group, this many hosts in three groups
+// fit a datagram of 1,472 bytes. More groups are rare and need a second packet.
 constexpr std::size_t kMaxMembersPerReport = 125;
-// Up to this many members leave space for three host records of 150 bytes in
-// the same datagram.
+// A report with at most this many members has space for three host records of
+// 150 bytes in the same datagram.
 constexpr std::size_t kMaxMembersWithHostInfos = 52;
 constexpr std::size_t kMaxHostInfosWithMembers = 3;
-// Host records in a datagram without members.
-constexpr std::size_t kMaxHostInfosAlone = 6;
-// New hosts whose records are sent in one round. If 33 hosts of a domain start
-// at the same moment and each has read the rows of few others, a reporter sends
-// all their records in two rounds; 295 hosts that started so had all records
-// within 3 s.
+// Maximum number of host records in a datagram without members.
+constexpr std::size_t kMaxHostInfosWithoutMembers = 6;
+// Maximum number of new hosts whose records are sent in one round. If 33 hosts
+// of a domain start at the same moment and each has read the rows of only a few
+// others, a reporter sends all their records in two rounds. When 295 hosts of a
+// fleet started in this way, each had all records within 3 s.
 constexpr std::size_t kMaxNewHostInfosPerRound = 21;
 // For this long after its start the record of a new host is sent repeatedly, so
 // that other domains get it even if one or two datagrams are lost.
 constexpr Duration kNewHostWindow{3'000'000};
-// Every so many rounds the record of one host that is not new is sent too, in
-// turn, for hosts that missed it before: each reporter covers a domain of 33
-// hosts once in 66 s.
+// Once in this many rounds a reporter also sends the record of one host that is
+// not new, a different host each time, for receivers that missed the record
+// before. So it sends the records of a domain of 33 hosts once in 66 s.
 constexpr std::uint64_t kRoundsPerOtherHostInfo = 4;
 
 // The versions that must be equal for two hosts to be in one group.
@@ -120,17 +120,18 @@
   const std::size_t count =
       std::min(new_hosts.size(), kMaxNewHostInfosPerRound);
   for (std::size_t i = 0; i < count; ++i) {
-    chosen_hosts.push_back(new_hosts[next_new_++ % new_hosts.size()]);
+    chosen_hosts.push_back(new_hosts[next_new_host_++ % new_hosts.size()]);
   }
   if (round_ % kRoundsPerOtherHostInfo == 0 && !other_hosts.empty()) {
-    chosen_hosts.push_back(other_hosts[next_other_++ % other_hosts.size()]);
+    chosen_hosts.push_back(
+        other_hosts[next_other_host_++ % other_hosts.size()]);
   }
   return chosen_hosts;
 }
 
 // Adds host records to the report with members while they fit, and returns
-// reports for the rest. These are sent first, as receivers ignore members whose
-// record they do not have.
+// reports for the rest. The returned reports are to be sent first, as receivers
+// ignore members whose records they do not have.
 std::vector<DomainReport> DomainReporter::AddHostInfos(
     const DomainReport& head,
     DomainReport& with_members,
@@ -146,8 +147,8 @@
       with_members.host_infos.push_back(std::move(host));
       continue;
     }
-    if (without_members.empty() ||
-        without_members.back().host_infos.size() == kMaxHostInfosAlone) {
+    if (without_members.empty() || without_members.back().host_infos.size() ==
+                                       kMaxHostInfosWithoutMembers) {
       without_members.push_back(head);
     }
     without_members.back().host_infos.push_back(std::move(host));
--- a/src/pathcleat/fleet/domain_reporter_test.cpp
+++ b/src/pathcleat/fleet/domain_reporter_test.cpp
@@ -20,8 +20,8 @@
 }
 
 // Both reporters of a domain die at the same moment: the living hosts of the
-// domain must not time out elsewhere before other hosts report. Fails with
-// kReporterTimeout at 2.5 s.
+// domain must not time out in other domains before other hosts report. Fails
+// with kReporterTimeout at 2.5 s.
 Test(domain_reporter, loss_of_the_reporters_hides_no_living_host) {
   cr_assert(Holds(
       "living hosts are never silent",
@@ -62,7 +62,7 @@
 }
 
 // One datagram in twenty is lost. Guards against living hosts that time out
-// elsewhere. Fails with one reporter per domain.
+// in other domains. Fails with one reporter per domain.
 Test(domain_reporter, lost_datagrams_hide_no_living_host) {
   cr_assert(Holds(
       "living hosts are never silent",
@@ -97,10 +97,10 @@
   }
 }
 
-// Hosts that start at the same moment have each read only the rows that were
-// written before. Half of 295 hosts then had records of 113 to 170 others 10 s
-// after the start and took too large shares of limits. Fails with the records
-// of the same three new hosts sent in each round.
+// A host reads at its start only the rows that other hosts have written before.
+// When 295 hosts started at the same moment, half of them still had records of
+// only 113 to 170 other hosts 10 s later and used too large shares of limits.
+// Fails with the records of the same three new hosts sent in each round.
 Test(domain_reporter, hosts_that_start_together_are_alive_to_each_other_soon) {
   constexpr int kDomains = 4;
   constexpr int kHosts = 33;
@@ -169,7 +169,7 @@
 Test(domain_reporter, traffic_between_domains_grows_with_domains_only) {
   const auto count_reports = [](int domains, int per_domain) {
     HeartbeatFleet fleet(domains, per_domain);
-    // Until no host is new: records of new hosts take extra datagrams.
+    // Run until no host is new, as records of new hosts need extra datagrams.
     fleet.Run(Duration(4'000'000));
     fleet.reports_between_domains = 0;
     fleet.Run(Duration(2'000'000));
--- a/src/pathcleat/fleet/heartbeat_plan.cpp
+++ b/src/pathcleat/fleet/heartbeat_plan.cpp
@@ -12,13 +12,13 @@
 // at most 78 datagrams per second each way, and the state of a host arrives
 // half a second earlier than by a report.
 constexpr std::size_t kLargeDomainThreshold = 40;
-// The two reporters, and two more hosts that have the same data at the moment
-// both reporters are lost.
+// The receivers are the two reporters and two substitutes, which have the same
+// data if both reporters are lost.
 constexpr std::size_t kReceiverCount = 4;
 // One and a half rounds of reports. If all reporters of a domain die, the last
-// heartbeat of a living host that other domains have is then at most 2.4 s old
-// (one heartbeat interval, this timeout, one round of heartbeats and one of
-// reports), and hosts time out there after 2.5 s.
+// heartbeat of a living host that was reported to other domains is at most
+// 2.4 s old when the next report arrives (one heartbeat interval, this timeout,
+// one round of heartbeats and one of reports). Hosts time out after 2.5 s.
 constexpr Duration kReportTimeout{700'000};
 
 std::vector<std::string> AddressesOf(
--- a/src/pathcleat/fleet/heartbeat_plan_test.cpp
+++ b/src/pathcleat/fleet/heartbeat_plan_test.cpp
@@ -9,11 +9,11 @@
 namespace pathcleat {
 namespace {
 
-// Datagrams per second that the middle host of a domain receives.
+// Datagrams per second that one host receives, the middle one in the node list.
 int ReceivedPerSecond(int per_domain) {
   constexpr int kSeconds = 4;
   HeartbeatFleet fleet(1, per_domain);
-  // Until no host is new.
+  // Run until no host is new.
   fleet.Run(Duration(5'000'000));
   for (HeartbeatNode& node : fleet.nodes) {
     node.received = 0;
@@ -25,8 +25,8 @@
 
 // Guards against heartbeat traffic that grows with the domain: heartbeats to
 // all hosts were 218 datagrams per second each way in a domain of 109 hosts,
-// and twice that in one of twice the size. Fails with HeartbeatPlan::IsLarge
-// always false.
+// and twice that in a domain of twice the size. Fails with
+// HeartbeatPlan::IsLarge always false.
 Test(heartbeat_plan, traffic_in_a_large_domain_does_not_grow_with_it) {
   constexpr int kMaxPerSecond = 12;
   cr_assert_leq(ReceivedPerSecond(109), kMaxPerSecond);
--- a/src/pathcleat/fleet/host_table.cpp
+++ b/src/pathcleat/fleet/host_table.cpp
@@ -10,12 +10,12 @@
 // A caller that has the address of a single host cannot reach the fleet once
 // that host fails.
 constexpr std::size_t kMinLocatedHosts = 2;
-// For how long after its last heartbeat, or after a row listed it, a host is
-// counted where limits are shared. This is 1.5 s longer than until it counts as
-// dead: if half of all hosts die at once, reports on the others are late by a
-// round or two, and the share of a host considered dead too early would be used
-// by others while that host still uses it. Hosts that start at the same moment
-// have exchanged their records within 3 s.
+// A host shares limits for this long after its last heartbeat, or after a store
+// row listed it. The window is 1.5 s longer than the heartbeat timeout: if half
+// of all hosts die at once, reports on the living hosts are late by one or two
+// rounds. Without the extra time, other hosts would use the share of a living
+// host that timed out here, while that host still uses it. Hosts that start at
+// the same moment have exchanged their records within 3 s.
 constexpr Duration kLimitShareWindow{4'000'000};
 
 // Far longer than the time between two calls of CheckForStall, even on a
@@ -39,9 +39,9 @@
   unreported_stall_ = stall;
 }
 
-// Time since the last sign of a host, without the time of the own stall.
-// Reports to other hosts keep the true age: this host has no information on
-// which hosts died during its stall.
+// Time since a host was last seen, without the time for which this host was
+// stalled. Reports to other hosts contain the time with the stall, as this host
+// does not have the information which hosts died during its stall.
 Duration HostTable::TimeSinceSeen(const KnownHost& host, Time now) const {
   const Duration silence = now - host.last_seen;
   return host.last_seen < stall_end_ ? silence - stall_duration_ : silence;
@@ -76,8 +76,8 @@
   const auto found = others_.find(host.name);
   const bool was_alive = found != others_.end() && IsAlive(found->second, now);
   // Incarnation numbers are taken from the time of day, which may have been set
-  // back: once an incarnation has timed out, any other one replaces it, also
-  // one with a lower number.
+  // back. So once an incarnation has timed out, any other incarnation replaces
+  // it, even one with a lower number.
   if (was_alive && host.incarnation < found->second.info.incarnation) {
     return false;
   }
--- a/src/pathcleat/fleet/host_table_test.cpp
+++ b/src/pathcleat/fleet/host_table_test.cpp
@@ -56,8 +56,8 @@
   cr_assert_str_eq(found.front().c_str(), "self");
 }
 
-// Guards against a host that takes all others for dead after it was suspended,
-// and then takes the shares of all limits for itself.
+// Guards against a host that considers all other hosts dead after it was
+// suspended, and then uses their shares of all limits itself.
 Test(host_table, stall_of_this_host_does_not_time_out_others) {
   constexpr Duration kCheckInterval{250'000};
   HostTable table(MakeHost("self", "n1", "north"), kHeartbeatTimeout);
--- a/src/pathcleat/fleet/relay_choice.cpp
+++ b/src/pathcleat/fleet/relay_choice.cpp
@@ -11,17 +11,18 @@
 namespace pathcleat {
 namespace {
 
-// Minimum number of hosts in the fleet that watch the store, whatever the
-// number of domains: in a small fleet, most hosts may fail at once.
+// At least this many hosts of the fleet watch the store, even if there are few
+// domains, as most hosts of a small fleet may fail at once.
 constexpr int kMinWatchers = 8;
 
-// Within 1 s the highest-ranked hosts have read the table and forwarded it,
-// also if all hosts start at the same moment. After that kReadersPerSecond
-// further hosts of a domain read the store each second.
+// Hosts that are not among the highest-ranked ones wait at least this long: the
+// highest-ranked hosts have read and forwarded the table within 1 s, even if
+// all hosts start at the same moment. After that, kReadersPerSecond further
+// hosts of a domain read the store each second.
 constexpr Duration kStoreReadDelay{1'000'000};
 constexpr int kReadersPerSecond = 8;
-// Upper bound of the wait, as all hosts that rank ahead may be gone for good
-// and be listed by their rows only.
+// Upper bound of the wait: the hosts that rank ahead may all be dead and listed
+// only by the rows that they left in the store.
 constexpr Duration kMaxStoreReadDelay{3'000'000};
 
 int WatchersOfDomain(int domains) {
@@ -131,10 +132,10 @@
   }
   const RankRule with_failing{criteria.domain_count, false,
                               criteria.store_failed};
-  const bool others_first =
+  const bool others_try_first =
       criteria.store_failed &&
       !RanksAmongWatchers(hosts, hosts.self(), with_failing, now);
-  return {others_first ? RelayKind::kNone : RelayKind::kStore, "", ""};
+  return {others_try_first ? RelayKind::kNone : RelayKind::kStore, "", ""};
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/fleet/relay_choice_test.cpp
+++ b/src/pathcleat/fleet/relay_choice_test.cpp
@@ -83,8 +83,8 @@
   cr_assert_eq(watching, 9);
 }
 
-// Hosts that all watched the store at first came to follow each other in
-// circles, so that every change reached them late.
+// When all hosts watched the store at first, hosts then followed each other in
+// cycles, so that every change reached them late.
 Test(relay_choice, no_host_follows_a_host_that_will_itself_follow) {
   RelayFleet fleet(6, 14);
   fleet.access.assign(fleet.infos.size(), StoreAccess::kWatching);
@@ -105,8 +105,9 @@
   }
 }
 
-// Ranked by hash alone, all relays of a fleet had links of 10 Mbit/s although
-// other hosts had 200 Mbit/s. Fails without the link comparison in RanksAhead.
+// When hosts were ranked by hash alone, all relays of a fleet had links of
+// 10 Mbit/s although other hosts had links of 200 Mbit/s. Fails without the
+// comparison of link capacities in RanksAhead.
 Test(relay_choice, hosts_with_the_widest_links_watch_for_their_domain) {
   RelayFleet fleet(4, 8);
   constexpr std::size_t kPerDomain = 8;
--- a/src/pathcleat/fleet/up_to_date_host_test.cpp
+++ b/src/pathcleat/fleet/up_to_date_host_test.cpp
@@ -56,8 +56,8 @@
   }
 }
 
-// Guards against a host without answers that is asked every time. Fails without
-// the salt in the seed.
+// Guards against requests that all go to the same host, even if it does not
+// answer. Fails without the salt in the seed.
 Test(up_to_date_host, equal_hosts_are_asked_in_turn) {
   HostChoiceFixture fixture;
   for (int i = 0; i < 4; ++i) {
--- a/src/pathcleat/records/command_log.cpp
+++ b/src/pathcleat/records/command_log.cpp
@@ -129,9 +129,9 @@
   command->change.command_id = command_id;
   command->change.operation = operation;
   command->callback = std::move(callback);
-  // Reads the newest version first, so that a host that is behind does not
-  // write to a version that was assigned long ago and gets no needless
-  // conflict.
+  // The newest version is read first. Otherwise a host that is behind would
+  // write to a version that was assigned long ago, and the command would be
+  // rejected with a needless conflict.
   Scan([this, command](StoreOutcome outcome) {
     if (outcome != StoreOutcome::kDone) {
       Reject(command,
--- a/src/pathcleat/records/rollout_writer.cpp
+++ b/src/pathcleat/records/rollout_writer.cpp
@@ -6,11 +6,12 @@
 namespace pathcleat {
 namespace {
 
-// Time for each host that is ahead to act before the next one does: a scan and
-// a write at the store. If the first three hosts are dead, the delay is 0.6 s.
+// A host waits for this long per host that is ahead of it. In that time the
+// host ahead can scan and write the store. If the first three hosts are dead,
+// the fourth acts after 0.6 s.
 constexpr Duration kDelayPerHostAhead{200'000};
-// Hosts with more hosts than this ahead do nothing: it is not expected that so
-// many hosts die at the same moment.
+// A host with more hosts than this ahead of it does nothing, as so many hosts
+// are not expected to die at the same moment.
 constexpr int kMaxHostsAhead = 30;
 
 RolloutOutcome OutcomeOf(RolloutPhase phase) {
--- a/src/pathcleat/records/rollout_writer_test.cpp
+++ b/src/pathcleat/records/rollout_writer_test.cpp
@@ -9,8 +9,8 @@
 
 constexpr Duration kTickInterval{250'000};
 
-// The command log's rows: a row is written only if it does not exist, and calls
-// are answered at once.
+// A store table with the rows of the command log. A row is written only if it
+// does not exist; calls are answered at once.
 class FakeTable : public TableStore {
  public:
   void Scan(const std::string& from,
@@ -105,9 +105,9 @@
             (RolloutStatus{"s", "v2", RolloutOutcome::kRunning}));
 }
 
-// The store answers a read from before a decision only after the decision.
-// Fails if that answer counts for the decision, whose status then is never
-// stored.
+// The status is read before a decision, and the store answers after the
+// decision. Fails if that answer is used for the newer decision, because the
+// status of the newer decision is then never stored.
 Test(rollout_writer, late_answer_does_not_hide_a_newer_decision) {
   RolloutWriterFixture fixture;
   fixture.Decide(RolloutPhase::kRunning);
--- a/src/pathcleat/records/startup_loader_test.cpp
+++ b/src/pathcleat/records/startup_loader_test.cpp
@@ -76,10 +76,10 @@
   cr_assert_eq(fixture.store.writes, 1);
 }
 
-// The answer to a write may be lost, or writes rejected, while reads are
-// answered: without the secrets a host would accept no heartbeats and use the
-// shares of all others. Fails (no rows read) if rows are read only after a
-// confirmed write.
+// The answer to a write may be lost, or writes may be rejected, while reads are
+// answered. A host that did not read the secrets then would accept no
+// heartbeats and use the shares of all other hosts. Fails (no rows read) if
+// rows are read only after a confirmed write.
 Test(startup_loader, rows_are_read_even_if_the_own_row_is_not_written) {
   for (const StoreOutcome failing_outcome :
        {StoreOutcome::kUnknown, StoreOutcome::kNotDone}) {
@@ -88,7 +88,7 @@
     fixture.store.failing_writes = 1;
     fixture.rows.Start();
     cr_assert_eq(fixture.reads, 1);
-    // Then the own row is written, and the others are read again after it.
+    // The own row is then written again, and all rows are read again after it.
     cr_assert(WaitUntil(fixture.loop, [&] { return fixture.reads == 2; }));
     cr_assert_eq(fixture.store.writes, 2);
   }
