--- a/include/pathcleat/lab/quota_model.hpp
+++ b/include/pathcleat/lab/quota_model.hpp
@@ -10,69 +10,72 @@
 
 namespace pathcleat {
 
-/// @brief How the hosts of the model share an account's limit.
+/// @brief How the hosts of the quota model share an account's limit.
 /// @ingroup lab
 enum class QuotaPolicy {
-  kAdaptive,    ///< QuotaControl, as entry hosts do
-  kEqualShare,  ///< each host has an equal part of rate and burst
-  kOwner,       ///< one host, chosen by hash, counts for all; asked each time
+  kAdaptive,    ///< by QuotaControl, as entry hosts do
+  kEqualShare,  ///< each host has an equal part of the rate and burst
+  kOwner,       ///< one host, chosen by hash, admits for all; queried each time
 };
 
-/// @brief What befalls one account during a model run. Times are seconds from
-/// its start.
+/// @brief Load and faults during a model run with one account. Times are
+/// seconds from the start of the run.
 /// @ingroup lab
 struct QuotaScenario {
   std::string name;
   AccountLimit limit;
   double usual_per_second = 0;  ///< requests a second
-  double peak_factor = 1;       ///< times the usual, while it lasts
+  double peak_factor = 1;       ///< multiple of the usual rate in the peak
   double peak_from = 8;
   double peak_seconds = 6.5;
-  int peak_hosts = 0;  ///< the account comes to so many hosts then; 0: all
-  double partition_from =
-      0;  ///< half of the domains hear nothing of the others
+  /// Number of hosts that receive the requests of the peak; 0: all.
+  int peak_hosts = 0;
+  /// From then on each half of the domains receives nothing from the other.
+  double partition_from = 0;
   double partition_seconds = 0;
-  double kill_at = 0;  ///< so many hosts lose their memory
-  double killed_share = 0;
-  double down_seconds = 0.8;   ///< until they are back
-  double limit_change_at = 0;  ///< the limit changes to a part of it
+  double kill_at = 0;          ///< when hosts stop and lose their state
+  double killed_share = 0;     ///< share of all hosts
+  double down_seconds = 0.8;   ///< until the killed hosts have restarted
+  double limit_change_at = 0;  ///< when rate and burst are multiplied
   double limit_factor = 1;
   double callers_move_at = 0;  ///< a third of the callers move to one domain
 };
 
-/// @brief Size and luck of a model run.
+/// @brief Fleet size, packet loss and random seed of a model run.
 /// @ingroup lab
 struct QuotaModelPlan {
   int domains = 6;
   int hosts_in_domain = 11;
   double seconds = 24;
-  double datagram_loss = 0.01;  ///< share of datagrams
+  double datagram_loss = 0.01;  ///< share of datagrams lost
   QuotaBounds bounds;
   std::uint64_t seed = 1;
 };
 
-/// @brief What an outside counter sees.
+/// @brief Measures over the admitted and refused requests of all hosts.
 /// @ingroup lab
 struct QuotaModelResult {
-  double max_window_ratio = 0;  ///< taken in a window, of what it may hold
-  double refused_share_below_limit =
-      0;  ///< share refused while demand was below the limit
-  double peak_served_share = 0;  ///< during the rush's second half, of the rate
-  double report_bytes_per_second = 0;  ///< between domains, a second
+  /// Requests admitted in the fullest window / requests allowed in a window.
+  double max_window_ratio = 0;
+  /// Share of requests refused while demand was below the limit.
+  double refused_share_below_limit = 0;
+  /// Admitted rate in the second half of the peak / rate of the limit.
+  double peak_served_share = 0;
+  double report_bytes_per_second = 0;  ///< usage reports between domains
 };
 
-/// @brief Plays one account's requests through the hosts of a fleet that tell
-/// each other late, lossily, or not at all.
+/// @brief Simulates one account's requests at the hosts of a fleet whose usage
+/// reports arrive late, are lost, or do not pass a network partition.
 /// @ingroup lab
 QuotaModelResult RunQuotaModel(QuotaPolicy policy,
-                               const QuotaScenario& trace,
+                               const QuotaScenario& scenario,
                                const QuotaModelPlan& plan);
 
-/// @brief The traces that the policies are compared on.
+/// @brief The scenarios on which the policies are compared.
 /// @ingroup lab
 std::vector<QuotaScenario> QuotaScenarios();
 
-/// @brief A table of all policies on all traces.
+/// @brief A text table with the results of all policies in all scenarios.
 /// @ingroup lab
 std::string CompareQuotaPolicies(std::uint64_t seed);
 
--- a/include/pathcleat/lab/routing_model.hpp
+++ b/include/pathcleat/lab/routing_model.hpp
@@ -9,21 +9,24 @@
 
 namespace pathcleat {
 
-/// @brief How the model's hosts choose an upstream.
+/// @brief How the hosts of the routing model choose an upstream.
 /// @ingroup lab
 enum class RoutingModelPolicy {
-  kPicker,          ///< UpstreamPicker, as shipped
-  kPickerNoKey,     ///< the same without affinity keys
-  kRandomInRegion,  ///< any upstream of the own region
-  kSharedQueue,  ///< one perfect queue over all slots, with no network at all
+  kPicker,          ///< UpstreamPicker, as entry hosts do
+  kPickerNoKey,     ///< UpstreamPicker without affinity keys
+  kRandomInRegion,  ///< a random upstream of the host's region
+  /// Ideal for comparison: one unbounded queue for all slots of all regions,
+  /// without network delay.
+  kSharedQueue,
 };
 
 /// @brief Stable lower-case name of a policy.
 /// @ingroup lab
 const char* ToString(RoutingModelPolicy policy);
 
-/// @brief One run of the model: hosts that send directly to upstreams which
-/// queue a few requests and are quicker at keys that they lately served.
+/// @brief Options of a run of the routing model. Hosts send directly to
+/// upstreams, which queue a few requests and run requests faster whose key they
+/// served recently.
 /// @ingroup lab
 struct RoutingModelPlan {
   RoutingModelPolicy policy = RoutingModelPolicy::kPicker;
@@ -33,31 +36,32 @@
   int slots = 3;
   int queue_capacity = 9;
   int keys = 120;
-  int cached_keys = 50;  ///< by an upstream
+  int cached_keys = 50;  ///< recently served keys that an upstream keeps
   Duration round_trip_between_regions{24'000};
-  Duration mean_cold_run_time{
-      640'000};                 ///< mean run time of a key not lately served
-  double warm_run_share = 0.3;  ///< of it, where the key was lately served
+  /// Mean run time of a request whose key was not served recently.
+  Duration mean_cold_run_time{640'000};
+  /// Factor on the run time where the key was served recently.
+  double warm_run_share = 0.3;
   Duration target_latency{400'000};
   Duration timeout{3'000'000};
   double requests_per_second = 200;
-  std::vector<double> region_shares{0.5, 0.3, 0.2};  ///< of arrivals
-  Duration warm_up{10'000'000};                      ///< not counted
+  std::vector<double> region_shares{0.5, 0.3, 0.2};  ///< of requests, by region
+  Duration warm_up{10'000'000};  ///< at the start, not counted
   Duration duration{40'000'000};
   std::uint64_t seed = 1;
 };
 
-/// @brief What a run of the model gave.
+/// @brief Result of a run of the routing model.
 /// @ingroup lab
 struct RoutingModelResult {
   int offered = 0;
-  int in_target = 0;
-  int late = 0;
-  int refused = 0;    ///< by a host, at once
-  int rejected = 0;   ///< by a full upstream
-  double p50_ms = 0;  ///< of the answered
+  int in_target = 0;  ///< answered within the target latency
+  int late = 0;       ///< answered after the target latency
+  int refused = 0;    ///< not run: no upstream chosen, or rejected
+  int rejected = 0;   ///< of the refused: rejected by a full upstream
+  double p50_ms = 0;  ///< latency of answered requests
   double p99_ms = 0;
-  double other_region_share = 0;  ///< run in another region than the caller's
+  double other_region_share = 0;  ///< share run outside the caller's region
 
   double InTargetShare() const {
     return offered == 0 ? 0 : static_cast<double>(in_target) / offered;
@@ -68,8 +72,8 @@
 /// @ingroup lab
 RoutingModelResult RunRoutingModel(const RoutingModelPlan& plan);
 
-/// @brief The policies side by side at several loads, as a Markdown table:
-/// medians over the seeds from 1 up.
+/// @brief Compares the policies at several loads. Returns a Markdown table of
+/// medians over the seeds 1 to `seeds`.
 /// @ingroup lab
 std::string MeasureRouting(int seeds);
 
--- a/include/pathcleat/lab/upstream_farm.hpp
+++ b/include/pathcleat/lab/upstream_farm.hpp
@@ -14,8 +14,7 @@
 namespace pathcleat {
 
 /// @brief Stand-ins for all upstreams of a deployment in one process, with a
-/// control port: GET /ledger gives the sum of their ledgers as JSON, POST
-/// /leaving/NAME makes one say that it leaves.
+/// control port: GET /ledger returns the sum of their ledgers as JSON.
 /// @ingroup lab
 class UpstreamFarm {
  public:
--- a/include/pathcleat/lab/upstream_stand_in.hpp
+++ b/include/pathcleat/lab/upstream_stand_in.hpp
@@ -16,19 +16,19 @@
 
 namespace pathcleat {
 
-/// @brief What a stand-in for one upstream instance saw.
+/// @brief Counts of the requests that a stand-in for one upstream received and
+/// ran.
 /// @ingroup lab
 struct UpstreamLedger {
   int runs = 0;
   int peak_in_flight = 0;
-  double slot_seconds = 0;  ///< of work, up to the last begin or end of one
-  int rejected = 0;         ///< requests told that they were not run
+  double slot_seconds = 0;  ///< sum of busy times, up to the last start or end
+  int rejected = 0;         ///< requests answered as not run
   std::map<std::string, int> runs_by_id;       ///< by the caller's X-Run-Id
   std::map<std::string, int> runs_by_key;      ///< by Idempotency-Key
-  std::map<std::string, int> runs_by_account;  ///< by the account told
-  int requests_with_authorization =
-      0;                       ///< requests with an Authorization field
-  std::vector<Time> arrivals;  ///< of requests, also those turned away
+  std::map<std::string, int> runs_by_account;  ///< by the account named
+  int requests_with_authorization = 0;         ///< with an Authorization field
+  std::vector<Time> arrivals;  ///< of all requests, also rejected ones
 };
 
 /// @brief Options of an upstream stand-in.
@@ -40,37 +40,37 @@
   int queue_capacity = 4;  ///< requests that may wait for a slot
   std::chrono::microseconds mean_service_time{20'000};  ///< exponential
   std::uint64_t seed = 1;
-  /// Work ends at the time that the request tells: in the queue as not run,
-  /// under way by an answer that says so.
+  /// Ends requests at the deadline that they state: a queued request is
+  /// rejected as not run, a running request is answered with 504.
   bool enforces_deadlines = false;
 };
 
-/// @brief How an answer is spoilt.
+/// @brief How an answer is corrupted.
 /// @ingroup lab
 enum class AnswerCorruption {
   kNone,
-  kNoSignature,     ///< a success that lacks its signature
+  kNoSignature,     ///< a success without its signature
   kWrongRequestId,  ///< another request's id
-  kNoAnswer,        ///< runs, then closes without an answer
+  kNoAnswer,        ///< runs the request, then closes the connection
 };
 
-/// @brief What a stand-in does with one request, and when.
+/// @brief How a stand-in handles one request, and when.
 /// @ingroup lab
 struct UpstreamAction {
   enum class Kind {
-    kAnswer,       ///< runs it and answers
-    kDisconnect,   ///< runs it and closes without an answer
-    kReject,       ///< lets it wait and says that it has not run it
-    kNeverAnswer,  ///< runs it and says nothing
+    kAnswer,       ///< runs the request and answers
+    kDisconnect,   ///< runs the request, then closes the connection
+    kReject,       ///< rejects the request as not run, after the delay
+    kNeverAnswer,  ///< runs the request and never answers
   };
   Kind kind = Kind::kAnswer;
   std::chrono::milliseconds delay{0};  ///< from the request's arrival
 };
 
-/// @brief Small stand-in for an upstream instance: has slots and a short
-/// queue, turns away what is too much or meant for another instance, answers
-/// with what it was asked, honours cancellation, tells its load and keeps a
-/// ledger.
+/// @brief Small stand-in for an upstream instance. Has slots and a short queue,
+/// rejects requests that find the queue full or are meant for another instance,
+/// echoes the request in its answer, honours cancellation, reports its load and
+/// counts requests in a ledger.
 /// @ingroup lab
 class UpstreamStandIn {
  public:
@@ -82,51 +82,53 @@
   const std::string& id() const { return options_.id; }
   int slots() const { return options_.slots; }
 
-  /// @brief Requests are kept until Answer; for tests that order answers.
-  void HoldAnswers(bool hold = true) { hold_ = hold; }
-  std::size_t HeldAnswerCount() const { return held_.size(); }
+  /// @brief Keeps running requests unanswered until ReleaseAnswer; for tests
+  /// that control the order of answers.
+  void HoldAnswers(bool hold = true) { hold_answers_ = hold; }
+  std::size_t HeldAnswerCount() const { return held_exchanges_.size(); }
   void ReleaseAnswer(std::size_t index);
   void ReleaseAnswerOfRun(const std::string& run_id);
 
-  /// @brief Spoils all answers from now on.
-  void CorruptAnswers(AnswerCorruption how) { spoilt_ = how; }
+  /// @brief Corrupts all answers from now on.
+  void CorruptAnswers(AnswerCorruption corruption) { corruption_ = corruption; }
 
-  /// @brief Says that it has not run any request from now on.
-  void RejectRequests(bool turn_away) { turn_away_ = turn_away; }
+  /// @brief Rejects all requests as not run from now on.
+  void RejectRequests(bool reject) { reject_requests_ = reject; }
 
-  /// @brief Names a limit of requests a second in all answers from now on, in
-  /// these words; empty: none.
-  void SetLimitHeader(std::string limit) { limit_ = std::move(limit); }
+  /// @brief Sends this text as the rate limit header (requests a second) in all
+  /// answers from now on; empty: no header.
+  void SetLimitHeader(std::string limit) { limit_header_ = std::move(limit); }
 
-  /// @brief Asked what to do with each request from now on.
+  /// @brief Called for each request from now on; returns how to handle it.
   using ActionChooser = std::function<UpstreamAction()>;
-  void SetActionChooser(ActionChooser director) {
-    director_ = std::move(director);
+  void SetActionChooser(ActionChooser chooser) {
+    action_chooser_ = std::move(chooser);
   }
 
   const UpstreamLedger& ledger() const { return ledger_; }
   int in_flight() const { return in_flight_; }
 
-  /// @brief Stops listening and cuts all connections, as a crash would.
+  /// @brief Stops listening and closes all connections, as a crash does.
   void Crash();
 
-  /// @brief Crashes from now on when it begins to run a request for this
+  /// @brief From now on crashes when it starts to run a request for this
   /// target.
-  void CrashOnTarget(std::string target) { fatal_target_ = std::move(target); }
+  void CrashOnTarget(std::string target) { crash_target_ = std::move(target); }
   bool HasCrashed() const { return server_ == nullptr; }
 
  private:
   void Handle(const HttpExchangePtr& exchange);
-  bool IsForAnother(const HttpExchangePtr& exchange) const;
+  bool IsForOtherUpstream(const HttpExchangePtr& exchange) const;
   void RefuseNotRun(const HttpExchangePtr& exchange, int status);
   void Run(const HttpExchangePtr& exchange);
-  void Act(const HttpExchangePtr& exchange, const UpstreamAction& act);
-  void EndAct(const HttpExchangePtr& exchange, UpstreamAction::Kind kind);
+  void PerformAction(const HttpExchangePtr& exchange,
+                     const UpstreamAction& action);
+  void FinishAction(const HttpExchangePtr& exchange, UpstreamAction::Kind kind);
   void Begin(const HttpExchangePtr& exchange);
   void End();
   void WatchDeadline(const HttpExchangePtr& exchange);
   void OnDeadline(const HttpExchangePtr& exchange);
-  void CountSlots();
+  void UpdateSlotSeconds();
   void Answer(const HttpExchangePtr& exchange);
   std::string LoadText() const;
   void AddState(HttpResponse& response) const;
@@ -136,20 +138,20 @@
   std::unique_ptr<HttpServer> server_;
   std::mt19937_64 random_;
   UpstreamLedger ledger_;
-  std::vector<HttpExchangePtr> held_;
+  std::vector<HttpExchangePtr> held_exchanges_;
   std::vector<HttpExchangePtr> queue_;
-  ActionChooser director_;
-  AnswerCorruption spoilt_ = AnswerCorruption::kNone;
-  std::string limit_;         ///< that answers name; empty: none
-  std::string fatal_target_;  ///< empty: none
+  ActionChooser action_chooser_;
+  AnswerCorruption corruption_ = AnswerCorruption::kNone;
+  std::string limit_header_;  ///< rate limit header of answers; empty: none
+  std::string crash_target_;  ///< crash target; empty: none
   int in_flight_ = 0;
-  Time counted_;  ///< up to when slot_seconds is told
-  bool hold_ = false;
-  bool turn_away_ = false;
+  Time slot_seconds_until_;  ///< time up to which slot_seconds is counted
+  bool hold_answers_ = false;
+  bool reject_requests_ = false;
 };
 
-/// @brief The body that a stand-in answers a request with: the caller can
-/// tell from it whether the whole answer to its own request arrived.
+/// @brief The body with which a stand-in answers a request. By comparing it, a
+/// caller verifies that it received the whole answer to its own request.
 /// @param run_id the request's X-Run-Id.
 /// @ingroup lab
 std::string ExpectedAnswer(const std::string& run_id,
--- a/src/pathcleat/lab/routing_costs.cpp
+++ b/src/pathcleat/lab/routing_costs.cpp
@@ -9,9 +9,10 @@
 namespace {
 
 constexpr std::size_t kChoices = 2'000;
-constexpr double kNanos = 1e3;
+constexpr double kNanosPerMicro = 1e3;
 
-// Nanoseconds that one choice among so many upstreams takes, in each run.
+// CPU time of one choice among the given number of upstreams, in nanoseconds,
+// one value for each run.
 std::vector<double> ChoiceNanos(int upstreams) {
   UpstreamTable table(std::map<std::string, std::string>{{"domain", "region"}});
   const Time now = BootClock::now();
@@ -37,7 +38,7 @@
     picker.Choose(request, now);
   });
   for (double& run : runs) {
-    run *= kNanos;
+    run *= kNanosPerMicro;
   }
   return runs;
 }
@@ -45,13 +46,13 @@
 }  // namespace
 
 std::vector<CostCurve> MeasureRoutingCosts() {
-  CostCurve slope;
-  slope.name = "choice of an upstream, ns";
-  slope.size_unit = "upstreams of the service";
+  CostCurve curve;
+  curve.name = "choice of an upstream, ns";
+  curve.size_unit = "upstreams of the service";
   for (const int size : {10, 50, 100, 200, 400}) {
-    slope.points.push_back(MakeCostPoint(size, ChoiceNanos(size)));
+    curve.points.push_back(MakeCostPoint(size, ChoiceNanos(size)));
   }
-  return {FitLine(slope)};
+  return {FitLine(curve)};
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/lab/routing_model.cpp
+++ b/src/pathcleat/lab/routing_model.cpp
@@ -32,15 +32,15 @@
 
 class ModelUpstream {
  public:
-  ModelUpstream(VirtualScheduler& agenda,
+  ModelUpstream(VirtualScheduler& scheduler,
                 const RoutingModelPlan& plan,
                 std::mt19937_64& random)
-      : agenda_(agenda),
+      : scheduler_(scheduler),
         plan_(plan),
         random_(random),
         keys_(static_cast<std::size_t>(plan.cached_keys)) {}
 
-  // Takes a request, or says at once that it does not.
+  // Accepts the request, or returns false at once if the queue is full.
   bool Offer(const ModelRequest& request) {
     if (running_ < plan_.slots) {
       Begin(request);
@@ -65,20 +65,20 @@
         keys_.Contains(request.key) ? plan_.warm_run_share : 1.0;
     const double run = static_cast<double>(plan_.mean_cold_run_time.count()) *
                        share * std::max(0.3, spread(random_));
-    agenda_.ScheduleAfter(Duration(static_cast<Duration::rep>(run)),
-                          [this, request] {
-                            keys_.Touch(request.key);
-                            --running_;
-                            request.done(true);
-                            if (!waiting_.empty()) {
-                              const ModelRequest next = waiting_.front();
-                              waiting_.pop_front();
-                              Begin(next);
-                            }
-                          });
+    scheduler_.ScheduleAfter(Duration(static_cast<Duration::rep>(run)),
+                             [this, request] {
+                               keys_.Touch(request.key);
+                               --running_;
+                               request.done(true);
+                               if (!waiting_.empty()) {
+                                 const ModelRequest next = waiting_.front();
+                                 waiting_.pop_front();
+                                 Begin(next);
+                               }
+                             });
   }
 
-  VirtualScheduler& agenda_;
+  VirtualScheduler& scheduler_;
   const RoutingModelPlan& plan_;
   std::mt19937_64& random_;
   RecentKeys keys_;
@@ -86,7 +86,7 @@
   int running_ = 0;
 };
 
-// One entry host: its own tables, as in the shipped program.
+// One entry host with its own upstream table and picker, as in the gateway.
 struct ModelHost {
   ModelHost(const RoutingModelPlan& plan, int region)
       : table(Regions(plan)), picker(Settings(region), table) {}
@@ -110,9 +110,9 @@
   UpstreamPicker picker;
 };
 
-class Model {
+class RoutingModel {
  public:
-  explicit Model(const RoutingModelPlan& plan)
+  explicit RoutingModel(const RoutingModelPlan& plan)
       : plan_(plan), random_(plan.seed) {
     route_.name = "route";
     route_.repeatable = true;
@@ -125,24 +125,26 @@
       shared_plan_.queue_capacity = 1'000'000;
       shared_plan_.cached_keys = plan.keys;
       upstreams_["shared"] =
-          std::make_unique<ModelUpstream>(agenda_, shared_plan_, random_);
+          std::make_unique<ModelUpstream>(scheduler_, shared_plan_, random_);
     } else {
-      MakeFleet();
+      CreateFleet();
     }
   }
 
   RoutingModelResult Run() {
     ScheduleArrival();
-    agenda_.Run();
+    scheduler_.Run();
     result_.p50_ms = Quantile(latency_ms_, 0.5);
     result_.p99_ms = Quantile(latency_ms_, 0.99);
     result_.other_region_share =
-        result_.offered == 0 ? 0 : static_cast<double>(away_) / result_.offered;
+        result_.offered == 0
+            ? 0
+            : static_cast<double>(other_region_count_) / result_.offered;
     return result_;
   }
 
  private:
-  void MakeFleet() {
+  void CreateFleet() {
     std::vector<UpstreamInfo> list;
     for (int r = 0; r < plan_.regions; ++r) {
       for (int i = 0; i < plan_.upstreams_in_region; ++i) {
@@ -153,14 +155,14 @@
         info.slots = plan_.slots;
         list.push_back(info);
         upstreams_[info.id] =
-            std::make_unique<ModelUpstream>(agenda_, plan_, random_);
+            std::make_unique<ModelUpstream>(scheduler_, plan_, random_);
       }
     }
     for (int r = 0; r < plan_.regions; ++r) {
       for (int h = 0; h < plan_.hosts_in_region; ++h) {
         hosts_.push_back(std::make_unique<ModelHost>(plan_, r));
         for (const UpstreamInfo& upstream : list) {
-          hosts_.back()->table.Put(upstream, agenda_.now());
+          hosts_.back()->table.Put(upstream, scheduler_.now());
         }
       }
     }
@@ -169,9 +171,9 @@
   void ScheduleArrival() {
     std::exponential_distribution<double> gap(plan_.requests_per_second);
     constexpr double kMicros = 1e6;
-    agenda_.ScheduleAfter(
+    scheduler_.ScheduleAfter(
         Duration(static_cast<Duration::rep>(gap(random_) * kMicros)), [this] {
-          if (agenda_.now() - start_ < plan_.duration) {
+          if (scheduler_.now() - start_ < plan_.duration) {
             Arrive();
             ScheduleArrival();
           }
@@ -185,12 +187,12 @@
     ModelRequest request;
     request.region = draw_region(random_);
     request.key = StableHash(std::to_string(draw_key(random_)));
-    request.arrived = agenda_.now();
-    const bool counts = agenda_.now() - start_ >= plan_.warm_up;
-    result_.offered += counts ? 1 : 0;
+    request.arrived = scheduler_.now();
+    const bool counted = scheduler_.now() - start_ >= plan_.warm_up;
+    result_.offered += counted ? 1 : 0;
     if (plan_.policy == RoutingModelPolicy::kSharedQueue) {
-      request.done = [this, request, counts](bool) {
-        Finish(request, counts, false);
+      request.done = [this, request, counted](bool) {
+        Finish(request, counted, false);
       };
       upstreams_.begin()->second->Offer(request);
       return;
@@ -198,18 +200,18 @@
     std::uniform_int_distribution<int> draw_host(0, plan_.hosts_in_region - 1);
     const int host =
         request.region * plan_.hosts_in_region + draw_host(random_);
-    Send(*hosts_[static_cast<std::size_t>(host)], request, counts);
+    Send(*hosts_[static_cast<std::size_t>(host)], request, counted);
   }
 
   Pick ChooseAt(ModelHost& host, const ModelRequest& request) {
-    PickRequest wanted;
-    wanted.route = &route_;
-    wanted.service = kService;
-    wanted.key = request.key;
-    wanted.sticky = plan_.policy == RoutingModelPolicy::kPicker;
-    wanted.time_left = plan_.timeout;
+    PickRequest pick_request;
+    pick_request.route = &route_;
+    pick_request.service = kService;
+    pick_request.key = request.key;
+    pick_request.sticky = plan_.policy == RoutingModelPolicy::kPicker;
+    pick_request.time_left = plan_.timeout;
     if (plan_.policy != RoutingModelPolicy::kRandomInRegion) {
-      return host.picker.Choose(wanted, agenda_.now());
+      return host.picker.Choose(pick_request, scheduler_.now());
     }
     std::uniform_int_distribution<std::size_t> draw(
         0, static_cast<std::size_t>(plan_.upstreams_in_region) - 1);
@@ -221,69 +223,70 @@
     return pick;
   }
 
-  void Send(ModelHost& host, ModelRequest request, bool counts) {
+  void Send(ModelHost& host, ModelRequest request, bool counted) {
     const Pick pick = ChooseAt(host, request);
     if (!pick.upstream) {
-      result_.refused += counts ? 1 : 0;
+      result_.refused += counted ? 1 : 0;
       return;
     }
-    const bool away = pick.upstream->region != RegionName(request.region);
+    const bool other_region =
+        pick.upstream->region != RegionName(request.region);
     const Duration one_way =
-        away ? plan_.round_trip_between_regions / 2 : Duration(300);
+        other_region ? plan_.round_trip_between_regions / 2 : Duration(300);
     host.picker.OnConnected(*pick.upstream, one_way * 2);
     pick.upstream->load.OnSent();
-    const Time sent = agenda_.now();
+    const Time sent = scheduler_.now();
     ModelUpstream* target = upstreams_[pick.upstream->info.id].get();
-    const auto back = [this, &host, pick, request, sent, target, one_way,
-                       counts, away](bool ran) {
+    const auto on_ended = [this, &host, pick, request, sent, target, one_way,
+                           counted, other_region](bool ran) {
       const LoadReport report = target->Report();
-      agenda_.ScheduleAfter(one_way, [=, this, &host] {
-        pick.upstream->load.OnReport(report, agenda_.now());
+      scheduler_.ScheduleAfter(one_way, [=, this, &host] {
+        pick.upstream->load.OnReport(report, scheduler_.now());
         pick.upstream->load.OnEnded();
         if (!ran) {
-          result_.rejected += counts ? 1 : 0;
-          result_.refused += counts ? 1 : 0;
+          result_.rejected += counted ? 1 : 0;
+          result_.refused += counted ? 1 : 0;
           return;
         }
-        PickRequest wanted;
-        wanted.route = &route_;
-        wanted.key = request.key;
+        PickRequest pick_request;
+        pick_request.route = &route_;
+        pick_request.key = request.key;
         host.picker.OnAnswer(
-            *pick.upstream, wanted, pick,
-            {agenda_.now() - sent, kAnswerBytes, report.waiting > 0},
-            agenda_.now());
-        Finish(request, counts, away);
+            *pick.upstream, pick_request, pick,
+            {scheduler_.now() - sent, kAnswerBytes, report.waiting > 0},
+            scheduler_.now());
+        Finish(request, counted, other_region);
       });
     };
-    request.done = back;
-    agenda_.ScheduleAfter(one_way, [target, request, back] {
+    request.done = on_ended;
+    scheduler_.ScheduleAfter(one_way, [target, request, on_ended] {
       if (!target->Offer(request)) {
-        back(false);
+        on_ended(false);
       }
     });
   }
 
-  void Finish(const ModelRequest& request, bool counts, bool away) {
-    if (!counts) {
+  void Finish(const ModelRequest& request, bool counted, bool other_region) {
+    if (!counted) {
       return;
     }
-    const Duration took = agenda_.now() - request.arrived;
+    const Duration took = scheduler_.now() - request.arrived;
     (took <= plan_.target_latency ? result_.in_target : result_.late) += 1;
-    away_ += away ? 1 : 0;
+    other_region_count_ += other_region ? 1 : 0;
     latency_ms_.push_back(ToMilliseconds(took));
   }
 
   RoutingModelPlan plan_;
   RoutingModelPlan shared_plan_;
   std::mt19937_64 random_;
-  VirtualScheduler agenda_;
-  Time start_ = agenda_.now();
+  VirtualScheduler scheduler_;
+  Time start_ = scheduler_.now();
   Route route_;
   std::map<std::string, std::unique_ptr<ModelUpstream>> upstreams_;
   std::vector<std::unique_ptr<ModelHost>> hosts_;
   RoutingModelResult result_;
   std::vector<double> latency_ms_;
-  int away_ = 0;
+  int other_region_count_ = 0;
 };
 
 double Median(std::vector<double> values) {
@@ -307,7 +310,7 @@
 }
 
 RoutingModelResult RunRoutingModel(const RoutingModelPlan& plan) {
-  return Model(plan).Run();
+  return RoutingModel(plan).Run();
 }
 
 std::string MeasureRouting(int seeds) {
@@ -323,8 +326,8 @@
       std::vector<double> p50;
       std::vector<double> p99;
       std::vector<double> refused;
-      std::vector<double> turned;
-      std::vector<double> away;
+      std::vector<double> rejected;
+      std::vector<double> other_region;
       for (int seed = 1; seed <= seeds; ++seed) {
         RoutingModelPlan plan;
         plan.policy = policy;
@@ -336,8 +339,8 @@
         p50.push_back(result.p50_ms);
         p99.push_back(result.p99_ms);
         refused.push_back(result.refused / offered);
-        turned.push_back(result.rejected / offered);
-        away.push_back(result.other_region_share);
+        rejected.push_back(result.rejected / offered);
+        other_region.push_back(result.other_region_share);
       }
       const auto cell = [](const std::vector<double>& values) {
         std::string number = std::to_string(Median(values));
@@ -345,8 +348,8 @@
       };
       text += "| " + std::string(ToString(policy)) + " | " +
               std::to_string(static_cast<int>(rate)) + cell(in_target) +
-              cell(p50) + cell(p99) + cell(refused) + cell(turned) +
-              cell(away) + " |\n";
+              cell(p50) + cell(p99) + cell(refused) + cell(rejected) +
+              cell(other_region) + " |\n";
     }
   }
   return text;
--- a/src/pathcleat/lab/simulated_upstream.hpp
+++ b/src/pathcleat/lab/simulated_upstream.hpp
@@ -16,26 +16,26 @@
 
 namespace pathcleat {
 
-/// @brief How a piece of work at a model's upstream ended.
+/// @brief How a unit of work ended at a simulated upstream.
 /// @ingroup lab
 enum class ModelWorkOutcome {
   kRan,
-  kNotRun,  ///< turned away, or its deadline passed in the queue
-  kLost,    ///< the upstream went while it was there
+  kNotRun,  ///< rejected, or its deadline passed in the queue
+  kLost,    ///< the upstream crashed while the work was queued or running
 };
 
-/// @brief A piece of work for a model's upstream.
+/// @brief A unit of work for a simulated upstream.
 /// @ingroup lab
 struct ModelWork {
   std::uint64_t key = 0;
-  Duration mean_run_time{0};  ///< mean, of a key not lately served
-  double warm_run_share = 1;  ///< of it, where the key was lately served
+  Duration mean_run_time{0};  ///< of a key that was not served recently
+  double warm_run_share = 1;  ///< factor on it if the key was served recently
   Time deadline;
-  std::function<void(ModelWorkOutcome end)> done;
+  std::function<void(ModelWorkOutcome outcome)> done;
 };
 
-/// @brief An upstream in virtual time: slots, a short queue, keys at which it
-/// is quick.
+/// @brief An upstream in virtual time with slots and a short queue. Runs work
+/// faster whose key was served recently.
 /// @ingroup lab
 class SimulatedUpstream {
  public:
@@ -45,20 +45,20 @@
     std::size_t cached_keys = 0;
   };
 
-  SimulatedUpstream(VirtualScheduler& agenda,
+  SimulatedUpstream(VirtualScheduler& scheduler,
                     std::mt19937_64& random,
-                    const Options& shape)
-      : agenda_(agenda),
+                    const Options& options)
+      : scheduler_(scheduler),
         random_(random),
-        shape_(shape),
-        keys_(shape.cached_keys) {}
+        options_(options),
+        recent_keys_(options.cached_keys) {}
 
   void Offer(const ModelWork& work) {
     if (HasFreeSlot()) {
       Begin(work);
       return;
     }
-    if (static_cast<int>(waiting_.size()) >= shape_.queue_capacity) {
+    if (static_cast<int>(waiting_.size()) >= options_.queue_capacity) {
       work.done(ModelWorkOutcome::kNotRun);
       return;
     }
@@ -67,10 +67,11 @@
 
   LoadReport Report() const {
     return {static_cast<int>(running_.size()),
-            static_cast<int>(waiting_.size()), shape_.slots};
+            static_cast<int>(waiting_.size()), options_.slots};
   }
 
-  /// @brief Ends, with all that is there; starts anew and empty.
+  /// @brief Loses all queued and running work and the recently served keys, as
+  /// in a crash and restart.
   void Crash() {
     std::vector<ModelWork> lost(waiting_.begin(), waiting_.end());
     for (const auto& [number, work] : running_) {
@@ -78,7 +79,7 @@
     }
     running_.clear();
     waiting_.clear();
-    keys_.Clear();
+    recent_keys_.Clear();
     for (const ModelWork& work : lost) {
       work.done(ModelWorkOutcome::kLost);
     }
@@ -86,21 +87,22 @@
 
  private:
   bool HasFreeSlot() const {
-    return static_cast<int>(running_.size()) < shape_.slots;
+    return static_cast<int>(running_.size()) < options_.slots;
   }
 
   void Begin(const ModelWork& work) {
-    constexpr double kRunSpread = 0.15;
-    constexpr double kShortest = 0.3;
-    std::normal_distribution<double> spread(1.0, kRunSpread);
-    const double share = keys_.Contains(work.key) ? work.warm_run_share : 1.0;
+    constexpr double kRunTimeDeviation = 0.15;
+    constexpr double kMinRunFactor = 0.3;
+    std::normal_distribution<double> spread(1.0, kRunTimeDeviation);
+    const double share =
+        recent_keys_.Contains(work.key) ? work.warm_run_share : 1.0;
     const double run = static_cast<double>(work.mean_run_time.count()) * share *
-                       std::max(kShortest, spread(random_));
-    keys_.Touch(work.key);
-    const std::uint64_t number = next_++;
+                       std::max(kMinRunFactor, spread(random_));
+    recent_keys_.Touch(work.key);
+    const std::uint64_t number = next_number_++;
     running_[number] = work;
-    agenda_.ScheduleAfter(Duration(static_cast<Duration::rep>(run)),
-                          [this, number] { End(number); });
+    scheduler_.ScheduleAfter(Duration(static_cast<Duration::rep>(run)),
+                             [this, number] { End(number); });
   }
 
   void End(std::uint64_t number) {
@@ -114,7 +116,7 @@
     while (!waiting_.empty() && HasFreeSlot()) {
       const ModelWork next = waiting_.front();
       waiting_.pop_front();
-      if (agenda_.now() >= next.deadline) {
+      if (scheduler_.now() >= next.deadline) {
         next.done(ModelWorkOutcome::kNotRun);
       } else {
         Begin(next);
@@ -122,13 +124,13 @@
     }
   }
 
-  VirtualScheduler& agenda_;
+  VirtualScheduler& scheduler_;
   std::mt19937_64& random_;
-  Options shape_;
-  RecentKeys keys_;
+  Options options_;
+  RecentKeys recent_keys_;
   std::deque<ModelWork> waiting_;
   std::map<std::uint64_t, ModelWork> running_;
-  std::uint64_t next_ = 0;
+  std::uint64_t next_number_ = 0;
 };
 
 }  // namespace pathcleat
--- a/src/pathcleat/lab/stopwatch.hpp
+++ b/src/pathcleat/lab/stopwatch.hpp
@@ -12,23 +12,24 @@
 inline double CpuMicros() {
   timespec value{};
   clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &value);
-  constexpr double kMicros = 1e6;
+  constexpr double kMicrosPerSecond = 1e6;
   constexpr double kNanosPerMicro = 1e3;
-  return static_cast<double>(value.tv_sec) * kMicros +
+  return static_cast<double>(value.tv_sec) * kMicrosPerSecond +
          static_cast<double>(value.tv_nsec) / kNanosPerMicro;
 }
 
-/// @brief CPU microseconds a call, for several runs of many calls each.
+/// @brief Mean CPU time of a call in microseconds, one value for each of
+/// several runs of `calls` calls.
 template <class Function>
 std::vector<double> TimeCalls(std::size_t calls, Function&& function) {
   constexpr int kRuns = 5;
   std::vector<double> runs;
   for (int run = 0; run < kRuns; ++run) {
-    const double began = CpuMicros();
+    const double start = CpuMicros();
     for (std::size_t i = 0; i < calls; ++i) {
       function(i);
     }
-    runs.push_back((CpuMicros() - began) / static_cast<double>(calls));
+    runs.push_back((CpuMicros() - start) / static_cast<double>(calls));
   }
   return runs;
 }
--- a/src/pathcleat/lab/upstream_farm.cpp
+++ b/src/pathcleat/lab/upstream_farm.cpp
@@ -43,7 +43,7 @@
     exchange->Respond(JsonResponse(http_status::kOk, LedgerJson()));
     return;
   }
-  exchange->Respond(TextResponse(http_status::kNotFound, "no such thing\n"));
+  exchange->Respond(TextResponse(http_status::kNotFound, "no such path\n"));
 }
 
 std::string UpstreamFarm::LedgerJson() const {
--- a/src/pathcleat/lab/upstream_stand_in.cpp
+++ b/src/pathcleat/lab/upstream_stand_in.cpp
@@ -13,10 +13,11 @@
 namespace pathcleat {
 namespace {
 
-constexpr std::size_t kFillBytes = 2'000;
+constexpr std::size_t kPaddingBytes = 2'000;
 constexpr int kMisdirected = 421;
 
-std::string Field(const HttpExchangePtr& exchange, const std::string& name) {
+std::string HeaderValue(const HttpExchangePtr& exchange,
+                        const std::string& name) {
   return FindHeader(exchange->request().headers, name).value_or("");
 }
 
@@ -26,7 +27,7 @@
                            const std::string& target,
                            const std::string& body) {
   std::string answer = "run " + run_id + " of " + target + "\n" + body + "\n";
-  answer.append(kFillBytes, run_id.empty() ? '-' : run_id.back());
+  answer.append(kPaddingBytes, run_id.empty() ? '-' : run_id.back());
   answer += "\nend " + run_id + "\n";
   return answer;
 }
@@ -60,8 +61,8 @@
 
 void UpstreamStandIn::AddState(HttpResponse& response) const {
   response.headers.push_back({options_.headers.load, LoadText()});
-  if (!limit_.empty()) {
-    response.headers.push_back({options_.headers.rate_limit, limit_});
+  if (!limit_header_.empty()) {
+    response.headers.push_back({options_.headers.rate_limit, limit_header_});
   }
 }
 
@@ -74,17 +75,17 @@
     return;
   }
   ledger_.arrivals.push_back(BootClock::now());
-  if (IsForAnother(exchange)) {
+  if (IsForOtherUpstream(exchange)) {
     RefuseNotRun(exchange, kMisdirected);
     return;
   }
-  if (director_) {
-    Act(exchange, director_());
+  if (action_chooser_) {
+    PerformAction(exchange, action_chooser_());
     return;
   }
   const bool full = in_flight_ >= options_.slots &&
                     static_cast<int>(queue_.size()) >= options_.queue_capacity;
-  if (turn_away_ || full) {
+  if (reject_requests_ || full) {
     RefuseNotRun(exchange, http_status::kUnavailable);
     return;
   }
@@ -94,28 +95,28 @@
   Run(exchange);
 }
 
-void UpstreamStandIn::Act(const HttpExchangePtr& exchange,
-                          const UpstreamAction& act) {
-  if (act.kind != UpstreamAction::Kind::kReject) {
-    const bool held = std::exchange(hold_, true);
+void UpstreamStandIn::PerformAction(const HttpExchangePtr& exchange,
+                                    const UpstreamAction& action) {
+  if (action.kind != UpstreamAction::Kind::kReject) {
+    const bool held = std::exchange(hold_answers_, true);
     Begin(exchange);
-    hold_ = held;
+    hold_answers_ = held;
   }
-  if (act.kind == UpstreamAction::Kind::kNeverAnswer) {
+  if (action.kind == UpstreamAction::Kind::kNeverAnswer) {
     return;
   }
-  auto timer = std::make_shared<boost::asio::steady_timer>(loop_, act.delay);
+  auto timer = std::make_shared<boost::asio::steady_timer>(loop_, action.delay);
   timer->async_wait([this, timer, exchange,
-                     kind = act.kind](const boost::system::error_code&) {
+                     kind = action.kind](const boost::system::error_code&) {
     if (exchange->IsOpen()) {
-      EndAct(exchange, kind);
+      FinishAction(exchange, kind);
     }
   });
 }
 
-void UpstreamStandIn::EndAct(const HttpExchangePtr& exchange,
-                             UpstreamAction::Kind kind) {
-  std::erase(held_, exchange);
+void UpstreamStandIn::FinishAction(const HttpExchangePtr& exchange,
+                                   UpstreamAction::Kind kind) {
+  std::erase(held_exchanges_, exchange);
   if (kind == UpstreamAction::Kind::kReject) {
     RefuseNotRun(exchange, http_status::kUnavailable);
   } else if (kind == UpstreamAction::Kind::kDisconnect) {
@@ -127,11 +128,11 @@
 }
 
 void UpstreamStandIn::WatchDeadline(const HttpExchangePtr& exchange) {
-  const auto told = CallerTimeout(options_.headers, exchange->request());
-  if (!told) {
+  const auto timeout = CallerTimeout(options_.headers, exchange->request());
+  if (!timeout) {
     return;
   }
-  auto timer = std::make_shared<boost::asio::steady_timer>(loop_, *told);
+  auto timer = std::make_shared<boost::asio::steady_timer>(loop_, *timeout);
   timer->async_wait([this, timer, exchange](const boost::system::error_code&) {
     OnDeadline(exchange);
   });
@@ -145,19 +146,21 @@
     RefuseNotRun(exchange, http_status::kUnavailable);
     return;
   }
-  std::erase(held_, exchange);
+  std::erase(held_exchanges_, exchange);
   HttpResponse response =
       TextResponse(http_status::kGatewayTimeout, "ended at its deadline\n");
   const HeaderNames& names = options_.headers;
   response.headers.push_back(
-      {names.request_id, Field(exchange, names.request_id)});
+      {names.request_id, HeaderValue(exchange, names.request_id)});
   exchange->Respond(std::move(response));
   End();
 }
 
-bool UpstreamStandIn::IsForAnother(const HttpExchangePtr& exchange) const {
-  const std::string wanted = Field(exchange, options_.headers.expect_upstream);
-  return !wanted.empty() && wanted != options_.id;
+bool UpstreamStandIn::IsForOtherUpstream(
+    const HttpExchangePtr& exchange) const {
+  const std::string expected_id =
+      HeaderValue(exchange, options_.headers.expect_upstream);
+  return !expected_id.empty() && expected_id != options_.id;
 }
 
 void UpstreamStandIn::RefuseNotRun(const HttpExchangePtr& exchange,
@@ -179,25 +182,26 @@
 
 void UpstreamStandIn::Begin(const HttpExchangePtr& exchange) {
   ++ledger_.runs;
-  ++ledger_.runs_by_id[Field(exchange, "X-Run-Id")];
-  const std::string key = Field(exchange, "Idempotency-Key");
+  ++ledger_.runs_by_id[HeaderValue(exchange, "X-Run-Id")];
+  const std::string key = HeaderValue(exchange, "Idempotency-Key");
   if (!key.empty()) {
     ++ledger_.runs_by_key[key];
   }
-  ++ledger_.runs_by_account[Field(exchange, options_.headers.account)];
+  ++ledger_.runs_by_account[HeaderValue(exchange, options_.headers.account)];
   ledger_.requests_with_authorization +=
-      Field(exchange, "Authorization").empty() ? 0 : 1;
-  CountSlots();
+      HeaderValue(exchange, "Authorization").empty() ? 0 : 1;
+  UpdateSlotSeconds();
   ++in_flight_;
   ledger_.peak_in_flight = std::max(ledger_.peak_in_flight, in_flight_);
   exchange->OnAbandoned([this] { End(); });
-  if (exchange->request().target == fatal_target_) {
-    // Not inside the server's own callback.
+  if (exchange->request().target == crash_target_) {
+    // Posted, because Crash() destroys the server, which is still running this
+    // callback.
     boost::asio::post(loop_, [this] { Crash(); });
     return;
   }
-  if (hold_) {
-    held_.push_back(exchange);
+  if (hold_answers_) {
+    held_exchanges_.push_back(exchange);
     return;
   }
   std::exponential_distribution<double> draw(1.0);
@@ -210,15 +214,16 @@
   });
 }
 
-void UpstreamStandIn::CountSlots() {
+void UpstreamStandIn::UpdateSlotSeconds() {
   const Time now = BootClock::now();
   ledger_.slot_seconds +=
-      in_flight_ * std::chrono::duration<double>(now - counted_).count();
-  counted_ = now;
+      in_flight_ *
+      std::chrono::duration<double>(now - slot_seconds_until_).count();
+  slot_seconds_until_ = now;
 }
 
 void UpstreamStandIn::End() {
-  CountSlots();
+  UpdateSlotSeconds();
   --in_flight_;
   while (!queue_.empty() && in_flight_ < options_.slots) {
     const HttpExchangePtr next = queue_.front();
@@ -230,18 +235,20 @@
 }
 
 void UpstreamStandIn::ReleaseAnswer(std::size_t index) {
-  const HttpExchangePtr exchange = held_.at(index);
-  held_.erase(held_.begin() + static_cast<std::ptrdiff_t>(index));
+  const HttpExchangePtr exchange = held_exchanges_.at(index);
+  held_exchanges_.erase(held_exchanges_.begin() +
+                        static_cast<std::ptrdiff_t>(index));
   Answer(exchange);
 }
 
 void UpstreamStandIn::ReleaseAnswerOfRun(const std::string& run_id) {
-  const auto found = std::find_if(
-      held_.begin(), held_.end(), [&run_id](const HttpExchangePtr& exchange) {
-        return Field(exchange, "X-Run-Id") == run_id;
-      });
-  if (found != held_.end()) {
-    ReleaseAnswer(static_cast<std::size_t>(found - held_.begin()));
+  const auto found =
+      std::find_if(held_exchanges_.begin(), held_exchanges_.end(),
+                   [&run_id](const HttpExchangePtr& exchange) {
+                     return HeaderValue(exchange, "X-Run-Id") == run_id;
+                   });
+  if (found != held_exchanges_.end()) {
+    ReleaseAnswer(static_cast<std::size_t>(found - held_exchanges_.begin()));
   }
 }
 
@@ -251,17 +258,18 @@
   }
   const HttpRequest& request = exchange->request();
   HttpResponse response = TextResponse(
-      http_status::kOk, ExpectedAnswer(Field(exchange, "X-Run-Id"),
+      http_status::kOk, ExpectedAnswer(HeaderValue(exchange, "X-Run-Id"),
                                        request.target, request.body));
   const HeaderNames& names = options_.headers;
-  const std::string id = Field(exchange, names.request_id);
-  const bool stranger = spoilt_ == AnswerCorruption::kWrongRequestId;
-  response.headers.push_back({names.request_id, stranger ? "stranger" : id});
+  const std::string id = HeaderValue(exchange, names.request_id);
+  const bool wrong_id = corruption_ == AnswerCorruption::kWrongRequestId;
+  response.headers.push_back({names.request_id, wrong_id ? "stranger" : id});
   AddState(response);
-  if (!names.signature.empty() && spoilt_ != AnswerCorruption::kNoSignature) {
+  if (!names.signature.empty() &&
+      corruption_ != AnswerCorruption::kNoSignature) {
     response.headers.push_back({names.signature, "signed." + id});
   }
-  if (spoilt_ == AnswerCorruption::kNoAnswer) {
+  if (corruption_ == AnswerCorruption::kNoAnswer) {
     exchange->DropConnection();
   } else {
     exchange->Respond(std::move(response));
--- a/src/pathcleat/lab/virtual_scheduler.hpp
+++ b/src/pathcleat/lab/virtual_scheduler.hpp
@@ -10,39 +10,40 @@
 
 namespace pathcleat {
 
-/// @brief Runs steps in order of their virtual time.
+/// @brief Runs callbacks in order of their virtual time, and in the order in
+/// which they were scheduled where the times are equal.
 /// @ingroup lab
 class VirtualScheduler {
  public:
   Time now() const { return now_; }
 
-  void ScheduleAt(Time time, std::function<void()> step) {
-    steps_.push({time, next_++, std::move(step)});
+  void ScheduleAt(Time time, std::function<void()> callback) {
+    entries_.push({time, next_number_++, std::move(callback)});
   }
-  void ScheduleAfter(Duration wait, std::function<void()> step) {
-    ScheduleAt(now_ + wait, std::move(step));
+  void ScheduleAfter(Duration delay, std::function<void()> callback) {
+    ScheduleAt(now_ + delay, std::move(callback));
   }
   void Run() {
-    while (!steps_.empty()) {
-      const Step step = steps_.top();
-      steps_.pop();
-      now_ = step.time;
-      step.run();
+    while (!entries_.empty()) {
+      const Entry entry = entries_.top();
+      entries_.pop();
+      now_ = entry.time;
+      entry.run();
     }
   }
 
  private:
-  struct Step {
+  struct Entry {
     Time time;
     std::uint64_t number;
     std::function<void()> run;
-    bool operator<(const Step& other) const {
+    bool operator<(const Entry& other) const {
       return time != other.time ? time > other.time : number > other.number;
     }
   };
-  std::priority_queue<Step> steps_;
+  std::priority_queue<Entry> entries_;
   Time now_{Duration(1'000'000)};
-  std::uint64_t next_ = 0;
+  std::uint64_t next_number_ = 0;
 };
 
 }  // namespace pathcleat
