--- a/src/pathcleat/lab/metrics_test.cpp
+++ b/src/pathcleat/lab/metrics_test.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-// What monitoring systems read of a host.
+// The metrics page of a host, as monitoring systems read it.
 
 #include "test_cluster.hpp"
 
@@ -9,40 +9,42 @@
 namespace pathcleat {
 namespace {
 
-bool Has(const std::string& text, const std::string& part) {
+bool Contains(const std::string& text, const std::string& part) {
   return text.find(part) != std::string::npos;
 }
 
 Test(metrics, page_counts_requests_refusals_and_calls_to_the_store) {
-  TestCluster world;
-  world.StartAll();
-  world.Get(0, "r1");
-  world.Get(0, "r2");
-  world.ForEachUpstream([](UpstreamStandIn& u) { u.RejectRequests(true); });
-  world.Post(0, "r3");
-  const std::string page = world.FetchMetrics(0).response.body;
-  cr_assert(Has(page,
-                "pathcleat_requests_total{route=\"read\",outcome="
-                "\"answered\"} 2\n"));
-  cr_assert(Has(page,
-                "pathcleat_requests_total{route=\"write\",outcome="
-                "\"not-run\"} 1\n"));
-  cr_assert(Has(page,
-                "pathcleat_request_duration_seconds_count{route="
-                "\"read\"} 2\n"));
-  cr_assert(Has(page, "pathcleat_refusals_total{reason=\"no_upstream\"} 1\n"));
-  cr_assert(Has(page, "pathcleat_config_version 1\n"));
-  cr_assert(Has(page, "pathcleat_hosts_alive 2\n"));
-  cr_assert(Has(page, "pathcleat_store_calls_total{call="));
-  cr_assert(Has(page, "pathcleat_upstreams{state=\"listed\"} 2\n"));
+  TestCluster cluster;
+  cluster.StartAll();
+  cluster.Get(0, "r1");
+  cluster.Get(0, "r2");
+  cluster.ForEachUpstream([](UpstreamStandIn& u) { u.RejectRequests(true); });
+  cluster.Post(0, "r3");
+  const std::string page = cluster.FetchMetrics(0).response.body;
+  cr_assert(Contains(page,
+                     "pathcleat_requests_total{route=\"read\",outcome="
+                     "\"answered\"} 2\n"));
+  cr_assert(Contains(page,
+                     "pathcleat_requests_total{route=\"write\",outcome="
+                     "\"not-run\"} 1\n"));
+  cr_assert(Contains(page,
+                     "pathcleat_request_duration_seconds_count{route="
+                     "\"read\"} 2\n"));
+  cr_assert(
+      Contains(page, "pathcleat_refusals_total{reason=\"no_upstream\"} 1\n"));
+  cr_assert(Contains(page, "pathcleat_config_version 1\n"));
+  cr_assert(Contains(page, "pathcleat_hosts_alive 2\n"));
+  cr_assert(Contains(page, "pathcleat_store_calls_total{call="));
+  cr_assert(Contains(page, "pathcleat_upstreams{state=\"listed\"} 2\n"));
 }
 
-// Each sample belongs to a family that was named before it, and to one only.
-Test(metrics, page_names_each_family_once_before_its_samples) {
-  TestCluster world;
-  world.StartAll();
-  world.Get(0, "r1");
-  std::istringstream page(world.FetchMetrics(0).response.body);
+// Monitoring systems reject a page that names a metric family twice or has a
+// sample without the TYPE line of its family before it.
+Test(metrics, page_has_each_family_once_before_its_samples) {
+  TestCluster cluster;
+  cluster.StartAll();
+  cluster.Get(0, "r1");
+  std::istringstream page(cluster.FetchMetrics(0).response.body);
   std::set<std::string> families;
   std::string family;
   for (std::string line; std::getline(page, line);) {
--- a/src/pathcleat/lab/refusal_test.cpp
+++ b/src/pathcleat/lab/refusal_test.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-// What refused callers are told, over the whole path.
+// Retry-After of refusals, over the whole path.
 
 #include <cstdlib>
 
@@ -8,9 +8,10 @@
 namespace pathcleat {
 namespace {
 
-constexpr int kHeededPart = 3;
+// Callers follow a Retry-After of up to a third of their remaining time.
+constexpr int kRetryAfterDivisor = 3;
 
-HttpRequest Waiting(HttpRequest request, int deadline_ms) {
+HttpRequest WithDeadline(HttpRequest request, int deadline_ms) {
   request.headers.push_back({platform::PlatformHeaderNames().deadline_ms,
                              std::to_string(deadline_ms)});
   return request;
@@ -18,86 +19,93 @@
 
 int RetryAfterMs(const CallResult& result) {
   const auto text = FindHeader(result.response.headers, "Retry-After");
-  cr_assert(text.has_value(), "a refusal says when to come back");
+  cr_assert(text.has_value(), "a refusal lacks Retry-After");
   constexpr double kMillis = 1e3;
   return static_cast<int>(std::atof(text->c_str()) * kMillis);
 }
 
-// Checked to fail with the constant of 250 ms in Call::RetryOrGiveUp.
-Test(refusals, nobody_is_told_to_come_later_than_it_heeds) {
-  TestCluster world;
-  world.StartAll();
-  world.ForEachUpstream([](UpstreamStandIn& u) { u.RejectRequests(true); });
+// Callers ignore a Retry-After of more than a third of their deadline. Fails
+// with a constant of 250 ms in RequestHandler::RetryOrGiveUp.
+Test(refusals, retry_after_is_at_most_a_third_of_the_deadline) {
+  TestCluster cluster;
+  cluster.StartAll();
+  cluster.ForEachUpstream([](UpstreamStandIn& u) { u.RejectRequests(true); });
   const std::string host =
-      world.address() + ":" + std::to_string(world.CallerPort(0));
+      cluster.address() + ":" + std::to_string(cluster.CallerPort(0));
   constexpr int kDeadlineMs = 600;
   for (int i = 0; i < 4; ++i) {
-    const CallResult result = world.SendAndWait(
-        host, Waiting(world.PostRequest("r" + std::to_string(i)), kDeadlineMs));
+    const CallResult result = cluster.SendAndWait(
+        host, WithDeadline(cluster.PostRequest("r" + std::to_string(i)),
+                           kDeadlineMs));
     cr_assert_eq(result.response.status, http_status::kUnavailable);
-    cr_assert_leq(RetryAfterMs(result), kDeadlineMs / kHeededPart);
+    cr_assert_leq(RetryAfterMs(result), kDeadlineMs / kRetryAfterDivisor);
   }
 }
 
-// A host that knows no configuration yet. Checked to fail with the constant
-// of 0.3 s in Gateway::HandleCaller.
-Test(refusals, host_without_configuration_tells_the_last_useful_moment) {
+// A host without a configuration asks its callers to return at the last time at
+// which they still follow Retry-After. Fails with a constant of 0.3 s in
+// Gateway::HandleCaller.
+Test(refusals, host_without_configuration_sends_the_latest_retry_after) {
   TestClusterPlan plan;
   plan.hosts_in_domain = {1};
-  TestCluster world(plan);
-  platform::StandInFaults away;
-  away.forced_status = http_status::kUnavailable;
-  world.platform().SetFaults(away);
-  world.StartHost(0);
+  TestCluster cluster(plan);
+  platform::StandInFaults unavailable;
+  unavailable.forced_status = http_status::kUnavailable;
+  cluster.platform().SetFaults(unavailable);
+  cluster.StartHost(0);
   const std::string host =
-      world.address() + ":" + std::to_string(world.CallerPort(0));
+      cluster.address() + ":" + std::to_string(cluster.CallerPort(0));
   constexpr int kDeadlineMs = 600;
-  const CallResult result =
-      world.SendAndWait(host, Waiting(world.GetRequest("early"), kDeadlineMs));
+  const CallResult result = cluster.SendAndWait(
+      host, WithDeadline(cluster.GetRequest("early"), kDeadlineMs));
   cr_assert_eq(result.response.status, http_status::kUnavailable);
-  cr_assert_eq(RetryAfterMs(result), kDeadlineMs / kHeededPart);
-  // Its readiness is asked for by schedule: nothing to tell.
+  cr_assert_eq(RetryAfterMs(result), kDeadlineMs / kRetryAfterDivisor);
+  // Readiness is polled at a fixed interval, so it needs no Retry-After.
   cr_assert(
-      !FindHeader(world.QueryReadiness(0).response.headers, "Retry-After"));
+      !FindHeader(cluster.QueryReadiness(0).response.headers, "Retry-After"));
 }
 
-// All hosts of a fleet start while there is no configuration: each named the
-// others, and callers went round at once, without end. Checked to fail with
-// Alive() > 1 in Gateway::ReturnUnloaded.
-Test(refusals, hosts_that_all_lack_a_configuration_do_not_name_each_other) {
-  TestCluster world;
-  world.platform().PutRaw("op", "config", "none yet");
-  world.StartHost(0);
-  world.StartHost(1);
-  cr_assert(world.Await([&] {
-    return world.host(0).state().hosts.AliveCount(BootClock::now()) == 2;
+// Guards against callers that go from host to host without end, because all
+// hosts start without a configuration and each sends its callers to the others
+// at once. Fails with AliveCount() > 1 as the condition in
+// Gateway::ReturnUnloaded.
+Test(refusals,
+     hosts_that_all_lack_a_configuration_send_no_caller_to_each_other) {
+  TestCluster cluster;
+  cluster.platform().PutRaw("op", "config", "none yet");
+  cluster.StartHost(0);
+  cluster.StartHost(1);
+  cr_assert(cluster.Await([&] {
+    return cluster.host(0).state().hosts.AliveCount(BootClock::now()) == 2;
   }));
   const std::string host =
-      world.address() + ":" + std::to_string(world.CallerPort(0));
+      cluster.address() + ":" + std::to_string(cluster.CallerPort(0));
   constexpr int kDeadlineMs = 600;
-  const auto told = [&](const std::string& run_id) {
-    const CallResult result =
-        world.SendAndWait(host, Waiting(world.GetRequest(run_id), kDeadlineMs));
+  const auto retry_after = [&](const std::string& run_id) {
+    const CallResult result = cluster.SendAndWait(
+        host, WithDeadline(cluster.GetRequest(run_id), kDeadlineMs));
     cr_assert_eq(result.response.status, http_status::kUnavailable);
     return RetryAfterMs(result);
   };
-  cr_assert_eq(told("early"), kDeadlineMs / kHeededPart);
+  cr_assert_eq(retry_after("early"), kDeadlineMs / kRetryAfterDivisor);
 }
 
-// Checked to fail with the constant of 1 s in KeyGuard: callers cut it.
-Test(refusals, keyed_work_without_a_store_returns_while_it_can_be_served) {
-  TestCluster world;
-  world.StartAll();
-  platform::StandInFaults away;
-  away.forced_status = http_status::kUnavailable;
-  world.platform().SetFaults(away);
+// A keyed request that is refused because the store is down must return while
+// it can still be served. Fails with a constant of 1 s in IdempotencyGuard:
+// callers shorten such a wait.
+Test(refusals, keyed_request_without_a_store_retries_while_it_can_be_served) {
+  TestCluster cluster;
+  cluster.StartAll();
+  platform::StandInFaults unavailable;
+  unavailable.forced_status = http_status::kUnavailable;
+  cluster.platform().SetFaults(unavailable);
   const std::string host =
-      world.address() + ":" + std::to_string(world.CallerPort(0));
+      cluster.address() + ":" + std::to_string(cluster.CallerPort(0));
   constexpr int kDeadlineMs = 900;
-  const CallResult result = world.SendAndWait(
-      host, Waiting(world.PostRequest("k", "key"), kDeadlineMs));
+  const CallResult result = cluster.SendAndWait(
+      host, WithDeadline(cluster.PostRequest("k", "key"), kDeadlineMs));
   cr_assert_eq(result.response.status, http_status::kUnavailable);
-  cr_assert_leq(RetryAfterMs(result), kDeadlineMs / kHeededPart);
+  cr_assert_leq(RetryAfterMs(result), kDeadlineMs / kRetryAfterDivisor);
 }
 
 }  // namespace
--- a/src/pathcleat/lab/rollout_path_test.cpp
+++ b/src/pathcleat/lab/rollout_path_test.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-// Version rollouts on the whole path: hosts, the store's rows and upstreams.
+// Version rollouts over the whole path: hosts, rows of the store and upstreams.
 
 #include "test_cluster.hpp"
 
@@ -9,48 +9,50 @@
 namespace {
 
 constexpr std::size_t kHosts = 2;
-// At 340 requests a second, 27 of them tried, 150 answers take 6 s.
-constexpr Duration kAllowed{14'000'000};
+// At 340 requests a second, of which 27 are sent to the new version, its 150
+// answers take 6 s.
+constexpr Duration kRolloutTimeout{14'000'000};
 
-// A world of four upstreams; the last two run version "v2".
-class RolloutWorld {
+// A cluster of four upstreams, of which the last two run version "v2".
+class RolloutFixture {
  public:
-  RolloutWorld() : world(PlanOf()) {
-    for (std::size_t i = 0; i < world.upstream_count(); ++i) {
-      Put(i, i < world.upstream_count() / 2 ? "v1" : "v2");
+  RolloutFixture() : cluster(PlanOf()) {
+    for (std::size_t i = 0; i < cluster.upstream_count(); ++i) {
+      Put(i, i < cluster.upstream_count() / 2 ? "v1" : "v2");
     }
-    world.platform().PutRollout({"s", "v2", kAllowed, 0});
-    world.StartAll();
+    cluster.platform().PutRollout({"s", "v2", kRolloutTimeout, 0});
+    cluster.StartAll();
   }
 
   std::string Status() {
-    const auto row = world.platform().ValueOf("status", "rollout/s");
+    const auto row = cluster.platform().ValueOf("status", "rollout/s");
     return row ? nlohmann::json::parse(*row).value("State", "") : "";
   }
 
-  int RunsOf(bool fresh) {
+  int RunsOf(bool new_version) {
     int runs = 0;
-    for (std::size_t i = 0; i < world.upstream_count(); ++i) {
-      const bool is_fresh = i >= world.upstream_count() / 2;
-      runs += is_fresh == fresh ? world.upstream(i).ledger().runs : 0;
+    for (std::size_t i = 0; i < cluster.upstream_count(); ++i) {
+      const bool is_new_version = i >= cluster.upstream_count() / 2;
+      runs +=
+          is_new_version == new_version ? cluster.upstream(i).ledger().runs : 0;
     }
     return runs;
   }
 
-  // Sends requests until the status is this one, or a final one.
-  bool AskUntil(const std::string& status) {
+  // Sends requests until the rollout has this status or a final one.
+  bool SendUntil(const std::string& status) {
     const auto is_over = [&] {
       const std::string now = Status();
       return now == status || now == "completed" || now == "rolled_back";
     };
     for (int i = 0; !is_over(); ++i) {
-      world.Get(static_cast<std::size_t>(i) % kHosts,
-                "r" + std::to_string(next_++));
+      cluster.Get(static_cast<std::size_t>(i) % kHosts,
+                  "r" + std::to_string(next_++));
     }
     return Status() == status;
   }
 
-  TestCluster world;
+  TestCluster cluster;
 
  private:
   static TestClusterPlan PlanOf() {
@@ -61,74 +63,76 @@
   }
 
   void Put(std::size_t i, const std::string& version) {
-    UpstreamInfo info = world.upstream_info(i);
+    UpstreamInfo info = cluster.upstream_info(i);
     info.version = version;
-    world.platform().PutUpstream(info);
+    cluster.platform().PutUpstream(info);
   }
 
   int next_ = 0;
 };
 
 Test(rollout_path, good_version_gets_a_share_and_then_all) {
-  RolloutWorld rollout;
-  cr_assert(rollout.AskUntil("running"));
-  cr_assert(rollout.AskUntil("completed"));
+  RolloutFixture rollout;
+  cr_assert(rollout.SendUntil("running"));
+  cr_assert(rollout.SendUntil("completed"));
   const int old_runs = rollout.RunsOf(false);
-  const int fresh_runs = rollout.RunsOf(true);
-  cr_assert_gt(old_runs, fresh_runs);
+  const int new_runs = rollout.RunsOf(true);
+  cr_assert_gt(old_runs, new_runs);
   for (int i = 0; i < 20; ++i) {
-    rollout.world.Get(0, "after-" + std::to_string(i));
+    rollout.cluster.Get(0, "after-" + std::to_string(i));
   }
   cr_assert_eq(rollout.RunsOf(false), old_runs);
 }
 
-// Promise: a version in doubt is taken back, and nothing more goes there.
-Test(rollout_path, version_that_loses_answers_is_taken_back) {
-  constexpr int kMostBad = 50;
-  RolloutWorld rollout;
-  rollout.world.upstream(2).CorruptAnswers(AnswerCorruption::kNoAnswer);
-  rollout.world.upstream(3).CorruptAnswers(AnswerCorruption::kNoAnswer);
-  cr_assert(rollout.AskUntil("rolled_back"));
-  const int fresh_runs = rollout.RunsOf(true);
-  cr_assert_leq(fresh_runs, kMostBad);
+// Promise: a version that fails is rolled back and receives no more requests.
+Test(rollout_path, version_that_loses_answers_is_rolled_back) {
+  constexpr int kMaxBadRuns = 50;
+  RolloutFixture rollout;
+  rollout.cluster.upstream(2).CorruptAnswers(AnswerCorruption::kNoAnswer);
+  rollout.cluster.upstream(3).CorruptAnswers(AnswerCorruption::kNoAnswer);
+  cr_assert(rollout.SendUntil("rolled_back"));
+  const int new_runs = rollout.RunsOf(true);
+  cr_assert_leq(new_runs, kMaxBadRuns);
   for (int i = 0; i < 20; ++i) {
     cr_assert_eq(
-        rollout.world.Get(0, "after-" + std::to_string(i)).response.status,
+        rollout.cluster.Get(0, "after-" + std::to_string(i)).response.status,
         http_status::kOk);
   }
-  cr_assert_eq(rollout.RunsOf(true), fresh_runs);
+  cr_assert_eq(rollout.RunsOf(true), new_runs);
 }
 
-Test(rollout_path, operators_take_a_version_back_and_see_it) {
-  RolloutWorld rollout;
-  cr_assert(rollout.AskUntil("running"));
-  const auto shown = rollout.world.RunCommand(0, "show rollouts").response.body;
+Test(rollout_path, operators_roll_a_version_back_and_see_its_status) {
+  RolloutFixture rollout;
+  cr_assert(rollout.SendUntil("running"));
+  const auto shown =
+      rollout.cluster.RunCommand(0, "show rollouts").response.body;
   cr_assert(shown.starts_with("s to v2: running"));
-  cr_assert_eq(rollout.world.RunCommand(0, "roll back s").response.status,
+  cr_assert_eq(rollout.cluster.RunCommand(0, "roll back s").response.status,
                http_status::kOk);
-  cr_assert(rollout.AskUntil("rolled_back"));
+  cr_assert(rollout.SendUntil("rolled_back"));
 }
 
-Test(rollout_path, order_that_is_withdrawn_is_taken_back) {
-  RolloutWorld rollout;
-  cr_assert(rollout.AskUntil("running"));
-  rollout.world.platform().WithdrawRollout("s");
-  cr_assert(rollout.AskUntil("rolled_back"));
+Test(rollout_path, withdrawn_order_is_rolled_back) {
+  RolloutFixture rollout;
+  cr_assert(rollout.SendUntil("running"));
+  rollout.cluster.platform().WithdrawRollout("s");
+  cr_assert(rollout.SendUntil("rolled_back"));
 }
 
-// The decision is durable: hosts that start anew go on from it.
-Test(promise, finished_rollout_stays_so_for_hosts_that_start_again) {
-  RolloutWorld rollout;
-  cr_assert(rollout.AskUntil("running"));
-  rollout.world.RunCommand(0, "roll back s");
-  cr_assert(rollout.AskUntil("rolled_back"));
-  const int fresh_runs = rollout.RunsOf(true);
-  rollout.world.StartHost(0);
-  cr_assert(rollout.world.Await([&] { return rollout.world.AreAllReady(); }));
+// The result of a rollout is stored, so hosts that restart continue with it.
+Test(promise, finished_rollout_stays_finished_for_restarted_hosts) {
+  RolloutFixture rollout;
+  cr_assert(rollout.SendUntil("running"));
+  rollout.cluster.RunCommand(0, "roll back s");
+  cr_assert(rollout.SendUntil("rolled_back"));
+  const int new_runs = rollout.RunsOf(true);
+  rollout.cluster.StartHost(0);
+  cr_assert(
+      rollout.cluster.Await([&] { return rollout.cluster.AreAllReady(); }));
   for (int i = 0; i < 20; ++i) {
-    rollout.world.Get(0, "after-" + std::to_string(i));
+    rollout.cluster.Get(0, "after-" + std::to_string(i));
   }
-  cr_assert_eq(rollout.RunsOf(true), fresh_runs);
+  cr_assert_eq(rollout.RunsOf(true), new_runs);
   cr_assert_str_eq(rollout.Status().c_str(), "rolled_back");
 }
 
--- a/src/pathcleat/lab/store_faults_test.cpp
+++ b/src/pathcleat/lab/store_faults_test.cpp
@@ -1,5 +1,6 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-// What must hold when the platform's store is away, wrong or forgetful.
+// The store of the platform is unavailable, holds invalid rows or has lost its
+// history.
 
 #include "test_cluster.hpp"
 
@@ -8,54 +9,56 @@
 namespace pathcleat {
 namespace {
 
-Test(faults, unreadable_rows_are_named_and_change_nothing) {
-  TestCluster world;
-  world.StartAll();
-  world.platform().PutRaw("op", "config", "{\"Version\": \"nine");
-  world.platform().PutRaw("servers", "upstream-bad", "[]");
-  cr_assert(world.Await(
-      [&] { return world.HasEvent(0, EventCode::kSettingsFault); }));
-  cr_assert_eq(world.Get(0, "r1").response.status, http_status::kOk);
+Test(faults, unreadable_rows_are_reported_and_change_nothing) {
+  TestCluster cluster;
+  cluster.StartAll();
+  cluster.platform().PutRaw("op", "config", "{\"Version\": \"nine");
+  cluster.platform().PutRaw("servers", "upstream-bad", "[]");
+  cr_assert(cluster.Await(
+      [&] { return cluster.HasEvent(0, EventCode::kSettingsFault); }));
+  cr_assert_eq(cluster.Get(0, "r1").response.status, http_status::kOk);
 }
 
-Test(faults, changes_arrive_after_history_was_lost_and_store_was_away) {
-  TestCluster world;
-  world.StartAll();
-  platform::StandInFaults away;
-  away.forced_status = http_status::kUnavailable;
-  world.platform().SetFaults(away);
-  world.platform().ForgetHistory();
-  RoutingConfig newer = world.config();
-  newer.version = 2;
-  world.platform().PutConfig(newer);
-  world.platform().RemoveUpstream("upstream-0-0");
-  world.platform().ForgetHistory();
-  cr_assert_eq(world.Get(0, "r1").response.status, http_status::kOk);
-  world.platform().SetFaults({});
-  cr_assert(world.Await([&] {
-    return world.host(0).state().routes.version() == 2 &&
-           world.host(0).state().upstreams.size() == 1;
+Test(faults, changes_arrive_after_lost_history_and_an_outage) {
+  TestCluster cluster;
+  cluster.StartAll();
+  platform::StandInFaults faults;
+  faults.forced_status = http_status::kUnavailable;
+  cluster.platform().SetFaults(faults);
+  cluster.platform().ForgetHistory();
+  RoutingConfig new_config = cluster.config();
+  new_config.version = 2;
+  cluster.platform().PutConfig(new_config);
+  cluster.platform().RemoveUpstream("upstream-0-0");
+  cluster.platform().ForgetHistory();
+  cr_assert_eq(cluster.Get(0, "r1").response.status, http_status::kOk);
+  cluster.platform().SetFaults({});
+  cr_assert(cluster.Await([&] {
+    return cluster.host(0).state().routes.version() == 2 &&
+           cluster.host(0).state().upstreams.size() == 1;
   }));
 }
 
-// The platform turns one host away and serves the others: what they learn
-// reaches it. Checked to fail with snapshots_.Fetch taken out.
-Test(faults, host_turned_away_by_the_platform_follows_its_peers) {
-  TestCluster world;
-  world.StartAll();
-  platform::StandInFaults away;
-  away.rejected_addresses = {TestCluster::StoreClientAddress(1)};
-  world.platform().SetFaults(away);
-  RoutingConfig newer = world.config();
-  newer.version = 2;
-  world.platform().PutConfig(newer);
-  UpstreamInfo leaving = world.upstream_info(0);
+// The platform rejects one host and serves the others. The rejected host
+// receives changes from its peers. Fails without peers_.Fetch in
+// RelayedSource::FetchFromPeer.
+Test(faults, host_rejected_by_the_platform_follows_its_peers) {
+  TestCluster cluster;
+  cluster.StartAll();
+  platform::StandInFaults faults;
+  faults.rejected_addresses = {TestCluster::StoreClientAddress(1)};
+  cluster.platform().SetFaults(faults);
+  RoutingConfig new_config = cluster.config();
+  new_config.version = 2;
+  cluster.platform().PutConfig(new_config);
+  UpstreamInfo leaving = cluster.upstream_info(0);
   leaving.leaving = true;
-  world.platform().PutUpstream(leaving);
-  world.platform().SetDomainDrained("domain-0", true);
-  // The watches that wait at the platform may still have told one change.
-  cr_assert(world.Await([&] {
-    const GatewayState& state = world.host(1).state();
+  cluster.platform().PutUpstream(leaving);
+  cluster.platform().SetDomainDrained("domain-0", true);
+  // One change may still have arrived by watches that were open at the
+  // platform.
+  cr_assert(cluster.Await([&] {
+    const GatewayState& state = cluster.host(1).state();
     const auto all = state.upstreams.All();
     return state.routes.version() == 2 &&
            state.upstreams.drained_domains().contains("domain-0") &&
@@ -64,19 +67,19 @@
   }));
 }
 
-Test(faults, host_without_configuration_says_503_and_is_not_ready) {
-  TestCluster world;
-  platform::StandInFaults away;
-  away.unresponsive = true;
-  world.platform().SetFaults(away);
-  world.StartHost(0);
-  const CallResult get = world.Get(0, "r1");
+Test(faults, host_without_configuration_answers_503_and_is_not_ready) {
+  TestCluster cluster;
+  platform::StandInFaults faults;
+  faults.unresponsive = true;
+  cluster.platform().SetFaults(faults);
+  cluster.StartHost(0);
+  const CallResult get = cluster.Get(0, "r1");
   cr_assert_eq(get.response.status, http_status::kUnavailable);
-  cr_assert_eq(world.QueryReadiness(0).response.status,
+  cr_assert_eq(cluster.QueryReadiness(0).response.status,
                http_status::kUnavailable);
-  world.platform().SetFaults({});
-  cr_assert(world.Await([&] { return world.host(0).IsReady(); }));
-  cr_assert_eq(world.Get(0, "r2").response.status, http_status::kOk);
+  cluster.platform().SetFaults({});
+  cr_assert(cluster.Await([&] { return cluster.host(0).IsReady(); }));
+  cr_assert_eq(cluster.Get(0, "r2").response.status, http_status::kOk);
 }
 
 }  // namespace
--- a/src/pathcleat/lab/suspended_machine_test.cpp
+++ b/src/pathcleat/lab/suspended_machine_test.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-// The clock leaps while timers stand still, as on a machine that was suspended.
+// The clock advances while timers are stopped, as on a suspended machine.
 
 #include "raw_client.hpp"
 #include "test_cluster.hpp"
@@ -9,9 +9,9 @@
 
 constexpr std::size_t kHosts = 4;
 
-struct SuspendedWorld {
-  explicit SuspendedWorld(Duration timeout) : world(PlanOf(timeout)) {
-    world.StartAll();
+struct SuspensionFixture {
+  explicit SuspensionFixture(Duration timeout) : cluster(PlanOf(timeout)) {
+    cluster.StartAll();
   }
   static TestClusterPlan PlanOf(Duration timeout) {
     TestClusterPlan plan;
@@ -19,65 +19,68 @@
     plan.timeout = timeout;
     return plan;
   }
-  TestCluster world;
+  TestCluster cluster;
 };
 
-// Sends a request and waits until an upstream has it, which keeps its answer.
-void SendHeld(TestCluster& world, RawClient& caller) {
-  world.ForEachUpstream([](UpstreamStandIn& u) { u.HoldAnswers(); });
+// Sends a request and waits until an upstream runs it. The upstream holds back
+// its answer.
+void SendHeld(TestCluster& cluster, RawClient& caller) {
+  cluster.ForEachUpstream([](UpstreamStandIn& u) { u.HoldAnswers(); });
   caller.Send(
       "POST /s/write/entry HTTP/1.1\r\nHost: test.example\r\n"
       "X-Run-Id: r\r\nContent-Length: 0\r\n\r\n");
-  cr_assert(world.Await([&world] { return world.InFlight() == 1; }));
+  cr_assert(cluster.Await([&cluster] { return cluster.InFlight() == 1; }));
 }
 
-// Guards against callers that wait for their answer for as long again as their
-// deadline was away when the machine was suspended.
-Test(suspended_machine, requests_past_their_deadline_end_on_waking) {
-  SuspendedWorld suspended(Duration(60'000'000));
-  TestCluster& world = suspended.world;
-  RawClient caller(world.loop(), world.address(), world.CallerPort(0));
-  SendHeld(world, caller);
+// Guards against a deadline timer that stops while the machine is suspended:
+// callers would wait, after the machine resumes, for all the time that was left
+// to their deadline before.
+Test(suspended_machine, requests_past_their_deadline_end_on_resume) {
+  SuspensionFixture fixture(Duration(60'000'000));
+  TestCluster& cluster = fixture.cluster;
+  RawClient caller(cluster.loop(), cluster.address(), cluster.CallerPort(0));
+  SendHeld(cluster, caller);
   AdvanceBootClock(std::chrono::minutes(2));
-  cr_assert(world.Await([&caller] { return caller.HasReceived("504"); }));
-  cr_assert(world.HasEvent(0, EventCode::kHostStoodStill));
+  cr_assert(cluster.Await([&caller] { return caller.HasReceived("504"); }));
+  cr_assert(cluster.HasEvent(0, EventCode::kHostStoodStill));
 }
 
-// Guards against an answer that came while the machine was suspended and is
-// thrown away on waking.
-Test(suspended_machine, answer_that_is_there_on_waking_is_delivered) {
-  SuspendedWorld suspended(Duration(60'000'000));
-  TestCluster& world = suspended.world;
-  RawClient caller(world.loop(), world.address(), world.CallerPort(0));
-  SendHeld(world, caller);
+// Guards against an answer that arrived while the machine was suspended and is
+// dropped when the machine resumes.
+Test(suspended_machine, answer_that_arrived_meanwhile_is_delivered_on_resume) {
+  SuspensionFixture fixture(Duration(60'000'000));
+  TestCluster& cluster = fixture.cluster;
+  RawClient caller(cluster.loop(), cluster.address(), cluster.CallerPort(0));
+  SendHeld(cluster, caller);
   AdvanceBootClock(std::chrono::minutes(2));
-  world.ForEachUpstream([](UpstreamStandIn& u) { u.ReleaseAnswerOfRun("r"); });
-  cr_assert(world.Await([&caller] { return caller.HasReceived("end r"); }));
+  cluster.ForEachUpstream(
+      [](UpstreamStandIn& u) { u.ReleaseAnswerOfRun("r"); });
+  cr_assert(cluster.Await([&caller] { return caller.HasReceived("end r"); }));
 }
 
-// Guards against hosts that take each other for dead on waking, and against
-// watches that were lost meanwhile.
-Test(suspended_machine, hosts_know_each_other_and_hear_of_changes_on_waking) {
-  SuspendedWorld suspended(Duration(5'000'000));
-  TestCluster& world = suspended.world;
+// Guards against hosts that consider each other dead when the machine resumes,
+// and against watches that were lost while the machine was suspended.
+Test(suspended_machine, hosts_see_each_other_and_receive_changes_on_resume) {
+  SuspensionFixture fixture(Duration(5'000'000));
+  TestCluster& cluster = fixture.cluster;
   AdvanceBootClock(std::chrono::minutes(2));
-  RoutingConfig newer = world.config();
-  newer.version = 2;
-  world.platform().PutConfig(newer);
-  cr_assert(world.Await([&world] {
+  RoutingConfig new_config = cluster.config();
+  new_config.version = 2;
+  cluster.platform().PutConfig(new_config);
+  cr_assert(cluster.Await([&cluster] {
     for (std::size_t i = 0; i < kHosts; ++i) {
-      if (world.host(i).state().routes.version() != 2 ||
-          !world.HasEvent(i, EventCode::kHostStoodStill)) {
+      if (cluster.host(i).state().routes.version() != 2 ||
+          !cluster.HasEvent(i, EventCode::kHostStoodStill)) {
         return false;
       }
     }
-    return world.AreAllReady();
+    return cluster.AreAllReady();
   }));
   for (std::size_t i = 0; i < kHosts; ++i) {
-    cr_assert_not(world.HasEvent(i, EventCode::kPeerSilent));
-    cr_assert_not(world.HasEvent(i, EventCode::kPlatformDown));
+    cr_assert_not(cluster.HasEvent(i, EventCode::kPeerSilent));
+    cr_assert_not(cluster.HasEvent(i, EventCode::kPlatformDown));
   }
-  cr_assert_eq(world.Get(0, "r").response.status, http_status::kOk);
+  cr_assert_eq(cluster.Get(0, "r").response.status, http_status::kOk);
 }
 
 }  // namespace
--- a/src/pathcleat/lab/truthful_test.cpp
+++ b/src/pathcleat/lab/truthful_test.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-// What a refusal says is true, in whatever order things happen.
+// An answer "not run" is true in every order of events.
 
 #include "raw_client.hpp"
 #include "test_cluster.hpp"
@@ -14,13 +14,14 @@
 using std::chrono::milliseconds;
 using Kind = UpstreamAction::Kind;
 
-// What befalls the request besides, so long after it was taken.
+// An event during the request, at a given time after it was sent.
 enum class Event { kNothing, kHalfClose, kStop };
 
 struct Order {
   bool repeatable = true;
   milliseconds deadline{0};
-  std::vector<UpstreamAction> acts;  ///< by arrival, at whichever upstream
+  /// By order of arrival, at any upstream.
+  std::vector<UpstreamAction> actions;
   Event event = Event::kNothing;
   milliseconds event_after{0};
 };
@@ -30,19 +31,19 @@
       << order.deadline.count() << " ms, event "
       << static_cast<int>(order.event) << " after " << order.event_after.count()
       << " ms; acts";
-  for (const UpstreamAction& act : order.acts) {
-    out << " " << static_cast<int>(act.kind) << "@" << act.delay.count();
+  for (const UpstreamAction& action : order.actions) {
+    out << " " << static_cast<int>(action.kind) << "@" << action.delay.count();
   }
 }
 
-// At first hand, around the time at which a silent upstream is left (1 s),
+// At once, around the time at which a host gives up on a silent upstream (1 s),
 // and around the deadline.
 rc::Gen<milliseconds> Delays() {
   return rc::gen::element(milliseconds(0), milliseconds(30), milliseconds(970),
                           milliseconds(1'050), milliseconds(1'900));
 }
 
-rc::Gen<UpstreamAction> Acts() {
+rc::Gen<UpstreamAction> Actions() {
   const auto kinds = rc::gen::weightedElement<Kind>({{2, Kind::kAnswer},
                                                      {2, Kind::kDisconnect},
                                                      {3, Kind::kReject},
@@ -57,7 +58,8 @@
   order.repeatable = *rc::gen::weightedElement<bool>({{3, true}, {1, false}});
   order.deadline = *rc::gen::element(milliseconds(200), milliseconds(2'000),
                                      milliseconds(2'100));
-  order.acts = *rc::gen::container<std::vector<UpstreamAction>>(3, Acts());
+  order.actions =
+      *rc::gen::container<std::vector<UpstreamAction>>(3, Actions());
   order.event = *rc::gen::weightedElement<Event>(
       {{4, Event::kNothing}, {2, Event::kHalfClose}, {1, Event::kStop}});
   order.event_after = *Delays();
@@ -73,91 +75,94 @@
          std::to_string(order.deadline.count()) + "\r\n\r\n";
 }
 
-// Plays one order in a world of its own.
-// @return the status that the caller got.
-int Play(const Order& order) {
+// Runs one order of events in a new cluster.
+// @return the status that the caller received.
+int RunOrder(const Order& order) {
   TestClusterPlan plan;
   plan.hosts_in_domain = {1};
-  TestCluster world(plan);
-  world.StartAll();
+  TestCluster cluster(plan);
+  cluster.StartAll();
   std::size_t arrivals = 0;
-  world.ForEachUpstream([&](UpstreamStandIn& upstream) {
-    upstream.SetActionChooser([&] { return order.acts.at(arrivals++); });
+  cluster.ForEachUpstream([&](UpstreamStandIn& upstream) {
+    upstream.SetActionChooser([&] { return order.actions.at(arrivals++); });
   });
-  RawClient caller(world.loop(), world.address(), world.CallerPort(0));
+  RawClient caller(cluster.loop(), cluster.address(), cluster.CallerPort(0));
   caller.Send(TextOf(order));
-  boost::asio::steady_timer timer(world.loop(), order.event_after);
+  boost::asio::steady_timer timer(cluster.loop(), order.event_after);
   timer.async_wait([&](const boost::system::error_code& error) {
     if (!error && order.event == Event::kHalfClose) {
       caller.HalfClose();
     } else if (!error && order.event == Event::kStop) {
-      world.host(0).Stop([] {});
+      cluster.host(0).Stop([] {});
     }
   });
-  RC_ASSERT(world.Await([&] { return caller.IsClosed(); }));
-  RC_ASSERT(
-      world.Await([&] { return world.host(0).state().in_flight_count == 0; }));
+  RC_ASSERT(cluster.Await([&] { return caller.IsClosed(); }));
+  RC_ASSERT(cluster.Await(
+      [&] { return cluster.host(0).state().in_flight_count == 0; }));
   timer.cancel();
-  world.PollEventLoop();
-  constexpr std::size_t kStatusAt = 9;
-  const int status = std::stoi(caller.received().substr(kStatusAt));
-  const bool promises = status == http_status::kRequestTimeout ||
-                        status == http_status::kMisdirected ||
-                        status == http_status::kTooManyRequests ||
-                        status == http_status::kUnavailable;
-  RC_ASSERT(!(promises && world.RunsOf("r") > 0));
-  RC_ASSERT(promises == caller.HasReceived("Pathcleat-Outcome: not-run"));
+  cluster.PollEventLoop();
+  constexpr std::size_t kStatusOffset = 9;
+  const int status = std::stoi(caller.received().substr(kStatusOffset));
+  const bool says_not_run = status == http_status::kRequestTimeout ||
+                            status == http_status::kMisdirected ||
+                            status == http_status::kTooManyRequests ||
+                            status == http_status::kUnavailable;
+  RC_ASSERT(!(says_not_run && cluster.RunsOf("r") > 0));
+  RC_ASSERT(says_not_run == caller.HasReceived("Pathcleat-Outcome: not-run"));
   if (!order.repeatable) {
-    RC_ASSERT(world.RunsOf("r") <= 1);
+    RC_ASSERT(cluster.RunsOf("r") <= 1);
   }
   return status;
 }
 
-// Promise: "not run" is true, over orders of answers, breaks, refusals and
-// silence at upstreams, the caller's end, its deadline, a planned stop and
-// patience. Checked to fail with runs_.OnNotRun called in OnFailure.
-Test(promise, refusals_are_true_in_whatever_order_things_happen) {
+// Promise: "not run" is true, in all orders of answers, closed connections,
+// rejections and silence at upstreams, a half-close by the caller, its
+// deadline, a planned stop and the failover timeout. Fails with a call of
+// runs_.OnNotRun in RequestHandler::OnFailure.
+Test(promise, refusals_are_true_in_every_order_of_events) {
   std::map<int, int> statuses;
   cr_assert(Holds(
-      "no promise after a run", [&statuses] { ++statuses[Play(DrawOrder())]; },
-      60));
-  // All kinds of answers were reached.
+      "no promise after a run",
+      [&statuses] { ++statuses[RunOrder(DrawOrder())]; }, 60));
+  // The orders drawn have led to all kinds of answers.
   cr_assert_gt(statuses[http_status::kOk], 0);
   cr_assert_gt(statuses[http_status::kUnavailable], 0);
   cr_assert_gt(statuses[http_status::kBadGateway], 0);
   cr_assert_gt(statuses[http_status::kGatewayTimeout], 0);
 }
 
-// The same where the first upstream is silent and left for another. Checked to
-// fail with runs_.OnNotRun called in OnPatienceOver.
-Test(promise, refusals_are_true_after_a_silent_upstream_was_left) {
+// The same where the host gives up on a silent first upstream and sends the
+// request to another. Fails with a call of runs_.OnNotRun in
+// RequestHandler::OnPatienceOver.
+Test(promise, refusals_are_true_after_giving_up_on_a_silent_upstream) {
   cr_assert(Holds(
       "no promise after patience",
       [] {
         Order order;
         order.deadline =
             *rc::gen::element(milliseconds(2'000), milliseconds(2'200));
-        order.acts =
-            *rc::gen::container<std::vector<UpstreamAction>>(3, Acts());
-        order.acts[0] = {Kind::kAnswer, milliseconds(1'500)};
-        RC_ASSERT(Play(order) != http_status::kUnavailable);
+        order.actions =
+            *rc::gen::container<std::vector<UpstreamAction>>(3, Actions());
+        order.actions[0] = {Kind::kAnswer, milliseconds(1'500)};
+        RC_ASSERT(RunOrder(order) != http_status::kUnavailable);
       },
       12));
 }
 
-// The order seen from outside: a silent upstream is left, runs the request to
-// a good end, and nobody else takes it. Checked to fail, with 503, with
-// runs_.OnNotRun called in OnPatienceOver.
-Test(promise, lookup_that_left_a_silent_upstream_is_unknown) {
+// The host gives up on a silent upstream, which still runs the request
+// successfully, and all other upstreams reject it. Fails (503) with a call of
+// runs_.OnNotRun in RequestHandler::OnPatienceOver.
+Test(promise, lookup_sent_to_a_silent_upstream_is_unknown) {
   Order order;
-  // A host that is late by more than what is left after its patience stays.
+  // A long deadline: a host that is delayed by more than the time left after
+  // the failover timeout does not retry.
   order.deadline = milliseconds(5'000);
-  order.acts = {{Kind::kNeverAnswer, milliseconds(0)},
-                {Kind::kReject, milliseconds(0)},
-                {Kind::kReject, milliseconds(0)}};
+  order.actions = {{Kind::kNeverAnswer, milliseconds(0)},
+                   {Kind::kReject, milliseconds(0)},
+                   {Kind::kReject, milliseconds(0)}};
   cr_assert(Holds(
       "502 after patience",
-      [&order] { RC_ASSERT(Play(order) == http_status::kBadGateway); }, 1));
+      [&order] { RC_ASSERT(RunOrder(order) == http_status::kBadGateway); }, 1));
 }
 
 }  // namespace
--- a/src/pathcleat/lab/why_test.cpp
+++ b/src/pathcleat/lab/why_test.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-// A failed request's cause from the hosts' logs alone.
+// Diagnosis of a failed request from the logs of the hosts alone.
 
 #include "test_cluster.hpp"
 
@@ -13,7 +13,7 @@
 namespace pathcleat {
 namespace {
 
-// Keeps what all hosts of a test log, as a collector would.
+// Collects the log lines of all hosts of a test, as a log collector does.
 class Collector : public log4cplus::Appender {
  public:
   ~Collector() override { destructorImpl(); }
@@ -33,7 +33,7 @@
   }
   ~CollectedLogs() { log4cplus::Logger::getRoot().removeAppender(appender); }
 
-  RequestDiagnosis StoryOf(const std::string& run_id) const {
+  RequestDiagnosis Diagnose(const std::string& run_id) const {
     std::istringstream stream(collector->text);
     MergedLog log;
     ReadLog(stream, log);
@@ -45,7 +45,7 @@
   log4cplus::SharedAppenderPtr appender{collector};
 };
 
-bool Has(const std::string& text, const std::string& part) {
+bool Contains(const std::string& text, const std::string& part) {
   return text.find(part) != std::string::npos;
 }
 
@@ -54,68 +54,70 @@
   TestClusterPlan plan;
   plan.upstreams_in_domain = 1;
   plan.slots = 1;
-  TestCluster world(plan);
-  world.StartAll();
-  world.ForEachUpstream([](UpstreamStandIn& u) { u.HoldAnswers(); });
+  TestCluster cluster(plan);
+  cluster.StartAll();
+  cluster.ForEachUpstream([](UpstreamStandIn& u) { u.HoldAnswers(); });
   constexpr int kRequests = 40;
   std::vector<CallResult> results(kRequests);
   int ended = 0;
   std::vector<HttpClientPtr> clients;
   for (int i = 0; i < kRequests; ++i) {
     clients.push_back(std::make_shared<HttpClient>(
-        world.loop(),
-        *ParseTcpEndpoint(world.address() + ":" +
-                          std::to_string(world.CallerPort(0))),
+        cluster.loop(),
+        *ParseTcpEndpoint(cluster.address() + ":" +
+                          std::to_string(cluster.CallerPort(0))),
         HttpLimits()));
-    clients.back()->Send(world.PostRequest("r" + std::to_string(i)),
+    clients.back()->Send(cluster.PostRequest("r" + std::to_string(i)),
                          {std::chrono::seconds(60), std::chrono::seconds(60)},
                          [&, i](const CallResult& result) {
                            results[i] = result;
                            ++ended;
                          });
   }
-  cr_assert(world.Await([&] { return ended == kRequests; }));
+  cr_assert(cluster.Await([&] { return ended == kRequests; }));
   const auto refused = std::find_if(
       results.begin(), results.end(), [](const CallResult& result) {
         return result.response.status == http_status::kUnavailable;
       });
   cr_assert(refused != results.end());
   const auto index = refused - results.begin();
-  const RequestDiagnosis story = logs.StoryOf("r" + std::to_string(index));
-  cr_assert(story.causes[0].cause == RequestCause::kOverload);
-  cr_assert(Has(story.causes[0].explanation, "the best of 1 upstreams"));
-  cr_assert(Has(story.lines.front().name, "request-taken"));
+  const RequestDiagnosis diagnosis = logs.Diagnose("r" + std::to_string(index));
+  cr_assert(diagnosis.causes[0].cause == RequestCause::kOverload);
+  cr_assert(
+      Contains(diagnosis.causes[0].explanation, "the best of 1 upstreams"));
+  cr_assert(Contains(diagnosis.lines.front().name, "request-taken"));
 }
 
 Test(why, answer_lost_so_outcome_unknown) {
   const CollectedLogs logs;
-  TestCluster world;
-  world.StartAll();
-  world.ForEachUpstream([](UpstreamStandIn& u) {
+  TestCluster cluster;
+  cluster.StartAll();
+  cluster.ForEachUpstream([](UpstreamStandIn& u) {
     u.CorruptAnswers(AnswerCorruption::kNoAnswer);
   });
-  cr_assert_eq(world.Post(0, "r1").response.status, http_status::kBadGateway);
-  const RequestDiagnosis story = logs.StoryOf("r1");
-  cr_assert(story.causes[0].cause == RequestCause::kLostAnswer);
-  cr_assert(Has(story.causes[0].explanation, "sent to upstream-0-"));
+  cr_assert_eq(cluster.Post(0, "r1").response.status, http_status::kBadGateway);
+  const RequestDiagnosis diagnosis = logs.Diagnose("r1");
+  cr_assert(diagnosis.causes[0].cause == RequestCause::kLostAnswer);
+  cr_assert(Contains(diagnosis.causes[0].explanation, "sent to upstream-0-"));
 }
 
-// Host 0 is cut off: the store turns it away and no host hears it.
-struct CutOffWorld {
-  CutOffWorld() : world(Plan()) {
-    world.StartHost(0);
-    world.StartHost(1);
-    cr_assert(world.Await(
-        [this] { return world.host(0).IsReady() && world.host(1).IsReady(); }));
-    platform::StandInFaults away;
-    away.rejected_addresses = {TestCluster::StoreClientAddress(0)};
-    world.platform().SetFaults(away);
-    // What waits at the store already may still be told of one change.
+// Host 0 is isolated: the store rejects it, and no host receives its messages.
+struct IsolatedHostFixture {
+  IsolatedHostFixture() : cluster(Plan()) {
+    cluster.StartHost(0);
+    cluster.StartHost(1);
+    cr_assert(cluster.Await([this] {
+      return cluster.host(0).IsReady() && cluster.host(1).IsReady();
+    }));
+    platform::StandInFaults faults;
+    faults.rejected_addresses = {TestCluster::StoreClientAddress(0)};
+    cluster.platform().SetFaults(faults);
+    // Watches that are already open at the store may still deliver one change.
     PutVersion(2);
-    world.platform().PutUpstream(world.upstream_info(0));
-    cr_assert(world.Await([this] {
-      return world.HasEvent(0, EventCode::kPlatformDown) &&
-             world.host(1).state().routes.version() == 2;
+    cluster.platform().PutUpstream(cluster.upstream_info(0));
+    cr_assert(cluster.Await([this] {
+      return cluster.HasEvent(0, EventCode::kPlatformDown) &&
+             cluster.host(1).state().routes.version() == 2;
     }));
   }
 
@@ -127,47 +129,47 @@
   }
 
   void PutVersion(std::uint64_t version) {
-    RoutingConfig config = world.config();
+    RoutingConfig config = cluster.config();
     config.version = version;
-    world.platform().PutConfig(config);
+    cluster.platform().PutConfig(config);
   }
 
-  TestCluster world;
+  TestCluster cluster;
 };
 
 Test(why, handled_by_an_old_configuration) {
   const CollectedLogs logs;
-  CutOffWorld cut_off;
-  TestCluster& world = cut_off.world;
-  cut_off.PutVersion(3);
-  cr_assert(
-      world.Await([&] { return world.host(1).state().routes.version() == 3; }));
-  world.ForEachUpstream([](UpstreamStandIn& u) {
+  IsolatedHostFixture fixture;
+  TestCluster& cluster = fixture.cluster;
+  fixture.PutVersion(3);
+  cr_assert(cluster.Await(
+      [&] { return cluster.host(1).state().routes.version() == 3; }));
+  cluster.ForEachUpstream([](UpstreamStandIn& u) {
     u.CorruptAnswers(AnswerCorruption::kNoAnswer);
   });
-  world.Post(0, "r1");
-  const RequestDiagnosis story = logs.StoryOf("r1");
-  cr_assert(story.causes[0].cause == RequestCause::kStaleConfig);
-  cr_assert(
-      Has(story.causes[0].explanation, "3 had been in force at host-0-1"));
+  cluster.Post(0, "r1");
+  const RequestDiagnosis diagnosis = logs.Diagnose("r1");
+  cr_assert(diagnosis.causes[0].cause == RequestCause::kStaleConfig);
+  cr_assert(Contains(diagnosis.causes[0].explanation,
+                     "3 had been in force at host-0-1"));
 }
 
 Test(why, sent_to_a_leaving_upstream) {
   const CollectedLogs logs;
-  CutOffWorld cut_off;
-  TestCluster& world = cut_off.world;
-  UpstreamInfo leaving = world.upstream_info(0);
+  IsolatedHostFixture fixture;
+  TestCluster& cluster = fixture.cluster;
+  UpstreamInfo leaving = cluster.upstream_info(0);
   leaving.leaving = true;
-  world.platform().PutUpstream(leaving);
-  cr_assert(world.Await(
-      [&] { return world.HasEvent(1, EventCode::kUpstreamLeaving); }));
-  world.ForEachUpstream([](UpstreamStandIn& u) {
+  cluster.platform().PutUpstream(leaving);
+  cr_assert(cluster.Await(
+      [&] { return cluster.HasEvent(1, EventCode::kUpstreamLeaving); }));
+  cluster.ForEachUpstream([](UpstreamStandIn& u) {
     u.CorruptAnswers(AnswerCorruption::kNoAnswer);
   });
-  world.Post(0, "r1");
-  const RequestDiagnosis story = logs.StoryOf("r1");
-  cr_assert(story.causes[0].cause == RequestCause::kLeavingUpstream);
-  cr_assert(Has(story.causes[0].explanation, "host-0-1 had known"));
+  cluster.Post(0, "r1");
+  const RequestDiagnosis diagnosis = logs.Diagnose("r1");
+  cr_assert(diagnosis.causes[0].cause == RequestCause::kLeavingUpstream);
+  cr_assert(Contains(diagnosis.causes[0].explanation, "host-0-1 had known"));
 }
 
 }  // namespace
