--- a/include/pathcleat/lab/upstream_stand_in.hpp
+++ b/include/pathcleat/lab/upstream_stand_in.hpp
@@ -119,19 +119,19 @@
  private:
   void Handle(const HttpExchangePtr& exchange);
   bool IsForOtherUpstream(const HttpExchangePtr& exchange) const;
-  void RefuseNotRun(const HttpExchangePtr& exchange, int status);
-  void Run(const HttpExchangePtr& exchange);
+  void RejectAsNotRun(const HttpExchangePtr& exchange, int status);
+  void RunOrQueue(const HttpExchangePtr& exchange);
   void PerformAction(const HttpExchangePtr& exchange,
                      const UpstreamAction& action);
   void FinishAction(const HttpExchangePtr& exchange, UpstreamAction::Kind kind);
-  void Begin(const HttpExchangePtr& exchange);
-  void End();
+  void StartRun(const HttpExchangePtr& exchange);
+  void FinishRun();
   void WatchDeadline(const HttpExchangePtr& exchange);
   void OnDeadline(const HttpExchangePtr& exchange);
   void UpdateSlotSeconds();
   void Answer(const HttpExchangePtr& exchange);
-  std::string LoadText() const;
-  void AddState(HttpResponse& response) const;
+  std::string LoadHeaderValue() const;
+  void AddStateHeaders(HttpResponse& response) const;
 
   boost::asio::io_context& loop_;
   UpstreamStandInOptions options_;
--- a/src/pathcleat/lab/planned_stop_test.cpp
+++ b/src/pathcleat/lab/planned_stop_test.cpp
@@ -31,8 +31,9 @@
     return cluster.Locate(1, "").response.body.find(
                std::to_string(cluster.CallerPort(0))) == std::string::npos;
   }));
-  RawClient late(cluster.loop(), cluster.address(), cluster.CallerPort(0));
-  late.Send(GetText("late"));
+  RawClient late_client(cluster.loop(), cluster.address(),
+                        cluster.CallerPort(0));
+  late_client.Send(GetText("late"));
   cr_assert(cluster.Await([&] { return cluster.InFlight() == 2; }));
   // The last answers are released only when the host refuses connections. Tries
   // one connection at a time: connect() to a full backlog would block this
@@ -58,7 +59,8 @@
   });
   cr_assert(cluster.Await([&] { return stopped; }));
   cr_assert(cluster.Await([&] {
-    return client.HasReceived("end held") && late.HasReceived("end late");
+    return client.HasReceived("end held") &&
+           late_client.HasReceived("end late");
   }));
 }
 
@@ -111,17 +113,19 @@
 Test(promise, planned_stop_answers_requests_queued_at_an_upstream) {
   TestCluster cluster(BusyUpstreamPlan());
   WarmUp(cluster);
-  RawClient held(cluster.loop(), cluster.address(), cluster.CallerPort(0));
-  held.Send(GetText("held"));
+  RawClient held_client(cluster.loop(), cluster.address(),
+                        cluster.CallerPort(0));
+  held_client.Send(GetText("held"));
   cr_assert(cluster.Await([&] { return cluster.InFlight() == 1; }));
   bool stopped = false;
   cluster.host(0).Stop([&stopped] { stopped = true; });
-  RawClient late(cluster.loop(), cluster.address(), cluster.CallerPort(0));
-  late.Send(GetText("late"));
+  RawClient late_client(cluster.loop(), cluster.address(),
+                        cluster.CallerPort(0));
+  late_client.Send(GetText("late"));
   cr_assert(cluster.Await([&] { return stopped; }));
-  cr_assert(late.HasReceived("HTTP/1.1 503"));
-  cr_assert(late.HasReceived("Pathcleat-Outcome: not-run"));
-  cr_assert(late.HasReceived("Connection: close"));
+  cr_assert(late_client.HasReceived("HTTP/1.1 503"));
+  cr_assert(late_client.HasReceived("Pathcleat-Outcome: not-run"));
+  cr_assert(late_client.HasReceived("Connection: close"));
   cr_assert_eq(cluster.RunsOf("late"), 0);
 }
 
@@ -148,15 +152,16 @@
   cluster.ForEachUpstream([](UpstreamStandIn& u) { u.HoldAnswers(); });
   RawClient get(cluster.loop(), cluster.address(), cluster.CallerPort(0));
   RawClient post(cluster.loop(), cluster.address(), cluster.CallerPort(0));
-  RawClient late(cluster.loop(), cluster.address(), cluster.CallerPort(0));
+  RawClient late_client(cluster.loop(), cluster.address(),
+                        cluster.CallerPort(0));
   get.Send(GetText("get"));
   post.Send(PostText("post", "key"));
   cr_assert(cluster.Await([&] { return cluster.InFlight() == 2; }));
   bool stopped = false;
   cluster.host(0).Stop([&stopped] { stopped = true; });
-  late.Send(GetText("late"));
+  late_client.Send(GetText("late"));
   cr_assert(cluster.Await([&] { return stopped; }));
-  for (const RawClient* client : {&get, &post, &late}) {
+  for (const RawClient* client : {&get, &post, &late_client}) {
     cr_assert(client->HasReceived("HTTP/1.1 504"));
     cr_assert(client->HasReceived("Pathcleat-Outcome: unknown"));
   }
--- a/src/pathcleat/lab/rollout_path_test.cpp
+++ b/src/pathcleat/lab/rollout_path_test.cpp
@@ -16,9 +16,9 @@
 // A cluster of four upstreams, of which the last two run version "v2".
 class RolloutFixture {
  public:
-  RolloutFixture() : cluster(PlanOf()) {
+  RolloutFixture() : cluster(MakePlan()) {
     for (std::size_t i = 0; i < cluster.upstream_count(); ++i) {
-      Put(i, i < cluster.upstream_count() / 2 ? "v1" : "v2");
+      PutUpstream(i, i < cluster.upstream_count() / 2 ? "v1" : "v2");
     }
     cluster.platform().PutRollout({"s", "v2", kRolloutTimeout, 0});
     cluster.StartAll();
@@ -47,7 +47,7 @@
     };
     for (int i = 0; !is_over(); ++i) {
       cluster.Get(static_cast<std::size_t>(i) % kHosts,
-                  "r" + std::to_string(next_++));
+                  "r" + std::to_string(next_request_++));
     }
     return Status() == status;
   }
@@ -55,20 +55,20 @@
   TestCluster cluster;
 
  private:
-  static TestClusterPlan PlanOf() {
+  static TestClusterPlan MakePlan() {
     TestClusterPlan plan;
     plan.hosts_in_domain = {kHosts};
     plan.upstreams_in_domain = 4;
     return plan;
   }
 
-  void Put(std::size_t i, const std::string& version) {
+  void PutUpstream(std::size_t i, const std::string& version) {
     UpstreamInfo info = cluster.upstream_info(i);
     info.version = version;
     cluster.platform().PutUpstream(info);
   }
 
-  int next_ = 0;
+  int next_request_ = 0;
 };
 
 Test(rollout_path, good_version_gets_a_share_and_then_all) {
--- a/src/pathcleat/lab/suspended_machine_test.cpp
+++ b/src/pathcleat/lab/suspended_machine_test.cpp
@@ -10,10 +10,10 @@
 constexpr std::size_t kHosts = 4;
 
 struct SuspensionFixture {
-  explicit SuspensionFixture(Duration timeout) : cluster(PlanOf(timeout)) {
+  explicit SuspensionFixture(Duration timeout) : cluster(MakePlan(timeout)) {
     cluster.StartAll();
   }
-  static TestClusterPlan PlanOf(Duration timeout) {
+  static TestClusterPlan MakePlan(Duration timeout) {
     TestClusterPlan plan;
     plan.hosts_in_domain = {2, 2};
     plan.timeout = timeout;
@@ -24,7 +24,7 @@
 
 // Sends a request and waits until an upstream runs it. The upstream holds back
 // its answer.
-void SendHeld(TestCluster& cluster, RawClient& caller) {
+void SendAndHoldAnswer(TestCluster& cluster, RawClient& caller) {
   cluster.ForEachUpstream([](UpstreamStandIn& u) { u.HoldAnswers(); });
   caller.Send(
       "POST /s/write/entry HTTP/1.1\r\nHost: test.example\r\n"
@@ -39,7 +39,7 @@
   SuspensionFixture fixture(Duration(60'000'000));
   TestCluster& cluster = fixture.cluster;
   RawClient caller(cluster.loop(), cluster.address(), cluster.CallerPort(0));
-  SendHeld(cluster, caller);
+  SendAndHoldAnswer(cluster, caller);
   AdvanceBootClock(std::chrono::minutes(2));
   cr_assert(cluster.Await([&caller] { return caller.HasReceived("504"); }));
   cr_assert(cluster.HasEvent(0, EventCode::kHostStoodStill));
@@ -51,7 +51,7 @@
   SuspensionFixture fixture(Duration(60'000'000));
   TestCluster& cluster = fixture.cluster;
   RawClient caller(cluster.loop(), cluster.address(), cluster.CallerPort(0));
-  SendHeld(cluster, caller);
+  SendAndHoldAnswer(cluster, caller);
   AdvanceBootClock(std::chrono::minutes(2));
   cluster.ForEachUpstream(
       [](UpstreamStandIn& u) { u.ReleaseAnswerOfRun("r"); });
--- a/src/pathcleat/lab/truthful_test.cpp
+++ b/src/pathcleat/lab/truthful_test.cpp
@@ -66,7 +66,7 @@
   return order;
 }
 
-std::string TextOf(const Order& order) {
+std::string RequestText(const Order& order) {
   return std::string(order.repeatable ? "GET /s/read/item"
                                       : "POST /s/write/entry") +
          " HTTP/1.1\r\nHost: test.example\r\nX-Run-Id: r\r\n"
@@ -87,7 +87,7 @@
     upstream.SetActionChooser([&] { return order.actions.at(arrivals++); });
   });
   RawClient caller(cluster.loop(), cluster.address(), cluster.CallerPort(0));
-  caller.Send(TextOf(order));
+  caller.Send(RequestText(order));
   boost::asio::steady_timer timer(cluster.loop(), order.event_after);
   timer.async_wait([&](const boost::system::error_code& error) {
     if (!error && order.event == Event::kHalfClose) {
--- a/src/pathcleat/lab/upstream_farm.cpp
+++ b/src/pathcleat/lab/upstream_farm.cpp
@@ -47,30 +47,31 @@
 }
 
 std::string UpstreamFarm::LedgerJson() const {
-  UpstreamLedger sum;
+  UpstreamLedger total;
   int over_slots = 0;
   nlohmann::json runs = nlohmann::json::object();
   for (std::size_t i = 0; i < upstreams_.size(); ++i) {
     const UpstreamLedger& ledger = upstreams_[i]->ledger();
     runs[deployment_.upstreams[i].name] = ledger.runs;
-    sum.runs += ledger.runs;
+    total.runs += ledger.runs;
     over_slots += ledger.peak_in_flight > upstreams_[i]->slots() ? 1 : 0;
-    sum.rejected += ledger.rejected;
-    sum.peak_in_flight = std::max(sum.peak_in_flight, ledger.peak_in_flight);
+    total.rejected += ledger.rejected;
+    total.peak_in_flight =
+        std::max(total.peak_in_flight, ledger.peak_in_flight);
     for (const auto& [id, count] : ledger.runs_by_id) {
-      sum.runs_by_id[id] += count;
+      total.runs_by_id[id] += count;
     }
     for (const auto& [key, count] : ledger.runs_by_key) {
-      sum.runs_by_key[key] += count;
+      total.runs_by_key[key] += count;
     }
   }
-  const nlohmann::json ledger = {{"runs", sum.runs},
+  const nlohmann::json ledger = {{"runs", total.runs},
                                  {"over_slots", over_slots},
-                                 {"turned_away", sum.rejected},
-                                 {"most_in_flight", sum.peak_in_flight},
+                                 {"turned_away", total.rejected},
+                                 {"most_in_flight", total.peak_in_flight},
                                  {"runs_by_upstream", runs},
-                                 {"runs_by_id", sum.runs_by_id},
-                                 {"runs_by_key", sum.runs_by_key}};
+                                 {"runs_by_id", total.runs_by_id},
+                                 {"runs_by_key", total.runs_by_key}};
   return ledger.dump();
 }
 
--- a/src/pathcleat/lab/upstream_stand_in.cpp
+++ b/src/pathcleat/lab/upstream_stand_in.cpp
@@ -54,13 +54,13 @@
   server_.reset();
 }
 
-std::string UpstreamStandIn::LoadText() const {
+std::string UpstreamStandIn::LoadHeaderValue() const {
   return std::to_string(in_flight_) + "," + std::to_string(queue_.size()) +
          "," + std::to_string(options_.slots);
 }
 
-void UpstreamStandIn::AddState(HttpResponse& response) const {
-  response.headers.push_back({options_.headers.load, LoadText()});
+void UpstreamStandIn::AddStateHeaders(HttpResponse& response) const {
+  response.headers.push_back({options_.headers.load, LoadHeaderValue()});
   if (!limit_header_.empty()) {
     response.headers.push_back({options_.headers.rate_limit, limit_header_});
   }
@@ -70,13 +70,13 @@
   if (exchange->request().target == "/health") {
     HttpResponse response = TextResponse(http_status::kOk, "well\n");
     response.headers.push_back({options_.headers.upstream_id, options_.id});
-    AddState(response);
+    AddStateHeaders(response);
     exchange->Respond(std::move(response));
     return;
   }
   ledger_.arrivals.push_back(BootClock::now());
   if (IsForOtherUpstream(exchange)) {
-    RefuseNotRun(exchange, kMisdirected);
+    RejectAsNotRun(exchange, kMisdirected);
     return;
   }
   if (action_chooser_) {
@@ -86,20 +86,20 @@
   const bool full = in_flight_ >= options_.slots &&
                     static_cast<int>(queue_.size()) >= options_.queue_capacity;
   if (reject_requests_ || full) {
-    RefuseNotRun(exchange, http_status::kUnavailable);
+    RejectAsNotRun(exchange, http_status::kUnavailable);
     return;
   }
   if (options_.enforces_deadlines) {
     WatchDeadline(exchange);
   }
-  Run(exchange);
+  RunOrQueue(exchange);
 }
 
 void UpstreamStandIn::PerformAction(const HttpExchangePtr& exchange,
                                     const UpstreamAction& action) {
   if (action.kind != UpstreamAction::Kind::kReject) {
     const bool held = std::exchange(hold_answers_, true);
-    Begin(exchange);
+    StartRun(exchange);
     hold_answers_ = held;
   }
   if (action.kind == UpstreamAction::Kind::kNeverAnswer) {
@@ -118,10 +118,10 @@
                                    UpstreamAction::Kind kind) {
   std::erase(held_exchanges_, exchange);
   if (kind == UpstreamAction::Kind::kReject) {
-    RefuseNotRun(exchange, http_status::kUnavailable);
+    RejectAsNotRun(exchange, http_status::kUnavailable);
   } else if (kind == UpstreamAction::Kind::kDisconnect) {
     exchange->DropConnection();
-    End();
+    FinishRun();
   } else {
     Answer(exchange);
   }
@@ -143,7 +143,7 @@
     return;
   }
   if (std::erase(queue_, exchange) > 0) {
-    RefuseNotRun(exchange, http_status::kUnavailable);
+    RejectAsNotRun(exchange, http_status::kUnavailable);
     return;
   }
   std::erase(held_exchanges_, exchange);
@@ -153,7 +153,7 @@
   response.headers.push_back(
       {names.request_id, HeaderValue(exchange, names.request_id)});
   exchange->Respond(std::move(response));
-  End();
+  FinishRun();
 }
 
 bool UpstreamStandIn::IsForOtherUpstream(
@@ -163,24 +163,24 @@
   return !expected_id.empty() && expected_id != options_.id;
 }
 
-void UpstreamStandIn::RefuseNotRun(const HttpExchangePtr& exchange,
-                                   int status) {
+void UpstreamStandIn::RejectAsNotRun(const HttpExchangePtr& exchange,
+                                     int status) {
   ++ledger_.rejected;
   HttpResponse response = TextResponse(status, "not run\n");
   response.headers.push_back({options_.headers.not_run, "1"});
-  AddState(response);
+  AddStateHeaders(response);
   exchange->Respond(std::move(response));
 }
 
-void UpstreamStandIn::Run(const HttpExchangePtr& exchange) {
+void UpstreamStandIn::RunOrQueue(const HttpExchangePtr& exchange) {
   if (in_flight_ >= options_.slots) {
     queue_.push_back(exchange);
     return;
   }
-  Begin(exchange);
+  StartRun(exchange);
 }
 
-void UpstreamStandIn::Begin(const HttpExchangePtr& exchange) {
+void UpstreamStandIn::StartRun(const HttpExchangePtr& exchange) {
   ++ledger_.runs;
   ++ledger_.runs_by_id[HeaderValue(exchange, "X-Run-Id")];
   const std::string key = HeaderValue(exchange, "Idempotency-Key");
@@ -193,7 +193,7 @@
   UpdateSlotSeconds();
   ++in_flight_;
   ledger_.peak_in_flight = std::max(ledger_.peak_in_flight, in_flight_);
-  exchange->OnAbandoned([this] { End(); });
+  exchange->OnAbandoned([this] { FinishRun(); });
   if (exchange->request().target == crash_target_) {
     // Posted, because Crash() destroys the server, which is still running this
     // callback.
@@ -222,14 +222,14 @@
   slot_seconds_until_ = now;
 }
 
-void UpstreamStandIn::End() {
+void UpstreamStandIn::FinishRun() {
   UpdateSlotSeconds();
   --in_flight_;
   while (!queue_.empty() && in_flight_ < options_.slots) {
     const HttpExchangePtr next = queue_.front();
     queue_.erase(queue_.begin());
     if (next->IsOpen()) {
-      Begin(next);
+      StartRun(next);
     }
   }
 }
@@ -264,7 +264,7 @@
   const std::string id = HeaderValue(exchange, names.request_id);
   const bool wrong_id = corruption_ == AnswerCorruption::kWrongRequestId;
   response.headers.push_back({names.request_id, wrong_id ? "stranger" : id});
-  AddState(response);
+  AddStateHeaders(response);
   if (!names.signature.empty() &&
       corruption_ != AnswerCorruption::kNoSignature) {
     response.headers.push_back({names.signature, "signed." + id});
@@ -274,7 +274,7 @@
   } else {
     exchange->Respond(std::move(response));
   }
-  End();
+  FinishRun();
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/lab/whole_path_test.cpp
+++ b/src/pathcleat/lab/whole_path_test.cpp
@@ -149,19 +149,19 @@
 Test(whole_path, bad_input_gets_its_own_status) {
   TestCluster cluster;
   cluster.StartAll();
-  const auto status = [&](const std::string& bytes, const char* expected) {
+  const auto has_status = [&](const std::string& bytes, const char* expected) {
     RawClient client(cluster.loop(), cluster.address(), cluster.CallerPort(0));
     client.Send(bytes);
     return cluster.Await([&] { return client.HasReceived(expected); });
   };
-  cr_assert(status("not http at all\r\n\r\n", "HTTP/1.1 400"));
-  cr_assert(status("GET /s/read/item HTTP/1.1\r\nA: " +
-                       std::string(40'000, 'x') + "\r\n\r\n",
-                   "HTTP/1.1 431"));
-  cr_assert(status("GET /elsewhere HTTP/1.1\r\nHost: test.example\r\n\r\n",
-                   "HTTP/1.1 404"));
-  cr_assert(status("GET /s/read/item HTTP/1.1\r\nHost: other\r\n\r\n",
-                   "HTTP/1.1 404"));
+  cr_assert(has_status("not http at all\r\n\r\n", "HTTP/1.1 400"));
+  cr_assert(has_status("GET /s/read/item HTTP/1.1\r\nA: " +
+                           std::string(40'000, 'x') + "\r\n\r\n",
+                       "HTTP/1.1 431"));
+  cr_assert(has_status("GET /elsewhere HTTP/1.1\r\nHost: test.example\r\n\r\n",
+                       "HTTP/1.1 404"));
+  cr_assert(has_status("GET /s/read/item HTTP/1.1\r\nHost: other\r\n\r\n",
+                       "HTTP/1.1 404"));
 }
 
 // Guards against request smuggling: a request with an unknown transfer coding
