--- a/src/pathcleat/lab/upstream_stand_in.cpp
+++ b/src/pathcleat/lab/upstream_stand_in.cpp
@@ -13,10 +13,11 @@
 namespace pathcleat {
 namespace {
 
-constexpr std::size_t kFillBytes = 2'000;
+constexpr std::size_t kPaddingBytes = 2'000;
 constexpr int kMisdirected = 421;
 
-std::string Field(const HttpExchangePtr& exchange, const std::string& name) {
+std::string HeaderValue(const HttpExchangePtr& exchange,
+                        const std::string& name) {
   return FindHeader(exchange->request().headers, name).value_or("");
 }
 
@@ -26,7 +27,7 @@
                            const std::string& target,
                            const std::string& body) {
   std::string answer = "run " + run_id + " of " + target + "\n" + body + "\n";
-  answer.append(kFillBytes, run_id.empty() ? '-' : run_id.back());
+  answer.append(kPaddingBytes, run_id.empty() ? '-' : run_id.back());
   answer += "\nend " + run_id + "\n";
   return answer;
 }
@@ -53,15 +54,15 @@
   server_.reset();
 }
 
-std::string UpstreamStandIn::LoadText() const {
+std::string UpstreamStandIn::LoadHeaderValue() const {
   return std::to_string(in_flight_) + "," + std::to_string(queue_.size()) +
          "," + std::to_string(options_.slots);
 }
 
-void UpstreamStandIn::AddState(HttpResponse& response) const {
-  response.headers.push_back({options_.headers.load, LoadText()});
-  if (!limit_.empty()) {
-    response.headers.push_back({options_.headers.rate_limit, limit_});
+void UpstreamStandIn::AddStateHeaders(HttpResponse& response) const {
+  response.headers.push_back({options_.headers.load, LoadHeaderValue()});
+  if (!limit_header_.empty()) {
+    response.headers.push_back({options_.headers.rate_limit, limit_header_});
   }
 }
 
@@ -69,69 +70,69 @@
   if (exchange->request().target == "/health") {
     HttpResponse response = TextResponse(http_status::kOk, "well\n");
     response.headers.push_back({options_.headers.upstream_id, options_.id});
-    AddState(response);
+    AddStateHeaders(response);
     exchange->Respond(std::move(response));
     return;
   }
   ledger_.arrivals.push_back(BootClock::now());
-  if (IsForAnother(exchange)) {
-    RefuseNotRun(exchange, kMisdirected);
+  if (IsForOtherUpstream(exchange)) {
+    RejectAsNotRun(exchange, kMisdirected);
     return;
   }
-  if (director_) {
-    Act(exchange, director_());
+  if (action_chooser_) {
+    PerformAction(exchange, action_chooser_());
     return;
   }
   const bool full = in_flight_ >= options_.slots &&
                     static_cast<int>(queue_.size()) >= options_.queue_capacity;
-  if (turn_away_ || full) {
-    RefuseNotRun(exchange, http_status::kUnavailable);
+  if (reject_requests_ || full) {
+    RejectAsNotRun(exchange, http_status::kUnavailable);
     return;
   }
   if (options_.enforces_deadlines) {
     WatchDeadline(exchange);
   }
-  Run(exchange);
+  RunOrQueue(exchange);
 }
 
-void UpstreamStandIn::Act(const HttpExchangePtr& exchange,
-                          const UpstreamAction& act) {
-  if (act.kind != UpstreamAction::Kind::kReject) {
-    const bool held = std::exchange(hold_, true);
-    Begin(exchange);
-    hold_ = held;
+void UpstreamStandIn::PerformAction(const HttpExchangePtr& exchange,
+                                    const UpstreamAction& action) {
+  if (action.kind != UpstreamAction::Kind::kReject) {
+    const bool held = std::exchange(hold_answers_, true);
+    StartRun(exchange);
+    hold_answers_ = held;
   }
-  if (act.kind == UpstreamAction::Kind::kNeverAnswer) {
+  if (action.kind == UpstreamAction::Kind::kNeverAnswer) {
     return;
   }
-  auto timer = std::make_shared<boost::asio::steady_timer>(loop_, act.delay);
+  auto timer = std::make_shared<boost::asio::steady_timer>(loop_, action.delay);
   timer->async_wait([this, timer, exchange,
-                     kind = act.kind](const boost::system::error_code&) {
+                     kind = action.kind](const boost::system::error_code&) {
     if (exchange->IsOpen()) {
-      EndAct(exchange, kind);
+      FinishAction(exchange, kind);
     }
   });
 }
 
-void UpstreamStandIn::EndAct(const HttpExchangePtr& exchange,
-                             UpstreamAction::Kind kind) {
-  std::erase(held_, exchange);
+void UpstreamStandIn::FinishAction(const HttpExchangePtr& exchange,
+                                   UpstreamAction::Kind kind) {
+  std::erase(held_exchanges_, exchange);
   if (kind == UpstreamAction::Kind::kReject) {
-    RefuseNotRun(exchange, http_status::kUnavailable);
+    RejectAsNotRun(exchange, http_status::kUnavailable);
   } else if (kind == UpstreamAction::Kind::kDisconnect) {
     exchange->DropConnection();
-    End();
+    FinishRun();
   } else {
     Answer(exchange);
   }
 }
 
 void UpstreamStandIn::WatchDeadline(const HttpExchangePtr& exchange) {
-  const auto told = CallerTimeout(options_.headers, exchange->request());
-  if (!told) {
+  const auto timeout = CallerTimeout(options_.headers, exchange->request());
+  if (!timeout) {
     return;
   }
-  auto timer = std::make_shared<boost::asio::steady_timer>(loop_, *told);
+  auto timer = std::make_shared<boost::asio::steady_timer>(loop_, *timeout);
   timer->async_wait([this, timer, exchange](const boost::system::error_code&) {
     OnDeadline(exchange);
   });
@@ -142,62 +143,65 @@
     return;
   }
   if (std::erase(queue_, exchange) > 0) {
-    RefuseNotRun(exchange, http_status::kUnavailable);
+    RejectAsNotRun(exchange, http_status::kUnavailable);
     return;
   }
-  std::erase(held_, exchange);
+  std::erase(held_exchanges_, exchange);
   HttpResponse response =
       TextResponse(http_status::kGatewayTimeout, "ended at its deadline\n");
   const HeaderNames& names = options_.headers;
   response.headers.push_back(
-      {names.request_id, Field(exchange, names.request_id)});
+      {names.request_id, HeaderValue(exchange, names.request_id)});
   exchange->Respond(std::move(response));
-  End();
+  FinishRun();
 }
 
-bool UpstreamStandIn::IsForAnother(const HttpExchangePtr& exchange) const {
-  const std::string wanted = Field(exchange, options_.headers.expect_upstream);
-  return !wanted.empty() && wanted != options_.id;
+bool UpstreamStandIn::IsForOtherUpstream(
+    const HttpExchangePtr& exchange) const {
+  const std::string expected_id =
+      HeaderValue(exchange, options_.headers.expect_upstream);
+  return !expected_id.empty() && expected_id != options_.id;
 }
 
-void UpstreamStandIn::RefuseNotRun(const HttpExchangePtr& exchange,
-                                   int status) {
+void UpstreamStandIn::RejectAsNotRun(const HttpExchangePtr& exchange,
+                                     int status) {
   ++ledger_.rejected;
   HttpResponse response = TextResponse(status, "not run\n");
   response.headers.push_back({options_.headers.not_run, "1"});
-  AddState(response);
+  AddStateHeaders(response);
   exchange->Respond(std::move(response));
 }
 
-void UpstreamStandIn::Run(const HttpExchangePtr& exchange) {
+void UpstreamStandIn::RunOrQueue(const HttpExchangePtr& exchange) {
   if (in_flight_ >= options_.slots) {
     queue_.push_back(exchange);
     return;
   }
-  Begin(exchange);
+  StartRun(exchange);
 }
 
-void UpstreamStandIn::Begin(const HttpExchangePtr& exchange) {
+void UpstreamStandIn::StartRun(const HttpExchangePtr& exchange) {
   ++ledger_.runs;
-  ++ledger_.runs_by_id[Field(exchange, "X-Run-Id")];
-  const std::string key = Field(exchange, "Idempotency-Key");
+  ++ledger_.runs_by_id[HeaderValue(exchange, "X-Run-Id")];
+  const std::string key = HeaderValue(exchange, "Idempotency-Key");
   if (!key.empty()) {
     ++ledger_.runs_by_key[key];
   }
-  ++ledger_.runs_by_account[Field(exchange, options_.headers.account)];
+  ++ledger_.runs_by_account[HeaderValue(exchange, options_.headers.account)];
   ledger_.requests_with_authorization +=
-      Field(exchange, "Authorization").empty() ? 0 : 1;
-  CountSlots();
+      HeaderValue(exchange, "Authorization").empty() ? 0 : 1;
+  UpdateSlotSeconds();
   ++in_flight_;
   ledger_.peak_in_flight = std::max(ledger_.peak_in_flight, in_flight_);
-  exchange->OnAbandoned([this] { End(); });
-  if (exchange->request().target == fatal_target_) {
-    // Not inside the server's own callback.
+  exchange->OnAbandoned([this] { FinishRun(); });
+  if (exchange->request().target == crash_target_) {
+    // Posted, because Crash() destroys the server, which is still running this
+    // callback.
     boost::asio::post(loop_, [this] { Crash(); });
     return;
   }
-  if (hold_) {
-    held_.push_back(exchange);
+  if (hold_answers_) {
+    held_exchanges_.push_back(exchange);
     return;
   }
   std::exponential_distribution<double> draw(1.0);
@@ -210,38 +214,41 @@
   });
 }
 
-void UpstreamStandIn::CountSlots() {
+void UpstreamStandIn::UpdateSlotSeconds() {
   const Time now = BootClock::now();
   ledger_.slot_seconds +=
-      in_flight_ * std::chrono::duration<double>(now - counted_).count();
-  counted_ = now;
+      in_flight_ *
+      std::chrono::duration<double>(now - slot_seconds_until_).count();
+  slot_seconds_until_ = now;
 }
 
-void UpstreamStandIn::End() {
-  CountSlots();
+void UpstreamStandIn::FinishRun() {
+  UpdateSlotSeconds();
   --in_flight_;
   while (!queue_.empty() && in_flight_ < options_.slots) {
     const HttpExchangePtr next = queue_.front();
     queue_.erase(queue_.begin());
     if (next->IsOpen()) {
-      Begin(next);
+      StartRun(next);
     }
   }
 }
 
 void UpstreamStandIn::ReleaseAnswer(std::size_t index) {
-  const HttpExchangePtr exchange = held_.at(index);
-  held_.erase(held_.begin() + static_cast<std::ptrdiff_t>(index));
+  const HttpExchangePtr exchange = held_exchanges_.at(index);
+  held_exchanges_.erase(held_exchanges_.begin() +
+                        static_cast<std::ptrdiff_t>(index));
   Answer(exchange);
 }
 
 void UpstreamStandIn::ReleaseAnswerOfRun(const std::string& run_id) {
-  const auto found = std::find_if(
-      held_.begin(), held_.end(), [&run_id](const HttpExchangePtr& exchange) {
-        return Field(exchange, "X-Run-Id") == run_id;
-      });
-  if (found != held_.end()) {
-    ReleaseAnswer(static_cast<std::size_t>(found - held_.begin()));
+  const auto found =
+      std::find_if(held_exchanges_.begin(), held_exchanges_.end(),
+                   [&run_id](const HttpExchangePtr& exchange) {
+                     return HeaderValue(exchange, "X-Run-Id") == run_id;
+                   });
+  if (found != held_exchanges_.end()) {
+    ReleaseAnswer(static_cast<std::size_t>(found - held_exchanges_.begin()));
   }
 }
 
@@ -251,22 +258,23 @@
   }
   const HttpRequest& request = exchange->request();
   HttpResponse response = TextResponse(
-      http_status::kOk, ExpectedAnswer(Field(exchange, "X-Run-Id"),
+      http_status::kOk, ExpectedAnswer(HeaderValue(exchange, "X-Run-Id"),
                                        request.target, request.body));
   const HeaderNames& names = options_.headers;
-  const std::string id = Field(exchange, names.request_id);
-  const bool stranger = spoilt_ == AnswerCorruption::kWrongRequestId;
-  response.headers.push_back({names.request_id, stranger ? "stranger" : id});
-  AddState(response);
-  if (!names.signature.empty() && spoilt_ != AnswerCorruption::kNoSignature) {
+  const std::string id = HeaderValue(exchange, names.request_id);
+  const bool wrong_id = corruption_ == AnswerCorruption::kWrongRequestId;
+  response.headers.push_back({names.request_id, wrong_id ? "stranger" : id});
+  AddStateHeaders(response);
+  if (!names.signature.empty() &&
+      corruption_ != AnswerCorruption::kNoSignature) {
     response.headers.push_back({names.signature, "signed." + id});
   }
-  if (spoilt_ == AnswerCorruption::kNoAnswer) {
+  if (corruption_ == AnswerCorruption::kNoAnswer) {
     exchange->DropConnection();
   } else {
     exchange->Respond(std::move(response));
   }
-  End();
+  FinishRun();
 }
 
 }  // namespace pathcleat
