--- a/include/pathcleat/lab/cost_curve.hpp
+++ b/include/pathcleat/lab/cost_curve.hpp
@@ -18,27 +18,30 @@
 /// @brief A cost measured at several sizes, with its straight-line fit.
 /// @ingroup lab
 struct CostCurve {
-  std::string name;       ///< what costs, and its unit
-  std::string size_unit;  ///< what the size counts
+  std::string name;       ///< what is measured, and its unit
+  std::string size_unit;  ///< what the size is a number of
   std::vector<CostPoint> points;
   double per_unit = 0;            ///< slope of the least-squares line
-  double fixed = 0;               ///< its value at size 0
-  double max_relative_error = 0;  ///< largest distance from the line, relative
+  double fixed = 0;               ///< value of that line at size 0
+  double max_relative_error = 0;  ///< largest distance of a median from the
+                                  ///< line, relative to the median
 };
 
-/// @brief A point of several runs.
+/// @brief Median, minimum and maximum of several runs at one size.
+/// @param runs must not be empty.
 /// @ingroup lab
 CostPoint MakeCostPoint(double size, std::vector<double> runs);
 
 /// @brief Adds the least-squares line through the points' medians.
 /// @ingroup lab
-CostCurve FitLine(CostCurve slope);
+CostCurve FitLine(CostCurve curve);
 
-/// @brief Slopes as a Markdown table.
+/// @brief Curves as a Markdown table.
 /// @ingroup lab
-std::string ToText(const std::vector<CostCurve>& slopes);
+std::string ToText(const std::vector<CostCurve>& curves);
 
-/// @brief All slopes of docs/CAPACITY.md, by what they measure.
+/// @brief Measures the costs of client block tables, of routing, of heartbeats
+/// and of client accounts, each at several sizes.
 /// @ingroup lab
 std::vector<CostCurve> MeasureBlockTableCosts();
 std::vector<CostCurve> MeasureRoutingCosts();
--- a/include/pathcleat/lab/deployment_config.hpp
+++ b/include/pathcleat/lab/deployment_config.hpp
@@ -10,21 +10,22 @@
 
 namespace pathcleat {
 
-/// @brief The Host field by which callers of a deployment name it.
+/// @brief Value of the Host header that callers of a deployment send.
 /// @ingroup lab
 std::string HostHeaderOf(const Deployment& deployment);
 
 /// @brief The routes and services of a deployment file, as operators would
-/// write them to the platform. One route a kind of request.
+/// write them to the platform. Each kind of request has one route.
 /// @ingroup lab
 RoutingConfig RoutingConfigOf(const Deployment& deployment);
 
-/// @brief The entries that the upstreams of a deployment file would write.
+/// @brief The entries that the upstreams of a deployment file would register
+/// at the platform.
 /// @ingroup lab
 std::vector<UpstreamInfo> UpstreamInfosOf(const Deployment& deployment);
 
 /// @brief Text of the settings file of one entry host.
 /// @ingroup lab
-std::string SettingsTextOf(const Deployment& deployment, HostIndex seat);
+std::string SettingsTextOf(const Deployment& deployment, HostIndex index);
 
 }  // namespace pathcleat
--- a/include/pathcleat/lab/limit_cases.hpp
+++ b/include/pathcleat/lab/limit_cases.hpp
@@ -5,8 +5,11 @@
 
 namespace pathcleat {
 
-/// @brief Plays the ways to keep upstreams' limits at several sizes and under
-/// faults, and tells the mean and the worst of so many seeds as a table.
+/// @brief Compares the strategies to keep the rate limits of upstreams, at
+/// several fleet sizes and under faults.
+/// @param seeds runs of each case, with the seeds 1 to `seeds`.
+/// @return a Markdown table: for the bounds and the end delay the worst of the
+/// runs, else their mean.
 /// @ingroup lab
 std::string CompareLimitStrategies(int seeds);
 
--- a/include/pathcleat/lab/limit_model.hpp
+++ b/include/pathcleat/lab/limit_model.hpp
@@ -7,25 +7,26 @@
 
 namespace pathcleat {
 
-/// @brief A way to keep the limit that an upstream names over all hosts.
+/// @brief How hosts keep the rate limit of an upstream over all hosts together.
 /// @ingroup lab
 enum class LimitStrategy {
-  kNone,           ///< hosts send on as before
-  kEqualShare,     ///< each host that was told takes the limit over the hosts
-  kReportedUsage,  ///< hosts tell each other what they send, and stay below
-  kFewSenders,     ///< as the product: few hosts send, all are told
+  kNone,        ///< hosts ignore the limit
+  kEqualShare,  ///< each informed host uses the limit divided by the host count
+  kReportedUsage,  ///< hosts report to each other what they sent, and stop at
+                   ///< the limit
+  kFewSenders,     ///< as RateSenders does: few hosts send, all are informed
 };
 
-/// @brief A fleet of hosts before upstreams of which some name a limit, without
-/// a network.
+/// @brief A simulated fleet of hosts, without a network, in front of upstreams
+/// of which some report a rate limit.
 /// @ingroup lab
 struct LimitModelPlan {
   LimitStrategy strategy = LimitStrategy::kFewSenders;
   int domains = 6;
   int hosts_in_domain = 2;
   int upstreams = 24;
-  int limited_upstreams = 8;         ///< of them, that name a limit
-  double limit_per_second = 1;       ///< that each names
+  int limited_upstreams = 8;         ///< upstreams that report a limit
+  double limit_per_second = 1;       ///< of each limited upstream
   double requests_per_second = 130;  ///< of all hosts together
   int slots = 3;
   Duration mean_run_time{400'000};
@@ -33,31 +34,33 @@
   Duration limited_until{24'000'000};
   Duration duration{40'000'000};
   Duration one_way_delay{12'000};  ///< between hosts
-  /// From here on hosts of the first half of the domains do not hear those of
-  /// the other half, until the need ends. Zero: they always do.
+  /// From then until limited_until, hosts of the first half of the domains and
+  /// hosts of the other half get no messages of each other. Zero: no partition.
   Duration partition_from{0};
-  /// One host in so many starts again in the middle of the need, and knows
-  /// nothing. Zero: none.
+  /// One of so many hosts restarts without state, halfway between limited_from
+  /// and limited_until. Zero: none.
   int restart_one_in = 0;
   std::uint64_t seed = 1;
 };
 
-/// @brief What came of it. Windows are of 4 s, from 3 s after an upstream first
-/// named its limit to the end of its need.
+/// @brief Result of a run of the limit model. Windows are 4 s long. They are
+/// counted from 3 s after a host first received the limit of the upstream until
+/// limited_until.
 /// @ingroup lab
 struct LimitModelResult {
-  double max_window_ratio = 0;  ///< fullest window over what it may hold
+  double max_window_ratio = 0;  ///< fullest window / allowed requests
   double max_informed_window_ratio =
-      0;                     ///< the same, of hosts that were told 0.5 s before
-  double used_share = 0;     ///< part of the limits that was used
-  double refused_share = 0;  ///< part of the requests that no upstream took
-  /// Until the last host knew that the need was over, seconds.
+      0;  ///< the same for requests of hosts that have had the limit for 0.5 s
+  double used_share = 0;  ///< share of the limits that was used
+  double refused_share =
+      0;  ///< share of the requests that no upstream accepted
+  /// Seconds from limited_until until no host had a limit in force any more.
   double end_delay_seconds = 0;
   double bytes_per_host_per_second =
-      0;  ///< told to others while in need, a second
+      0;  ///< limit reports sent, per second of the limited time
 };
 
-/// @brief Plays the plan.
+/// @brief Runs the model in virtual time.
 /// @ingroup lab
 LimitModelResult RunLimitModel(const LimitModelPlan& plan);
 
--- a/include/pathcleat/lab/load_audit.hpp
+++ b/include/pathcleat/lab/load_audit.hpp
@@ -9,25 +9,27 @@
 
 namespace pathcleat {
 
-/// @brief Broken promises found by comparing what callers were told with what
-/// upstreams ran.
+/// @brief Faults found by comparing the answers of callers with the runs of the
+/// upstreams.
 /// @ingroup lab
 struct LoadAudit {
-  int duplicate_runs = 0;        ///< keys that ran more than once
-  int false_not_run = 0;         ///< tries told "not run" that ran
-  int upstreams_over_slots = 0;  ///< upstreams that ran more than their slots
-  int rejected = 0;              ///< requests that an upstream did not run
-  int corrupt_answers = 0;       ///< answers not whole or not the caller's own
+  int duplicate_runs = 0;  ///< idempotency keys that ran more than once
+  int false_not_run = 0;   ///< tries reported as "not-run" that ran
+  int upstreams_over_slots =
+      0;             ///< upstreams with more runs at a time than slots
+  int rejected = 0;  ///< requests that an upstream rejected
+  int corrupt_answers =
+      0;  ///< answers that are incomplete or of another request
 };
 
-/// @brief Compares a load's records with the upstreams' ledger.
-/// @param ledger_json as UpstreamFarm's control port gives it.
+/// @brief Compares the records of a load with the ledger of the upstreams.
+/// @param ledger_json as the control port of UpstreamFarm returns it.
 /// @return kInvalid if the ledger cannot be read.
 /// @ingroup lab
 Result<LoadAudit> AuditLoad(const LoadGenerator& load,
                             const std::string& ledger_json);
 
-/// @brief A load's figures as text, one kind a line, and the audit.
+/// @brief Figures of a load as text, one line per kind, then the audit.
 /// @ingroup lab
 std::string ReportLoad(const LoadGenerator& load, const LoadAudit& audit);
 
--- a/include/pathcleat/lab/load_generator.hpp
+++ b/include/pathcleat/lab/load_generator.hpp
@@ -16,66 +16,70 @@
 
 namespace pathcleat {
 
-/// @brief One kind of request in a load's mix.
+/// @brief One kind of request in the mix of a load.
 /// @ingroup lab
 struct LoadKind {
   std::string name;
   std::string method = "GET";
   std::string path;
   double weight = 1;
-  bool keyed = false;  ///< carries an Idempotency-Key and is repeated with it
+  bool keyed = false;  ///< sent with an Idempotency-Key, also when repeated
 };
 
-/// @brief An open-loop load: arrivals come on schedule whether or not earlier
-/// requests were answered.
+/// @brief An open-loop load: requests are sent on schedule, whether or not
+/// earlier requests were answered.
 /// @ingroup lab
 struct LoadPlan {
   std::vector<LoadKind> kinds;
   double requests_per_second = 50;
   std::chrono::milliseconds duration{10'000};
   int callers = 50;
-  /// First two numbers of the callers' addresses, one entry a region; the
-  /// third number is the caller's.
+  /// First two numbers of the IPv4 addresses of callers, one entry per region.
+  /// The third number is the number of the caller.
   std::vector<std::string> caller_address_prefixes{"127.101"};
-  /// Entry hosts known from the start, "address:port".
+  /// Entry hosts that callers use at first, "address:port".
   std::vector<std::string> hosts;
-  /// Where callers ask which hosts to use, "address:port"; empty: nowhere.
+  /// Endpoints that list the hosts to use, "address:port". Empty: callers use
+  /// `hosts` throughout.
   std::vector<std::string> locators;
   std::string host_header = "caller";  ///< sent as the Host field
   std::uint64_t seed = 1;
 };
 
-/// @brief What the callers of one kind were told, after their repeats.
+/// @brief Outcomes of the requests of one kind, after their repeats.
 /// @ingroup lab
 struct LoadCounts {
   int sent = 0;
   int answered = 0;
   int not_run = 0;
   int unknown = 0;
-  int connection_lost = 0;  ///< the connection ended without an answer
+  int connection_lost = 0;  ///< no answer before the connection ended
   int corrupt_answers =
-      0;  ///< an answer that is not the whole answer to the request
-  std::vector<double> latency_ms;  ///< from the scheduled arrival; answered
-  std::vector<double> refusal_ms;  ///< the same, of those told "not run"
+      0;  ///< answers that are incomplete or of another request
+  std::vector<double>
+      latency_ms;  ///< of answered requests, from the scheduled arrival
+  std::vector<double>
+      refusal_ms;  ///< the same, of requests refused as "not-run"
 };
 
-/// @brief One caller's request, for comparison with the upstreams' ledgers.
+/// @brief One try of a request, for comparison with the ledgers of upstreams.
 /// @ingroup lab
 struct LoadRecord {
   std::string run_id;
   std::string key;
-  bool reported_not_run = false;  ///< by the last word on this attempt
+  bool reported_not_run = false;  ///< by the result of this try
 };
 
-/// @brief Sends a load from many local addresses, as callers would: asks an
-/// entry host which to use, goes to the next when one does not answer, and
-/// repeats keyed requests with their key.
+/// @brief Sends a load from many local addresses, as callers would: asks a
+/// locator for the entry hosts to use, tries the next host when one does not
+/// answer, and repeats keyed requests with their key.
 /// @ingroup lab
 class LoadGenerator {
  public:
   LoadGenerator(boost::asio::io_context& loop, const LoadPlan& plan);
 
-  /// @brief Starts; finished is called after the last answer.
+  /// @brief Starts the load.
+  /// @param finished called after the last answer.
   void Start(std::function<void()> finished);
 
   const std::map<std::string, LoadCounts>& counts() const { return counts_; }
@@ -86,7 +90,7 @@
     std::string address;
     std::vector<std::string> hosts;
     Time hosts_until;
-    std::size_t locator_turn = 0;
+    std::size_t next_locator = 0;
   };
   struct Request;
   using RequestPtr = std::shared_ptr<Request>;
@@ -100,7 +104,8 @@
   void Finish(const RequestPtr& request);
   HttpClientPtr ConnectionFor(const RequestPtr& request);
   HttpClientPtr LocatorFor(const RequestPtr& request);
-  void After(std::chrono::microseconds wait, std::function<void()> step);
+  void ScheduleAfter(std::chrono::microseconds wait,
+                     std::function<void()> callback);
 
   boost::asio::io_context& loop_;
   LoadPlan plan_;
@@ -116,8 +121,10 @@
   bool all_arrived_ = false;
 };
 
-/// @brief Value below which the given share of the samples lies.
-/// @param samples any order; 0 if empty.
+/// @brief Sample below which the given share of the samples lies.
+/// @param samples in any order.
+/// @param share from 0 to 1.
+/// @return 0 if there are no samples.
 /// @ingroup lab
 double Quantile(std::vector<double> samples, double share);
 
--- a/src/pathcleat/lab/account_costs.cpp
+++ b/src/pathcleat/lab/account_costs.cpp
@@ -13,34 +13,35 @@
 constexpr std::size_t kCalls = 20'000;
 constexpr int kSizes[] = {76, 1'000, 10'000};
 
-std::string KeyOf(std::size_t account, int which) {
+std::string AccountKey(std::size_t account, int key_number) {
   return "key-of-twenty-bytes-" + std::to_string(account) + "-" +
-         std::to_string(which);
+         std::to_string(key_number);
 }
 
-RoutingConfig ConfigOf(int accounts, const KeyedHasher& digester) {
+RoutingConfig MakeConfig(int accounts, const KeyedHasher& hasher) {
   RoutingConfig config;
   config.version = 1;
   for (int i = 0; i < accounts; ++i) {
     Account account;
     account.name = "account-" + std::to_string(i);
-    account.key_digests = {digester.Digest(KeyOf(i, 0)),
-                           digester.Digest(KeyOf(i, 1))};
+    account.key_digests = {hasher.Digest(AccountKey(i, 0)),
+                           hasher.Digest(AccountKey(i, 1))};
     account.limit = {100, 100};
     config.accounts.push_back(account);
   }
   return config;
 }
 
-CostCurve SlopeOf(const char* name) {
-  CostCurve slope;
-  slope.name = name;
-  slope.size_unit = "accounts with two keys";
-  return slope;
+CostCurve MakeCurve(const char* name) {
+  CostCurve curve;
+  curve.name = name;
+  curve.size_unit = "accounts with two keys";
+  return curve;
 }
 
-// Bytes that another host is told: the whole, or that one key was taken.
-double BytesTold(const RoutingConfig& config, bool whole) {
+// Bytes of the configuration update to another host: in full, or the removal of
+// one key only.
+double UpdateBytes(const RoutingConfig& config, bool full) {
   ConfigHistory history;
   history.Append(config);
   RoutingConfig changed = config;
@@ -48,50 +49,51 @@
   changed.accounts.front().key_digests.pop_back();
   history.Append(changed);
   return static_cast<double>(
-      history.EncodedUpdateSince(changed, whole ? 0 : 1).size());
+      history.EncodedUpdateSince(changed, full ? 0 : 1).size());
 }
 
 }  // namespace
 
 std::vector<CostCurve> MeasureAccountCosts() {
-  CostCurve known = SlopeOf("account of a key found, us");
-  CostCurve unknown = SlopeOf("key that nobody holds looked up, us");
-  CostCurve taken = SlopeOf("request counted in its limit, us");
-  CostCurve whole = SlopeOf("configuration told whole, bytes");
-  CostCurve change = SlopeOf("one key taken away told, bytes");
-  KeyedHasher digester;
-  digester.SetSecret("a secret");
+  CostCurve known_key = MakeCurve("account found by its key, us");
+  CostCurve unknown_key = MakeCurve("unknown key looked up, us");
+  CostCurve counted = MakeCurve("request counted against its limit, us");
+  CostCurve full = MakeCurve("configuration sent in full, bytes");
+  CostCurve key_removal = MakeCurve("removal of one key sent, bytes");
+  KeyedHasher hasher;
+  hasher.SetSecret("a secret");
   for (const int size : kSizes) {
-    const RoutingConfig config = ConfigOf(size, digester);
+    const RoutingConfig config = MakeConfig(size, hasher);
     AccountTable table;
     table.SetAccounts(std::make_shared<std::vector<Account>>(config.accounts));
     std::vector<HttpHeaders> callers;
-    std::vector<HttpHeaders> strangers;
+    std::vector<HttpHeaders> unknown_callers;
     for (int i = 0; i < size; ++i) {
-      callers.push_back(
-          {{"Host", "test"}, {"Authorization", "Bearer " + KeyOf(i, i % 2)}});
-      strangers.push_back(
-          {{"Host", "test"}, {"Authorization", "Bearer " + KeyOf(i, 7)}});
+      callers.push_back({{"Host", "test"},
+                         {"Authorization", "Bearer " + AccountKey(i, i % 2)}});
+      unknown_callers.push_back(
+          {{"Host", "test"}, {"Authorization", "Bearer " + AccountKey(i, 7)}});
     }
-    const auto time = [&](const std::vector<HttpHeaders>& requests) {
+    const auto measure = [&](const std::vector<HttpHeaders>& requests) {
       return MakeCostPoint(size, TimeCalls(kCalls, [&](std::size_t i) {
                              IdentifyCaller(requests[i % requests.size()],
-                                            table, digester);
+                                            table, hasher);
                            }));
     };
-    known.points.push_back(time(callers));
-    unknown.points.push_back(time(strangers));
+    known_key.points.push_back(measure(callers));
+    unknown_key.points.push_back(measure(unknown_callers));
     QuotaControl quotas("domain", "host", 1);
     const Time now = BootClock::now();
-    taken.points.push_back(MakeCostPoint(
+    counted.points.push_back(MakeCostPoint(
         size, TimeCalls(kCalls, [&](std::size_t i) {
           quotas.Admit(config.accounts[i % size], now + Duration(i));
         })));
-    whole.points.push_back(MakeCostPoint(size, {BytesTold(config, true)}));
-    change.points.push_back(MakeCostPoint(size, {BytesTold(config, false)}));
+    full.points.push_back(MakeCostPoint(size, {UpdateBytes(config, true)}));
+    key_removal.points.push_back(
+        MakeCostPoint(size, {UpdateBytes(config, false)}));
   }
-  return {FitLine(known), FitLine(unknown), FitLine(taken), FitLine(whole),
-          FitLine(change)};
+  return {FitLine(known_key), FitLine(unknown_key), FitLine(counted),
+          FitLine(full), FitLine(key_removal)};
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/lab/caller_retry_cases.cpp
+++ b/src/pathcleat/lab/caller_retry_cases.cpp
@@ -12,20 +12,21 @@
   return Quantile(std::move(values), 0.5);
 }
 
-struct ReturnCase {
+struct RetryCase {
   std::string name;
   CallerRetryPlan plan;
 };
 
-// The short kind is warm, the urgent one cold and long: each of its requests
-// has a key of its own. They are weighed by their slot time.
+// The short kind is mostly warm, the urgent kind long and always cold, as each
+// of its requests has its own key. The load is a multiple of the slot time
+// available.
 CallerRetryPlan OverloadPlan(double load) {
   CallerRetryPlan plan = UrgentAndShortPlan();
   plan.requests_per_second *= load;
   return plan;
 }
 
-std::vector<ReturnCase> ReturnCases() {
+std::vector<RetryCase> RetryCases() {
   CallerRetryPlan burst;
   burst.requests_per_second = 400;
   burst.fault.load_factor = 1.7;
@@ -33,10 +34,10 @@
   loss.requests_per_second = 400;
   loss.fault.domain_fails = true;
   loss.fault.cold_requests_per_second = 4;
-  return {{"burst of 1.7 for 3 s", burst},
-          {"a domain lost for 3 s, cold after", loss},
-          {"150%", OverloadPlan(1.5)},
-          {"300%", OverloadPlan(3)}};
+  return {{"load x 1.7 for 3 s", burst},
+          {"one domain down for 3 s, cold afterwards", loss},
+          {"load 150%", OverloadPlan(1.5)},
+          {"load 300%", OverloadPlan(3)}};
 }
 
 std::string Cell(const std::vector<double>& values) {
@@ -55,41 +56,41 @@
   urgent.deadline = Duration(3'000'000);
   urgent.mean_run_time = Duration(400'000);
   urgent.keys = 0;
-  CallerRetryKind brief;
-  brief.name = "short";
-  brief.priority = 2;
-  brief.weight = 3;
-  plan.kinds = {urgent, brief};
-  // 72 slots; a request takes 0.4 s once and 0.144 s three times of four.
+  CallerRetryKind short_kind;
+  short_kind.name = "short";
+  short_kind.priority = 2;
+  short_kind.weight = 3;
+  plan.kinds = {urgent, short_kind};
+  // 72 slots; one request of four takes 0.4 s, three take 0.144 s each.
   plan.requests_per_second = 345;
   return plan;
 }
 
 std::string MeasureCallerRetries(int seeds) {
   std::string text =
-      "| case | kind | served | earned | told to return | of them served at "
-      "the first return | refused again |\n|---|---|---|---|---|---|---|\n";
-  for (const ReturnCase& one : ReturnCases()) {
-    for (const CallerRetryKind& kind : one.plan.kinds) {
+      "| case | kind | served | credit | told to retry | of these served at "
+      "the first retry | retries refused |\n|---|---|---|---|---|---|---|\n";
+  for (const RetryCase& retry_case : RetryCases()) {
+    for (const CallerRetryKind& kind : retry_case.plan.kinds) {
       std::vector<double> served;
-      std::vector<double> earned;
-      std::vector<double> told;
-      std::vector<double> first_return;
-      std::vector<double> again;
+      std::vector<double> credit;
+      std::vector<double> told_to_retry;
+      std::vector<double> first_retry;
+      std::vector<double> retries_refused;
       for (int seed = 1; seed <= seeds; ++seed) {
-        CallerRetryPlan plan = one.plan;
+        CallerRetryPlan plan = retry_case.plan;
         plan.seed = static_cast<std::uint64_t>(seed);
         const CallerRetryCounts counts = RunCallerRetryModel(plan)[kind.name];
         const double offered = std::max(1, counts.offered);
         served.push_back(counts.ServedShare());
-        earned.push_back(counts.CreditShare());
-        told.push_back(counts.told_to_retry / offered);
-        first_return.push_back(counts.FirstRetryShare());
-        again.push_back(counts.retries_refused / offered);
+        credit.push_back(counts.CreditShare());
+        told_to_retry.push_back(counts.told_to_retry / offered);
+        first_retry.push_back(counts.FirstRetryShare());
+        retries_refused.push_back(counts.retries_refused / offered);
       }
-      text += "| " + one.name + " | " + kind.name + Cell(served) +
-              Cell(earned) + Cell(told) + Cell(first_return) + Cell(again) +
-              " |\n";
+      text += "| " + retry_case.name + " | " + kind.name + Cell(served) +
+              Cell(credit) + Cell(told_to_retry) + Cell(first_retry) +
+              Cell(retries_refused) + " |\n";
     }
   }
   return text;
--- a/src/pathcleat/lab/client_block_table_costs.cpp
+++ b/src/pathcleat/lab/client_block_table_costs.cpp
@@ -8,22 +8,23 @@
 namespace pathcleat {
 namespace {
 
-constexpr std::uint16_t kSites = 2'500;
+constexpr std::uint16_t kRegions = 2'500;
 constexpr std::size_t kSizes[] = {550'000, 1'100'000, 2'200'000, 4'400'000};
 constexpr double kMegabyte = 1e6;
-constexpr double kNanos = 1e3;
+constexpr double kUnitStep = 1e3;  // ns per us, and us per ms
 
-// Blocks of random lengths over all addresses, each of a random site.
+// Blocks of random lengths that cover the whole IPv4 address space, each
+// assigned to a random region.
 std::vector<ClientBlockRow> MakeRows(std::size_t count) {
   std::mt19937_64 random(count);
   const double step = 4294967296.0 / static_cast<double>(count);
-  std::uniform_real_distribution<double> place(0.0, 1.0);
+  std::uniform_real_distribution<double> position(0.0, 1.0);
   std::vector<ClientBlockRow> rows;
   rows.reserve(count);
   for (std::size_t i = 0; i < count; ++i) {
-    const double first = (static_cast<double>(i) + place(random)) * step;
+    const double first = (static_cast<double>(i) + position(random)) * step;
     rows.push_back({static_cast<std::uint32_t>(first),
-                    static_cast<std::uint16_t>(random() % kSites)});
+                    static_cast<std::uint16_t>(random() % kRegions)});
   }
   return rows;
 }
@@ -43,7 +44,7 @@
     std::vector<double> builds = TimeCalls(
         1, [&rows](std::size_t) { const ClientBlockTable built(rows); });
     for (double& micros : builds) {
-      micros /= kNanos;
+      micros /= kUnitStep;
     }
     build.points.push_back(MakeCostPoint(x, builds));
     ClientBlockTable table(rows);
@@ -55,7 +56,7 @@
     std::vector<double> look_ups =
         TimeCalls(kLookUps, [&](std::size_t) { sum += table.Find(random()); });
     for (double& micros : look_ups) {
-      micros *= kNanos;
+      micros *= kUnitStep;
     }
     look_up.points.push_back(MakeCostPoint(x, look_ups));
     std::vector<double> changes;
@@ -63,16 +64,16 @@
     constexpr int kRuns = 5;
     constexpr std::size_t kChanges = 2'000;
     for (int run = 0; run < kRuns; ++run) {
-      const double began = CpuMicros();
+      const double started = CpuMicros();
       for (std::size_t i = 0; i < kChanges; ++i) {
         const std::uint32_t first = random() & 0xFFFFFF00U;
         table.Assign(first, first + 0xFF,
-                     static_cast<std::uint16_t>(sum % kSites));
+                     static_cast<std::uint16_t>(sum % kRegions));
       }
-      const double changed = CpuMicros();
+      const double changes_done = CpuMicros();
       table.Compact();
-      changes.push_back((changed - began) / kChanges);
-      merges.push_back((CpuMicros() - changed) / kNanos);
+      changes.push_back((changes_done - started) / kChanges);
+      merges.push_back((CpuMicros() - changes_done) / kUnitStep);
     }
     change.points.push_back(MakeCostPoint(x, changes));
     compact.points.push_back(MakeCostPoint(x, merges));
--- a/src/pathcleat/lab/crash_model_test.cpp
+++ b/src/pathcleat/lab/crash_model_test.cpp
@@ -1,6 +1,6 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-// What hosts find out about requests that crash upstreams, and whom they
-// wrong, in the model.
+// Detection of requests that crash upstreams, and wrongly blocked requests, in
+// the simulated fleet.
 
 #include "pathcleat/lab/crash_model.hpp"
 
@@ -13,9 +13,9 @@
 
 constexpr int kSeeds = 5;
 
-// Guards against a request that brings down more upstreams than it takes to
-// know it: three, and what is on its way meanwhile.
-Test(crash_model, fatal_request_brings_down_three_upstreams_and_few_more) {
+// Guards against a request that crashes more upstreams than needed to block it:
+// three, plus those that crash while the reports are under way.
+Test(crash_model, fatal_request_crashes_three_to_six_upstreams) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     CrashModelPlan plan;
     plan.fatal_interval = milliseconds(250);
@@ -26,9 +26,9 @@
   }
 }
 
-// Guards against a popular request that is refused as it lay on upstreams
-// which crashed for another reason: each second by one caller, while 15 in 100
-// of the upstreams crash every five seconds.
+// Guards against blocking a frequent request that was running on upstreams
+// which crashed for another reason: each caller repeats its request every
+// second, and 15% of the upstreams crash every five seconds.
 Test(crash_model, repeated_requests_are_not_refused_when_upstreams_crash) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     CrashModelPlan plan;
@@ -40,9 +40,9 @@
   }
 }
 
-// Guards against others' requests being taken for the cause while the fatal
-// one brings upstreams down.
-Test(crash_model, others_are_not_refused_beside_a_fatal_request) {
+// Guards against blocking other requests that run on the upstreams which the
+// fatal request crashes.
+Test(crash_model, other_requests_are_not_refused_beside_a_fatal_request) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     CrashModelPlan plan;
     plan.crashing_share = 0.15;
--- a/src/pathcleat/lab/deployment_config.cpp
+++ b/src/pathcleat/lab/deployment_config.cpp
@@ -6,7 +6,8 @@
 namespace pathcleat {
 namespace {
 
-// A kind's path under its service, with a slash at both ends.
+// Path prefix of a kind of request under its service, always with a slash at
+// the end.
 std::string PrefixOf(const Service& service, const RequestKind& kind) {
   std::string prefix = service.path_prefix + kind.path_prefix;
   if (!prefix.ends_with('/')) {
@@ -73,7 +74,7 @@
 
 std::string SettingsTextOf(const Deployment& deployment, HostIndex index) {
   using nlohmann::ordered_json;
-  const EntryHost& seat = deployment.At(index);
+  const EntryHost& host = deployment.At(index);
   ordered_json domains = ordered_json::array();
   for (const FailureDomain& domain : deployment.domains) {
     domains.push_back(
@@ -86,20 +87,20 @@
                        {"max_in_flight", link.max_in_flight}});
     }
   }
-  const std::string callers = AddressText(seat.address, seat.caller_port);
+  const std::string callers = AddressText(host.address, host.caller_port);
   const ordered_json settings = {
-      {"host", seat.name},
-      {"failure_domain", deployment.At(seat.domain).name},
+      {"host", host.name},
+      {"failure_domain", deployment.At(host.domain).name},
       {"region", deployment.At(deployment.RegionOf(index)).name},
       {"failure_domains", domains},
       {"listen",
        {{"callers", callers},
-        {"readiness", AddressText(seat.address, static_cast<std::uint16_t>(
-                                                    seat.caller_port + 1))},
-        {"locate", AddressText(seat.address, static_cast<std::uint16_t>(
-                                                 seat.caller_port + 2))},
-        {"operators", AddressText(seat.address, seat.operator_port)}}},
-      {"peers", {{"address", seat.address}, {"port", seat.peer_port}}},
+        {"readiness", AddressText(host.address, static_cast<std::uint16_t>(
+                                                    host.caller_port + 1))},
+        {"locate", AddressText(host.address, static_cast<std::uint16_t>(
+                                                 host.caller_port + 2))},
+        {"operators", AddressText(host.address, host.operator_port)}}},
+      {"peers", {{"address", host.address}, {"port", host.peer_port}}},
       {"store",
        {{"address",
          AddressText(deployment.platform.address, deployment.platform.port)}}},
--- a/src/pathcleat/lab/heartbeat_costs.cpp
+++ b/src/pathcleat/lab/heartbeat_costs.cpp
@@ -23,24 +23,25 @@
   return heartbeat;
 }
 
-// Microseconds to seal and send to, and to take from, so many hosts once.
+// CPU microseconds to seal the heartbeats of so many hosts, and to verify,
+// decode and record them, once each.
 double RoundMicros(int hosts) {
   HostTable table(HeartbeatOf(-1).host, Duration(2'500'000));
-  const double began = CpuMicros();
+  const double started = CpuMicros();
   for (int i = 0; i < hosts; ++i) {
     const std::string bytes = AppendMac(EncodeHeartbeat(HeartbeatOf(i)), kKey);
     const auto message = VerifyMac(bytes, kKey);
     const auto heartbeat = DecodeHeartbeat(*message);
     table.OnHeartbeat(heartbeat->host, heartbeat->versions, BootClock::now());
   }
-  return CpuMicros() - began;
+  return CpuMicros() - started;
 }
 
 }  // namespace
 
 std::vector<CostCurve> MeasureHeartbeatCosts() {
   CostCurve time;
-  time.name = "heartbeats sent and taken once, us";
+  time.name = "heartbeats sent and received once, us";
   time.size_unit = "other hosts";
   for (const int size : {10, 50, 100, 200}) {
     std::vector<double> runs;
@@ -54,9 +55,9 @@
   bytes.name = "heartbeats sent once, bytes without headers";
   bytes.size_unit = "other hosts";
   for (const int size : {10, 100}) {
-    const double one = static_cast<double>(
+    const double single = static_cast<double>(
         AppendMac(EncodeHeartbeat(HeartbeatOf(1)), kKey).size());
-    bytes.points.push_back(MakeCostPoint(size, {one * size}));
+    bytes.points.push_back(MakeCostPoint(size, {single * size}));
   }
   return {FitLine(time), FitLine(bytes)};
 }
--- a/src/pathcleat/lab/limit_cases.cpp
+++ b/src/pathcleat/lab/limit_cases.cpp
@@ -32,10 +32,10 @@
       {"78 hosts, 40 of 120 limited", Fleet(13, 120, 40)},
       {"300 hosts, 8 of 24 limited", Fleet(50, 24, 8)},
       {"300 hosts, all 24 limited", Fleet(50, 24, 24)},
-      {"300 hosts, 10 a second each", Fleet(50, 24, 8)},
-      {"78 hosts, one in three starts again", Fleet(13, 120, 40)},
-      {"78 hosts, cut in halves", Fleet(13, 120, 40)},
-      {"12 hosts, cut in halves", Fleet(2, 24, 8)},
+      {"300 hosts, limits of 10/s", Fleet(50, 24, 8)},
+      {"78 hosts, one in three restarts", Fleet(13, 120, 40)},
+      {"78 hosts, partitioned in halves", Fleet(13, 120, 40)},
+      {"12 hosts, partitioned in halves", Fleet(2, 24, 8)},
   };
   cases[5].plan.limit_per_second = 10;
   cases[5].plan.requests_per_second = 480;
@@ -45,22 +45,22 @@
   return cases;
 }
 
-const char* ToString(LimitStrategy way) {
-  switch (way) {
+const char* ToString(LimitStrategy strategy) {
+  switch (strategy) {
     case LimitStrategy::kNone:
       return "none";
     case LimitStrategy::kEqualShare:
-      return "own part";
+      return "equal share";
     case LimitStrategy::kReportedUsage:
-      return "usage told";
+      return "reported usage";
     case LimitStrategy::kFewSenders:
       return "few senders";
   }
   return "none";
 }
 
-std::string Row(LimitModelPlan plan, LimitStrategy way, int seeds) {
-  plan.strategy = way;
+std::string Row(LimitModelPlan plan, LimitStrategy strategy, int seeds) {
+  plan.strategy = strategy;
   LimitModelResult sum;
   LimitModelResult worst;
   for (int seed = 1; seed <= seeds; ++seed) {
@@ -77,11 +77,12 @@
     sum.bytes_per_host_per_second += result.bytes_per_host_per_second / seeds;
   }
   std::ostringstream row;
-  row << std::fixed << std::setprecision(2) << " | " << ToString(way) << " | "
-      << worst.max_window_ratio << " | " << worst.max_informed_window_ratio
-      << " | " << sum.used_share << " | " << sum.refused_share << " | "
-      << std::setprecision(1) << worst.end_delay_seconds << " | "
-      << std::setprecision(0) << sum.bytes_per_host_per_second << " |\n";
+  row << std::fixed << std::setprecision(2) << " | " << ToString(strategy)
+      << " | " << worst.max_window_ratio << " | "
+      << worst.max_informed_window_ratio << " | " << sum.used_share << " | "
+      << sum.refused_share << " | " << std::setprecision(1)
+      << worst.end_delay_seconds << " | " << std::setprecision(0)
+      << sum.bytes_per_host_per_second << " |\n";
   return row.str();
 }
 
@@ -89,14 +90,16 @@
 
 std::string CompareLimitStrategies(int seeds) {
   std::string table =
-      "| fleet | way | fullest 4 s over what they may hold | of hosts that "
-      "were told | part of the limits used | refused | end known after, s | "
-      "bytes a host and second |\n|---|---|---|---|---|---|---|---|\n";
-  for (const LimitCase& one : Cases()) {
-    for (const LimitStrategy way :
+      "| fleet | strategy | fullest 4 s window / allowed | same, informed "
+      "hosts "
+      "| share of the limits used | refused share | end known after, s | "
+      "bytes per host and second |\n|---|---|---|---|---|---|---|---|\n";
+  for (const LimitCase& limit_case : Cases()) {
+    for (const LimitStrategy strategy :
          {LimitStrategy::kNone, LimitStrategy::kEqualShare,
           LimitStrategy::kReportedUsage, LimitStrategy::kFewSenders}) {
-      table += std::string("| ") + one.name + Row(one.plan, way, seeds);
+      table += std::string("| ") + limit_case.name +
+               Row(limit_case.plan, strategy, seeds);
     }
   }
   return table;
--- a/src/pathcleat/lab/limit_model.cpp
+++ b/src/pathcleat/lab/limit_model.cpp
@@ -19,20 +19,21 @@
 namespace {
 
 constexpr Duration kStep{5'000};
-constexpr Duration kTick{250'000};
-constexpr Duration kTellEvery{500'000};
-constexpr Duration kContact{3'000'000};
-constexpr Duration kToldBefore{500'000};
-// A host that is not heard counts for so long where limits are shared.
-constexpr Duration kSharesFor{4'000'000};
-constexpr Duration kLongestQueue{2'000'000};
+constexpr Duration kTickInterval{250'000};
+constexpr Duration kReportInterval{500'000};
+constexpr Duration kSettlingTime{3'000'000};
+constexpr Duration kInformedDelay{500'000};
+// Hosts count a silent host among those that share a limit for this long after
+// its last message.
+constexpr Duration kSilentSharerTtl{4'000'000};
+constexpr Duration kMaxQueueWait{2'000'000};
 
-class LimitPlay {
+class LimitModel {
  public:
-  explicit LimitPlay(const LimitModelPlan& plan)
-      : plan_(plan), random_(plan.seed), upstreams_(Count(plan.upstreams)) {
+  explicit LimitModel(const LimitModelPlan& plan)
+      : plan_(plan), random_(plan.seed), upstreams_(ToSize(plan.upstreams)) {
     for (Upstream& upstream : upstreams_) {
-      upstream.free.assign(Count(plan.slots), now_);
+      upstream.slot_free_at.assign(ToSize(plan.slots), now_);
     }
     for (int d = 0; d < plan.domains; ++d) {
       for (int h = 0; h < plan.hosts_in_domain; ++h) {
@@ -46,14 +47,14 @@
   }
 
   LimitModelResult Run() {
-    const Time end = begun_ + plan_.duration;
+    const Time end = start_ + plan_.duration;
     for (; now_ < end; now_ += kStep) {
       Deliver();
-      EndRuns();
+      FinishRuns();
       Arrive();
       Tick();
       Restart();
-      NoteKnownOver();
+      RecordEndDelay();
     }
     return Result();
   }
@@ -65,28 +66,28 @@
     std::unique_ptr<UpstreamTable> table;
     std::unique_ptr<LimitExchange> exchange;
     std::vector<UpstreamPtr> upstreams;
-    std::vector<Time> told;  ///< first answer that named a limit; by upstream
+    std::vector<Time> informed_at;  ///< first answer with a limit; by upstream
     Time next_tick;
-    Time next_tell;
+    Time next_report;
   };
   struct Upstream {
-    std::vector<Time> free;  ///< when each slot is
+    std::vector<Time> slot_free_at;  ///< by slot
     std::vector<LimitArrival> arrivals;
-    Time first_named;
+    Time first_reported;
   };
   struct Work {
-    Time answered;
+    Time answered_at;
     std::size_t host;
     std::size_t upstream;
-    Time sent;
-    bool named;
+    Time sent_at;
+    bool limit_reported;
   };
   struct Message {
-    Time arrives;
+    Time arrives_at;
     std::size_t to;
     LimitReport report;
   };
-  static std::size_t Count(int count) {
+  static std::size_t ToSize(int count) {
     return static_cast<std::size_t>(count);
   }
 
@@ -102,7 +103,7 @@
           }
         });
     host.upstreams.clear();
-    host.told.assign(upstreams_.size(), Time::max());
+    host.informed_at.assign(upstreams_.size(), Time::max());
     for (std::size_t i = 0; i < upstreams_.size(); ++i) {
       UpstreamInfo info;
       info.id = "i-" + std::to_string(i);
@@ -112,34 +113,35 @@
       host.table->Put(info, now_);
       host.upstreams.push_back(host.table->Find(info.id));
     }
-    host.next_tick = now_ + UpTo(kTick);
-    host.next_tell = now_ + UpTo(kTellEvery);
+    host.next_tick = now_ + RandomDuration(kTickInterval);
+    host.next_report = now_ + RandomDuration(kReportInterval);
   }
 
-  Duration UpTo(Duration most) {
-    return Duration(AnyOf(static_cast<std::size_t>(most.count()) + 1));
+  Duration RandomDuration(Duration max_duration) {
+    return Duration(
+        RandomIndex(static_cast<std::size_t>(max_duration.count()) + 1));
   }
-  std::size_t AnyOf(std::size_t count) {
+  std::size_t RandomIndex(std::size_t count) {
     return std::uniform_int_distribution<std::size_t>(0, count - 1)(random_);
   }
 
-  bool IsNeeding(std::size_t upstream, Time at) const {
-    return upstream < Count(plan_.limited_upstreams) &&
-           at >= begun_ + plan_.limited_from &&
-           at < begun_ + plan_.limited_until;
+  bool IsLimited(std::size_t upstream, Time at) const {
+    return upstream < ToSize(plan_.limited_upstreams) &&
+           at >= start_ + plan_.limited_from &&
+           at < start_ + plan_.limited_until;
   }
 
-  bool IsCut(Time since) const {
+  bool IsPartitioned(Time since) const {
     return plan_.partition_from > Duration::zero() &&
-           since >= begun_ + plan_.partition_from &&
-           now_ < begun_ + plan_.limited_until;
+           since >= start_ + plan_.partition_from &&
+           now_ < start_ + plan_.limited_until;
   }
-  bool Hears(const Host& one, const Host& other) const {
+  bool CanReach(const Host& one, const Host& other) const {
     const int half = plan_.domains / 2;
-    return !IsCut(now_) || (one.domain < half) == (other.domain < half);
+    return !IsPartitioned(now_) || (one.domain < half) == (other.domain < half);
   }
-  bool Shares(const Host& one, const Host& other) const {
-    return !IsCut(now_ - kSharesFor) || Hears(one, other);
+  bool CountsAsSharer(const Host& one, const Host& other) const {
+    return !IsPartitioned(now_ - kSilentSharerTtl) || CanReach(one, other);
   }
 
   double RateOf(const Host& host, const UpstreamState& upstream) const {
@@ -149,7 +151,7 @@
     }
     RateSenders senders(StableHash(host.name), "r");
     for (const Host& other : hosts_) {
-      if (&other != &host && Shares(host, other)) {
+      if (&other != &host && CountsAsSharer(host, other)) {
         senders.AddHost(StableHash(other.name), "r");
       }
     }
@@ -159,21 +161,22 @@
         upstream.hash, "r");
   }
 
-  // What others sent is told in rounds.
+  // What other hosts sent is known up to the last report, one per
+  // kReportInterval.
   bool HasUsageLeft(const Upstream& upstream,
                     const UpstreamState& state,
                     std::size_t host) const {
-    const Time told = begun_ + (now_ - plan_.one_way_delay - begun_) /
-                                   kTellEvery * kTellEvery;
+    const Time last_report = start_ + (now_ - plan_.one_way_delay - start_) /
+                                          kReportInterval * kReportInterval;
     double sent = 0;
     for (auto at = upstream.arrivals.rbegin();
          at != upstream.arrivals.rend() && now_ - at->at < kLimitWindow; ++at) {
-      sent += at->host == host || at->at <= told ? 1 : 0;
+      sent += at->host == host || at->at <= last_report ? 1 : 0;
     }
     return sent < state.limit.PerSecond(now_) * ToSeconds(kLimitWindow);
   }
 
-  bool MayTake(std::size_t host, std::size_t index) {
+  bool MaySend(std::size_t host, std::size_t index) {
     UpstreamState& state = *hosts_[host].upstreams[index];
     if (plan_.strategy == LimitStrategy::kNone ||
         !state.limit.IsInForce(now_)) {
@@ -185,16 +188,17 @@
     return state.rate_share.TryAcquire(now_);
   }
 
-  // As UpstreamPicker does it.
-  void PutToBeAskedFirst(std::size_t host, std::vector<std::size_t>& order) {
-    const auto asked =
+  // As UpstreamPicker does: an upstream whose limit should be probed comes
+  // first.
+  void MoveProbeFirst(std::size_t host, std::vector<std::size_t>& order) {
+    const auto probe =
         std::find_if(order.begin(), order.end(), [&](std::size_t index) {
           const UpstreamState& state = *hosts_[host].upstreams[index];
           return state.limit.ShouldProbe(now_) &&
                  state.rate_share.CanAcquire(now_);
         });
-    if (plan_.strategy == LimitStrategy::kFewSenders && asked != order.end()) {
-      std::iter_swap(order.begin(), asked);
+    if (plan_.strategy == LimitStrategy::kFewSenders && probe != order.end()) {
+      std::iter_swap(order.begin(), probe);
     }
   }
 
@@ -202,14 +206,14 @@
     std::poisson_distribution<int> count(plan_.requests_per_second *
                                          ToSeconds(kStep));
     for (int left = count(random_); left > 0; --left) {
-      const std::size_t host = AnyOf(hosts_.size());
+      const std::size_t host = RandomIndex(hosts_.size());
       std::vector<std::size_t> order(upstreams_.size());
       std::iota(order.begin(), order.end(), std::size_t{0});
       std::shuffle(order.begin(), order.end(), random_);
-      PutToBeAskedFirst(host, order);
+      MoveProbeFirst(host, order);
       const auto chosen =
           std::find_if(order.begin(), order.end(),
-                       [&](std::size_t index) { return MayTake(host, index); });
+                       [&](std::size_t index) { return MaySend(host, index); });
       ++requests_;
       if (chosen == order.end()) {
         ++refused_;
@@ -221,75 +225,80 @@
 
   void Send(std::size_t host, std::size_t index) {
     Upstream& upstream = upstreams_[index];
-    const Time told = hosts_[host].told[index];
+    const Time informed_at = hosts_[host].informed_at[index];
     upstream.arrivals.push_back(
-        {now_, host, told != Time::max() && told <= now_ - kToldBefore});
-    auto& slot = *std::min_element(upstream.free.begin(), upstream.free.end());
-    Time ends = now_;
-    if (slot - now_ < kLongestQueue) {
+        {now_, host,
+         informed_at != Time::max() && informed_at <= now_ - kInformedDelay});
+    auto& slot = *std::min_element(upstream.slot_free_at.begin(),
+                                   upstream.slot_free_at.end());
+    Time ends_at = now_;
+    if (slot - now_ < kMaxQueueWait) {
       std::exponential_distribution<double> draw(1.0);
       const auto mean = static_cast<double>(plan_.mean_run_time.count());
       slot = std::max(slot, now_) +
              Duration(static_cast<std::int64_t>(mean * draw(random_)));
-      ends = slot;
+      ends_at = slot;
     } else {
       ++refused_;
     }
-    runs_.push_back({ends + plan_.one_way_delay, host, index, now_,
-                     IsNeeding(index, ends)});
+    runs_.push_back({ends_at + plan_.one_way_delay, host, index, now_,
+                     IsLimited(index, ends_at)});
   }
 
-  void EndRuns() {
+  void FinishRuns() {
     std::vector<Work> ended;
     std::erase_if(runs_, [&](const Work& run) {
-      if (now_ >= run.answered) {
+      if (now_ >= run.answered_at) {
         ended.push_back(run);
       }
-      return now_ >= run.answered;
+      return now_ >= run.answered_at;
     });
     for (const Work& run : ended) {
       Host& host = hosts_[run.host];
       const UpstreamPtr& upstream = host.upstreams[run.upstream];
-      if (!run.named) {
-        host.exchange->OnNoLimitReported(upstream, run.sent, now_);
+      if (!run.limit_reported) {
+        host.exchange->OnNoLimitReported(upstream, run.sent_at, now_);
         continue;
       }
-      host.told[run.upstream] = std::min(host.told[run.upstream], now_);
-      Upstream& seen = upstreams_[run.upstream];
-      if (seen.first_named == Time()) {
-        seen.first_named = now_;
+      host.informed_at[run.upstream] =
+          std::min(host.informed_at[run.upstream], now_);
+      Upstream& limited_upstream = upstreams_[run.upstream];
+      if (limited_upstream.first_reported == Time()) {
+        limited_upstream.first_reported = now_;
       }
-      const bool first = !upstream->limit.IsInForce(now_);
+      const bool is_first = !upstream->limit.IsInForce(now_);
       host.exchange->OnLimitReported(upstream, plan_.limit_per_second, now_);
-      if (first) {
-        Tell(run.host);
+      if (is_first) {
+        SendReports(run.host);
       }
     }
   }
 
-  // As PeerLink does it: each domain's first host tells the other domains.
-  void Tell(std::size_t from) {
+  // As in PeerLink: the first host of each domain also reports to the other
+  // domains.
+  void SendReports(std::size_t from) {
     Host& host = hosts_[from];
-    const LimitReport own = host.exchange->OwnLimits(now_);
+    const LimitReport own_limits = host.exchange->OwnLimits(now_);
     for (std::size_t to = 0; to < hosts_.size(); ++to) {
       if (to != from && hosts_[to].domain == host.domain) {
-        Post(from, to, own);
+        PostReport(from, to, own_limits);
       }
     }
-    const auto in_domain = Count(plan_.hosts_in_domain);
+    const auto in_domain = ToSize(plan_.hosts_in_domain);
     if (from % in_domain != 0) {
       return;
     }
-    const LimitReport far = host.exchange->DomainLimits(now_);
+    const LimitReport domain_limits = host.exchange->DomainLimits(now_);
     for (int d = 0; d < plan_.domains; ++d) {
       if (d != host.domain) {
-        Post(from, Count(d) * in_domain + AnyOf(in_domain), far);
+        PostReport(from, ToSize(d) * in_domain + RandomIndex(in_domain),
+                   domain_limits);
       }
     }
   }
 
-  void Post(std::size_t from, std::size_t to, const LimitReport& report) {
-    if (report.entries.empty() || !Hears(hosts_[from], hosts_[to])) {
+  void PostReport(std::size_t from, std::size_t to, const LimitReport& report) {
+    if (report.entries.empty() || !CanReach(hosts_[from], hosts_[to])) {
       return;
     }
     bytes_ += static_cast<double>(EncodeLimits(report).size());
@@ -297,7 +306,7 @@
   }
 
   void Deliver() {
-    while (!messages_.empty() && messages_.front().arrives <= now_) {
+    while (!messages_.empty() && messages_.front().arrives_at <= now_) {
       const Message message = std::move(messages_.front());
       messages_.pop_front();
       Host& host = hosts_[message.to];
@@ -305,11 +314,11 @@
       if (!message.report.forward_to_domain) {
         continue;
       }
-      LimitReport passed = message.report;
-      passed.forward_to_domain = false;
+      LimitReport forwarded = message.report;
+      forwarded.forward_to_domain = false;
       for (std::size_t to = 0; to < hosts_.size(); ++to) {
         if (to != message.to && hosts_[to].domain == host.domain) {
-          Post(message.to, to, passed);
+          PostReport(message.to, to, forwarded);
         }
       }
     }
@@ -319,53 +328,53 @@
     for (std::size_t i = 0; i < hosts_.size(); ++i) {
       Host& host = hosts_[i];
       if (now_ >= host.next_tick) {
-        host.next_tick += kTick;
+        host.next_tick += kTickInterval;
         host.exchange->Tick(now_);
         for (const UpstreamPtr& upstream : host.table->MaybeRateBounded(now_)) {
           upstream->rate_share.SetRate(RateOf(host, *upstream), now_);
         }
       }
-      if (now_ >= host.next_tell) {
-        host.next_tell += kTellEvery;
-        Tell(i);
+      if (now_ >= host.next_report) {
+        host.next_report += kReportInterval;
+        SendReports(i);
       }
     }
   }
 
   void Restart() {
-    const Time middle = begun_ + (plan_.limited_from + plan_.limited_until) / 2;
+    const Time middle = start_ + (plan_.limited_from + plan_.limited_until) / 2;
     if (plan_.restart_one_in == 0 || now_ < middle ||
         std::exchange(restarted_, true)) {
       return;
     }
     for (std::size_t i = 0; i < hosts_.size();
-         i += Count(plan_.restart_one_in)) {
+         i += ToSize(plan_.restart_one_in)) {
       Start(hosts_[i]);
     }
   }
 
-  void NoteKnownOver() {
-    const Time over = begun_ + plan_.limited_until;
+  void RecordEndDelay() {
+    const Time limit_end = start_ + plan_.limited_until;
     for (const Host& host : hosts_) {
-      if (now_ > over && !host.exchange->limited_upstreams().empty()) {
-        known_over_ = now_ - over;
+      if (now_ > limit_end && !host.exchange->limited_upstreams().empty()) {
+        end_delay_ = now_ - limit_end;
       }
     }
   }
 
   LimitModelResult Result() const {
     const double limit = plan_.limit_per_second;
-    const Time over = begun_ + plan_.limited_until;
+    const Time limit_end = start_ + plan_.limited_until;
     LimitModelResult result;
     double used = 0;
-    for (std::size_t i = 0; i < Count(plan_.limited_upstreams); ++i) {
+    for (std::size_t i = 0; i < ToSize(plan_.limited_upstreams); ++i) {
       const Upstream& upstream = upstreams_[i];
-      const Time from = upstream.first_named + kContact;
-      if (upstream.first_named == Time() || from >= over) {
+      const Time from = upstream.first_reported + kSettlingTime;
+      if (upstream.first_reported == Time() || from >= limit_end) {
         continue;
       }
       const LimitUse use =
-          MeasureLimitUse(upstream.arrivals, {limit, from, over});
+          MeasureLimitUse(upstream.arrivals, {limit, from, limit_end});
       result.max_window_ratio =
           std::max(result.max_window_ratio, use.max_window_ratio);
       result.max_informed_window_ratio = std::max(
@@ -374,7 +383,7 @@
     }
     result.used_share = used / plan_.limited_upstreams;
     result.refused_share = refused_ / requests_;
-    result.end_delay_seconds = ToSeconds(known_over_);
+    result.end_delay_seconds = ToSeconds(end_delay_);
     result.bytes_per_host_per_second =
         bytes_ / static_cast<double>(hosts_.size()) /
         ToSeconds(plan_.limited_until - plan_.limited_from);
@@ -383,8 +392,8 @@
 
   LimitModelPlan plan_;
   std::mt19937_64 random_;
-  const Time begun_{std::chrono::hours(1)};
-  Time now_ = begun_;
+  const Time start_{std::chrono::hours(1)};
+  Time now_ = start_;
   std::vector<Upstream> upstreams_;
   std::deque<Host> hosts_;
   std::vector<Work> runs_;
@@ -392,14 +401,14 @@
   double requests_ = 0;
   double refused_ = 0;
   double bytes_ = 0;
-  Duration known_over_{0};
+  Duration end_delay_{0};
   bool restarted_ = false;
 };
 
 }  // namespace
 
 LimitModelResult RunLimitModel(const LimitModelPlan& plan) {
-  return LimitPlay(plan).Run();
+  return LimitModel(plan).Run();
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/lab/limit_model_test.cpp
+++ b/src/pathcleat/lab/limit_model_test.cpp
@@ -6,7 +6,7 @@
 namespace pathcleat {
 namespace {
 
-LimitModelPlan Sized(int hosts_in_domain, int upstreams) {
+LimitModelPlan MakePlan(int hosts_in_domain, int upstreams) {
   LimitModelPlan plan;
   plan.hosts_in_domain = hosts_in_domain;
   plan.upstreams = upstreams;
@@ -15,12 +15,12 @@
   return plan;
 }
 
-// Guards against a bound that holds for hosts of a small fleet alone: a share
-// with one request saved up at each host lets all of them send at once.
+// Guards against a bound that holds for small fleets only: if each host may
+// save up one request, all hosts of a large fleet can send at once.
 Test(limit_model, limits_hold_over_all_hosts_of_any_fleet) {
   for (const int hosts_in_domain : {2, 12, 50}) {
     for (const double limit : {0.5, 1.7, 10.0}) {
-      LimitModelPlan plan = Sized(hosts_in_domain, 24);
+      LimitModelPlan plan = MakePlan(hosts_in_domain, 24);
       plan.limit_per_second = limit;
       const LimitModelResult result = RunLimitModel(plan);
       cr_assert_leq(result.max_window_ratio, 1.0);
@@ -28,43 +28,45 @@
   }
 }
 
-// Guards against a share that nobody uses: few hosts send, and others must
-// leave them the work.
+// Guards against unused limits: only a few hosts send to a limited upstream,
+// and the other hosts must leave its requests to them.
 Test(limit_model, limits_are_used) {
-  LimitModelPlan plan = Sized(2, 24);
+  LimitModelPlan plan = MakePlan(2, 24);
   plan.limited_upstreams = 24;
   const LimitModelResult result = RunLimitModel(plan);
   cr_assert_geq(result.used_share, 0.8);
   cr_assert_leq(result.max_window_ratio, 1.0);
 }
 
-// Guards against limits that outlive the need where only few hosts hear of its
-// end.
-Test(limit_model, end_of_need_is_known_to_all_hosts_soon) {
+// Guards against limits that stay in force after their end, when only a few
+// hosts get answers from the upstream.
+Test(limit_model, end_of_a_limit_reaches_all_hosts_in_time) {
   for (const int hosts_in_domain : {2, 50}) {
-    const LimitModelResult result = RunLimitModel(Sized(hosts_in_domain, 24));
+    const LimitModelResult result =
+        RunLimitModel(MakePlan(hosts_in_domain, 24));
     cr_assert_leq(result.end_delay_seconds, 10.0);
   }
 }
 
-Test(limit_model, limits_hold_while_hosts_start_again) {
-  LimitModelPlan plan = Sized(12, 24);
+Test(limit_model, limits_hold_while_hosts_restart) {
+  LimitModelPlan plan = MakePlan(12, 24);
   plan.restart_one_in = 3;
   cr_assert_leq(RunLimitModel(plan).max_informed_window_ratio, 1.0);
 }
 
-// Guards against two parts of a fleet that each take a limit whole.
-Test(limit_model, limits_hold_while_the_fleet_is_cut_in_halves) {
+// Guards against both halves of a partitioned fleet using the whole limit.
+Test(limit_model, limits_hold_while_the_fleet_is_partitioned) {
   for (const int hosts_in_domain : {2, 13}) {
-    LimitModelPlan plan = Sized(hosts_in_domain, 24);
+    LimitModelPlan plan = MakePlan(hosts_in_domain, 24);
     plan.partition_from = Duration(10'000'000);
     cr_assert_leq(RunLimitModel(plan).max_window_ratio, 1.0);
   }
 }
 
-// Checked to tell the ways apart: each fails what the few senders keep.
-Test(limit_model, other_ways_break_the_bound) {
-  LimitModelPlan plan = Sized(50, 24);
+// Checks that the model tells the strategies apart: these two exceed the bound
+// that few senders keep.
+Test(limit_model, other_strategies_exceed_the_bound) {
+  LimitModelPlan plan = MakePlan(50, 24);
   plan.strategy = LimitStrategy::kNone;
   cr_assert_gt(RunLimitModel(plan).max_window_ratio, 1.0);
   plan.strategy = LimitStrategy::kEqualShare;
--- a/src/pathcleat/lab/limit_windows.hpp
+++ b/src/pathcleat/lab/limit_windows.hpp
@@ -10,8 +10,8 @@
 
 namespace pathcleat {
 
-// What hosts may send to an upstream that names a limit: in each window the
-// limit, so much of it more, and so many requests more.
+// Requests that hosts may send to a limited upstream in one window: the limit,
+// plus kLimitOverage of it, plus kLimitSlack requests.
 constexpr Duration kLimitWindow{4'000'000};
 constexpr double kLimitOverage = 0.5;
 constexpr double kLimitSlack = 5;
@@ -20,14 +20,14 @@
   return std::chrono::duration<double>(duration).count();
 }
 
-/// @brief A request at an upstream.
+/// @brief The arrival of a request at an upstream.
 struct LimitArrival {
   Time at;
   std::size_t host = 0;
-  bool informed = false;  ///< its host had been told of the limit
+  bool informed = false;  ///< the sending host had the limit
 };
 
-/// @brief A limit and the time for which it is judged.
+/// @brief A limit and the period over which its use is measured.
 struct LimitSpan {
   double per_second = 0;
   Time from;
@@ -36,42 +36,43 @@
 
 /// @brief How a limit was used.
 struct LimitUse {
-  double max_window_ratio = 0;  ///< fullest window over what it may hold
-  double max_informed_window_ratio = 0;  ///< the same, of hosts that were told
-  double used_share = 0;                 ///< part of the limit
+  double max_window_ratio = 0;           ///< fullest window / allowed requests
+  double max_informed_window_ratio = 0;  ///< the same, for informed hosts
+  double used_share = 0;                 ///< share of the limit
 };
 
-/// @brief The most arrivals in one window.
+/// @brief The most arrivals in one window of length kLimitWindow.
+/// @param arrivals in ascending order.
 inline double MaxInWindow(const std::vector<Time>& arrivals) {
-  std::size_t most = 0;
+  std::size_t max_count = 0;
   std::size_t first = 0;
   for (std::size_t last = 0; last < arrivals.size(); ++last) {
     while (arrivals[last] - arrivals[first] >= kLimitWindow) {
       ++first;
     }
-    most = std::max(most, last - first + 1);
+    max_count = std::max(max_count, last - first + 1);
   }
-  return static_cast<double>(most);
+  return static_cast<double>(max_count);
 }
 
-/// @brief Judges the arrivals at one upstream.
+/// @brief Measures the use of a limit by the arrivals at its upstream.
 inline LimitUse MeasureLimitUse(const std::vector<LimitArrival>& arrivals,
                                 const LimitSpan& span) {
   std::vector<Time> all;
-  std::vector<Time> told;
+  std::vector<Time> informed_arrivals;
   for (const LimitArrival& arrival : arrivals) {
     if (arrival.at < span.from || arrival.at >= span.until) {
       continue;
     }
     all.push_back(arrival.at);
     if (arrival.informed) {
-      told.push_back(arrival.at);
+      informed_arrivals.push_back(arrival.at);
     }
   }
   const double allowed =
       (1 + kLimitOverage) * span.per_second * ToSeconds(kLimitWindow) +
       kLimitSlack;
-  return {MaxInWindow(all) / allowed, MaxInWindow(told) / allowed,
+  return {MaxInWindow(all) / allowed, MaxInWindow(informed_arrivals) / allowed,
           static_cast<double>(all.size()) /
               (span.per_second * ToSeconds(span.until - span.from))};
 }
--- a/src/pathcleat/lab/load_audit.cpp
+++ b/src/pathcleat/lab/load_audit.cpp
@@ -12,7 +12,7 @@
   const auto ledger = nlohmann::json::parse(ledger_json, nullptr, false);
   if (!ledger.is_object() || !ledger.contains("runs_by_id")) {
     return Fail({ErrorCode::kInvalid, "read ledger", "upstream stand-ins",
-                 "not a ledger"});
+                 "no JSON object with \"runs_by_id\""});
   }
   LoadAudit audit;
   audit.upstreams_over_slots = ledger["over_slots"].get<int>();
@@ -39,14 +39,15 @@
   for (const auto& [kind, counts] : load.counts()) {
     text << kind << ": sent " << counts.sent << ", answered " << counts.answered
          << ", not-run " << counts.not_run << ", unknown " << counts.unknown
-         << ", broken " << counts.connection_lost << ", p50 "
+         << ", connection lost " << counts.connection_lost << ", p50 "
          << Quantile(counts.latency_ms, kMedian) << " ms, p99 "
          << Quantile(counts.latency_ms, kTail) << " ms, refused p99 "
          << Quantile(counts.refusal_ms, kTail) << " ms\n";
   }
-  text << "doubled " << audit.duplicate_runs << ", told not-run but run "
-       << audit.false_not_run << ", over slots " << audit.upstreams_over_slots
-       << ", turned away by upstreams " << audit.rejected << ", cut answers "
+  text << "keys run more than once " << audit.duplicate_runs
+       << ", reported not-run but run " << audit.false_not_run
+       << ", upstreams over slots " << audit.upstreams_over_slots
+       << ", rejected by upstreams " << audit.rejected << ", corrupt answers "
        << audit.corrupt_answers << "\n";
   return text.str();
 }
--- a/src/pathcleat/lab/load_generator.cpp
+++ b/src/pathcleat/lab/load_generator.cpp
@@ -15,8 +15,8 @@
 
 constexpr std::chrono::milliseconds kLocateTimeout{500};
 constexpr std::chrono::milliseconds kRequestTimeout{15'000};
-constexpr std::chrono::milliseconds kRepeatAfter{200};
-constexpr int kMostTries = 4;
+constexpr std::chrono::milliseconds kRepeatDelay{200};
+constexpr int kMaxTries = 4;
 
 }  // namespace
 
@@ -27,7 +27,7 @@
   std::string id;
   std::string body;
   int tries = 0;
-  std::size_t host_turn = 0;
+  std::size_t host_index = 0;
   LoadRecord record;
 };
 
@@ -61,15 +61,15 @@
   ScheduleNext();
 }
 
-void LoadGenerator::After(std::chrono::microseconds wait,
-                          std::function<void()> step) {
+void LoadGenerator::ScheduleAfter(std::chrono::microseconds wait,
+                                  std::function<void()> callback) {
   auto timer = std::make_shared<boost::asio::steady_timer>(loop_, wait);
-  timer->async_wait(
-      [timer, step = std::move(step)](const boost::system::error_code& error) {
-        if (!error) {
-          step();
-        }
-      });
+  timer->async_wait([timer, callback = std::move(callback)](
+                        const boost::system::error_code& error) {
+    if (!error) {
+      callback();
+    }
+  });
 }
 
 void LoadGenerator::ScheduleNext() {
@@ -84,7 +84,7 @@
     return;
   }
   const Duration wait = next_arrival_ - BootClock::now();
-  After(std::max(wait, Duration::zero()), [this] { Arrive(); });
+  ScheduleAfter(std::max(wait, Duration::zero()), [this] { Arrive(); });
 }
 
 void LoadGenerator::Arrive() {
@@ -121,7 +121,7 @@
 HttpClientPtr LoadGenerator::ConnectionFor(const RequestPtr& request) {
   const auto& hosts = request->caller->hosts;
   const auto endpoint =
-      ParseTcpEndpoint(hosts[request->host_turn % hosts.size()]);
+      ParseTcpEndpoint(hosts[request->host_index % hosts.size()]);
   auto client = std::make_shared<HttpClient>(
       loop_, endpoint.value_or(boost::asio::ip::tcp::endpoint()), HttpLimits());
   client->BindLocalAddress(request->caller->address);
@@ -130,8 +130,8 @@
 
 HttpClientPtr LoadGenerator::LocatorFor(const RequestPtr& request) {
   const auto& locators = plan_.locators;
-  const std::size_t turn = request->caller->locator_turn++;
-  const auto endpoint = ParseTcpEndpoint(locators[turn % locators.size()]);
+  const std::size_t index = request->caller->next_locator++;
+  const auto endpoint = ParseTcpEndpoint(locators[index % locators.size()]);
   auto client = std::make_shared<HttpClient>(
       loop_, endpoint.value_or(boost::asio::ip::tcp::endpoint()), HttpLimits());
   client->BindLocalAddress(request->caller->address);
@@ -140,26 +140,26 @@
 
 void LoadGenerator::Locate(const RequestPtr& request) {
   const HttpClientPtr client = LocatorFor(request);
-  const HttpRequest ask{
+  const HttpRequest query{
       "GET", "/v1/locate", {{"Host", "locate"}, {"Connection", "close"}}, ""};
   client->Send(
-      ask, {kLocateTimeout, kLocateTimeout},
+      query, {kLocateTimeout, kLocateTimeout},
       [this, request, client](const CallResult& result) {
         const auto answer =
             nlohmann::json::parse(result.response.body, nullptr, false);
         const bool usable = result.outcome == CallOutcome::kAnswered &&
                             answer.is_object() && !answer["hosts"].empty();
         Caller& caller = *request->caller;
-        // Without an answer the hosts known before are asked in turn.
+        // Without a usable answer, try the next of the hosts known so far.
         if (usable) {
           caller.hosts = answer["hosts"].get<std::vector<std::string>>();
           caller.hosts_until =
               BootClock::now() + std::chrono::duration_cast<Duration>(
                                      std::chrono::duration<double>(
                                          answer["ttl_seconds"].get<double>()));
-          request->host_turn = random_() % caller.hosts.size();
+          request->host_index = random_() % caller.hosts.size();
         } else {
-          ++request->host_turn;
+          ++request->host_index;
         }
         Send(request);
       });
@@ -167,7 +167,8 @@
 
 void LoadGenerator::Send(const RequestPtr& request) {
   ++request->tries;
-  // Each try has its own run id, so that "not run" can be checked for each.
+  // Each try has its own run id, so that a "not-run" result can be checked for
+  // each.
   request->record.run_id = request->id + "." + std::to_string(request->tries);
   request->record.reported_not_run = false;
   HttpRequest http{request->kind->method,
@@ -189,17 +190,17 @@
 void LoadGenerator::OnResult(const RequestPtr& request,
                              const CallResult& result) {
   LoadCounts& counts = counts_[request->kind->name];
-  const bool may_repeat = request->tries < kMostTries;
+  const bool may_repeat = request->tries < kMaxTries;
   if (result.outcome != CallOutcome::kAnswered) {
-    const bool unsent = result.outcome == CallOutcome::kNotSent;
-    request->record.reported_not_run = unsent;
+    const bool not_sent = result.outcome == CallOutcome::kNotSent;
+    request->record.reported_not_run = not_sent;
     records_.push_back(request->record);
-    ++request->host_turn;
+    ++request->host_index;
     request->caller->hosts_until = {};
-    const bool harmless =
-        unsent || request->kind->keyed || request->kind->method == "GET";
-    if (harmless && may_repeat) {
-      Repeat(request, kRepeatAfter);
+    const bool may_resend =
+        not_sent || request->kind->keyed || request->kind->method == "GET";
+    if (may_resend && may_repeat) {
+      Repeat(request, kRepeatDelay);
       return;
     }
     ++counts.connection_lost;
@@ -215,18 +216,20 @@
     ++counts.not_run;
     counts.refusal_ms.push_back(latency);
   } else if (result.response.status == http_status::kConflict && may_repeat) {
-    Repeat(request, kRepeatAfter * 2);
+    Repeat(request, kRepeatDelay * 2);
     return;
   } else if (outcome == "answered" &&
              result.response.status == http_status::kOk) {
-    // A kept answer names the run that it was the answer to.
+    // A stored answer names the run that produced it, which may be an earlier
+    // try.
     const std::string& text = result.response.body;
     const std::string run =
         text.substr(4, std::max<std::size_t>(text.find(" of "), 4) - 4);
-    const bool own = run.substr(0, run.rfind('.')) == request->id;
-    const bool whole =
-        own && text == ExpectedAnswer(run, request->kind->path, request->body);
-    counts.corrupt_answers += whole ? 0 : 1;
+    const bool is_own = run.substr(0, run.rfind('.')) == request->id;
+    const bool is_complete =
+        is_own &&
+        text == ExpectedAnswer(run, request->kind->path, request->body);
+    counts.corrupt_answers += is_complete ? 0 : 1;
     ++counts.answered;
     counts.latency_ms.push_back(latency);
   } else {
@@ -237,7 +240,7 @@
 
 void LoadGenerator::Repeat(const RequestPtr& request,
                            std::chrono::milliseconds wait) {
-  After(wait, [this, request] { Send(request); });
+  ScheduleAfter(wait, [this, request] { Send(request); });
 }
 
 void LoadGenerator::Finish(const RequestPtr&) {
