--- a/include/pathcleat/lab/cost_curve.hpp
+++ b/include/pathcleat/lab/cost_curve.hpp
@@ -18,8 +18,8 @@
 /// @brief A cost measured at several sizes, with its straight-line fit.
 /// @ingroup lab
 struct CostCurve {
-  std::string name;       ///< what is measured, and its unit
-  std::string size_unit;  ///< what the size is a number of
+  std::string name;       ///< measured quantity and its unit
+  std::string size_unit;  ///< things that the size counts
   std::vector<CostPoint> points;
   double per_unit = 0;            ///< slope of the least-squares line
   double fixed = 0;               ///< value of that line at size 0
--- a/src/pathcleat/lab/caller_leaves_test.cpp
+++ b/src/pathcleat/lab/caller_leaves_test.cpp
@@ -225,8 +225,8 @@
   constexpr std::size_t kCallers = 100;
   TestClusterPlan plan;
   plan.slots = kCallers;
-  // No caller is answered, so on a busy machine the upstreams would count as
-  // silent before all callers have sent.
+  // No caller is answered: with a short target latency the upstreams would
+  // count as silent on a busy machine before all callers have sent.
   plan.target_latency = Duration(60'000'000);
   plan.timeout = Duration(60'000'000);
   TestCluster cluster(plan);
@@ -277,7 +277,8 @@
 }
 
 // A non-repeatable request runs on after a half-close, and its answer goes to a
-// caller that still reads. Fails as the test above.
+// caller that still reads. Fails, as the test above, without
+// exchange->NotifyCallerHalfClosed in the session.
 Test(caller_leaves, submission_of_a_caller_that_half_closes_is_answered) {
   TestCluster cluster;
   cluster.StartAll();
--- a/src/pathcleat/lab/limit_model.cpp
+++ b/src/pathcleat/lab/limit_model.cpp
@@ -21,7 +21,9 @@
 constexpr Duration kStep{5'000};
 constexpr Duration kTickInterval{250'000};
 constexpr Duration kReportInterval{500'000};
+// Windows are counted from this long after the first report of a limit.
 constexpr Duration kSettlingTime{3'000'000};
+// A request counts as informed if its host has had the limit for this long.
 constexpr Duration kInformedDelay{500'000};
 // Hosts count a silent host among those that share a limit for this long after
 // its last message.
@@ -161,8 +163,7 @@
         upstream.hash, "r");
   }
 
-  // What other hosts sent is known up to the last report, one per
-  // kReportInterval.
+  // Hosts learn the usage of other hosts by reports, one per kReportInterval.
   bool HasUsageLeft(const Upstream& upstream,
                     const UpstreamState& state,
                     std::size_t host) const {
--- a/src/pathcleat/lab/limited_upstream_test.cpp
+++ b/src/pathcleat/lab/limited_upstream_test.cpp
@@ -69,8 +69,8 @@
       .contains(upstream);
 }
 
-// Guards against hosts that learn the limit, and its end, from their own
-// requests only: hosts that are no senders send none.
+// Guards against hosts that learn the limit, and its end, from answers to their
+// own requests only: hosts that send nothing to the upstream would miss both.
 Test(limited_upstream, hosts_without_answers_receive_the_limit_and_its_end) {
   TestClusterPlan plan = MakePlan();
   plan.upstreams_in_domain = 1;
--- a/src/pathcleat/lab/load_generator.cpp
+++ b/src/pathcleat/lab/load_generator.cpp
@@ -150,7 +150,7 @@
         const bool usable = result.outcome == CallOutcome::kAnswered &&
                             answer.is_object() && !answer["hosts"].empty();
         Caller& caller = *request->caller;
-        // Without a usable answer, try the next of the hosts known so far.
+        // Without a usable answer, try the next host of the list in use.
         if (usable) {
           caller.hosts = answer["hosts"].get<std::vector<std::string>>();
           caller.hosts_until =
