--- a/include/pathcleat/telemetry/account_stats.hpp
+++ b/include/pathcleat/telemetry/account_stats.hpp
@@ -9,15 +9,15 @@
 
 namespace pathcleat {
 
-/// @brief What this host has done with one account's requests.
+/// @brief Counts of one account's requests at this host.
 /// @ingroup telemetry
 struct AccountCounts {
   std::uint64_t accepted = 0;
-  std::uint64_t over_limit = 0;  ///< refused beyond the account's limit
+  std::uint64_t over_limit = 0;  ///< refused above the account's limit
 };
 
-/// @brief Counts requests by client account, for a bounded number of accounts:
-/// those that come first. Not thread-safe.
+/// @brief Counts requests by client account. The number of accounts is bounded:
+/// the first ones to send a request are counted. Not thread-safe.
 /// @ingroup telemetry
 class AccountStats {
  public:
@@ -26,14 +26,15 @@
   void OnAccepted(const std::string& account);
   void OnOverLimit(const std::string& account);
 
-  /// @brief The counts of one account; zero if nothing came.
+  /// @brief Counts of one account; zero if it is not counted.
   AccountCounts CountsOf(const std::string& account) const;
 
-  /// @brief The accounts with the most requests and with the most refusals, a
-  /// few of each: as many as a page of metrics should name.
+  /// @brief The ten accounts with the most accepted requests, followed by up to
+  /// ten others with the most refusals: few enough for a page of metrics.
   std::vector<Row> TopAccounts() const;
 
-  /// @brief Requests of accounts beyond the number that is counted.
+  /// @brief Number of requests from accounts that are not counted because the
+  /// bound was reached.
   std::uint64_t uncounted() const { return uncounted_; }
 
  private:
--- a/include/pathcleat/telemetry/metrics.hpp
+++ b/include/pathcleat/telemetry/metrics.hpp
@@ -24,41 +24,44 @@
 
 namespace pathcleat {
 
-/// @brief What becomes of the work of a caller that leaves before its answer.
+/// @brief State of a request's work after its caller disconnected before the
+/// answer.
 /// @ingroup telemetry
 enum class AbandonedWork {
-  kNotStarted,  ///< no byte of it had been sent to an upstream
-  kCancelled,   ///< its upstream was told, by the end of the connection
-  kRunsOn,      ///< it may not be repeated and its upstream has it whole
+  kNotStarted,  ///< no byte of the request had been sent to an upstream
+  kCancelled,   ///< cancelled by closing the connection to the upstream
+  kRunsOn,  ///< not cancelled: fully sent, and the request is not repeatable
 };
 
-/// @brief Name of what becomes of it, as in the metrics.
+/// @brief Name of the state, as in the metrics.
 const char* ToString(AbandonedWork work);
 
-/// @brief Counts and latencies of answered requests by service and kind
-/// (Boost.Accumulators; quantiles by the extended P-square estimate).
+/// @brief Outcomes and latencies of requests by route, and counters of this
+/// host (Boost.Accumulators; quantiles by the extended P-square estimate).
 /// @ingroup telemetry
 class Metrics {
  public:
-  void Record(const std::string& kind, RunOutcome outcome, Duration latency);
+  void Record(const std::string& route, RunOutcome outcome, Duration latency);
 
-  /// @brief A request was refused as not run.
+  /// @brief Counts a request that was refused and certainly not run.
   void OnRefused(const std::string& reason) { ++refusals_[reason]; }
 
-  /// @brief An upstream has ended under a request of this host.
-  void OnUpstreamCrashed() { ++ended_under_; }
-  std::uint64_t upstream_crashes() const { return ended_under_; }
+  /// @brief Counts a request at an upstream whose process ended.
+  void OnUpstreamCrashed() { ++upstream_crashes_; }
+  std::uint64_t upstream_crashes() const { return upstream_crashes_; }
 
-  /// @brief A caller left before its answer.
+  /// @brief Counts a caller that disconnected before its answer.
   void OnCallerLeft(AbandonedWork work) { ++callers_left_[work]; }
 
-  /// @brief This host ended an exchange that its upstream may be at work on.
-  void OnAborted(AbortCause cause) { ++broken_off_[cause]; }
+  /// @brief Counts an exchange that this host aborted while the upstream may
+  /// have been working on the request.
+  void OnAborted(AbortCause cause) { ++aborted_[cause]; }
 
-  /// @brief A request was sent where it was expected to wait so long.
-  void OnSent(Duration wait) { waits_.Add(wait); }
+  /// @brief Counts a request that was sent.
+  /// @param wait expected time until the upstream has a free slot.
+  void OnSent(Duration wait) { expected_waits_.Add(wait); }
 
-  /// @brief A table as text, one kind a line.
+  /// @brief Formats the request metrics as text, one line for each route.
   std::string ToText() const;
 
   using Latency = boost::accumulators::accumulator_set<
@@ -69,40 +72,43 @@
           boost::accumulators::tag::max,
           boost::accumulators::tag::extended_p_square_quantile>>;
 
-  /// @brief Requests of one route.
+  /// @brief Outcomes and latencies of one route's requests.
   struct RouteMetrics {
     RouteMetrics();
     Latency latency;
-    Histogram buckets;  ///< of the same latencies
+    Histogram buckets;  ///< the same latencies in fixed buckets
     std::uint64_t answered = 0;
     std::uint64_t not_run = 0;
     std::uint64_t unknown = 0;
   };
 
-  const std::map<std::string, RouteMetrics>& by_route() const { return kinds_; }
+  const std::map<std::string, RouteMetrics>& by_route() const {
+    return by_route_;
+  }
   const std::map<std::string, std::uint64_t>& refusals() const {
     return refusals_;
   }
   const std::map<AbandonedWork, std::uint64_t>& callers_left() const {
     return callers_left_;
   }
-  /// @brief A request was answered with what is known as the host ends.
-  void OnGivenUpAtShutdown() { ++given_up_at_end_; }
-  std::uint64_t given_up_at_shutdown() const { return given_up_at_end_; }
+  /// @brief Counts a request that had no answer from its upstream when the host
+  /// shut down, and was answered by the host.
+  void OnGivenUpAtShutdown() { ++given_up_at_shutdown_; }
+  std::uint64_t given_up_at_shutdown() const { return given_up_at_shutdown_; }
 
   const std::map<AbortCause, std::uint64_t>& aborted() const {
-    return broken_off_;
+    return aborted_;
   }
-  const Histogram& expected_waits() const { return waits_; }
+  const Histogram& expected_waits() const { return expected_waits_; }
 
  private:
   std::map<std::string, std::uint64_t> refusals_;  ///< by reason
-  std::uint64_t ended_under_ = 0;
+  std::uint64_t upstream_crashes_ = 0;
   std::map<AbandonedWork, std::uint64_t> callers_left_;
-  std::map<AbortCause, std::uint64_t> broken_off_;
-  std::uint64_t given_up_at_end_ = 0;
-  Histogram waits_;
-  std::map<std::string, RouteMetrics> kinds_;
+  std::map<AbortCause, std::uint64_t> aborted_;
+  std::uint64_t given_up_at_shutdown_ = 0;
+  Histogram expected_waits_;
+  std::map<std::string, RouteMetrics> by_route_;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/telemetry/request_log.hpp
+++ b/include/pathcleat/telemetry/request_log.hpp
@@ -11,33 +11,34 @@
 
 namespace pathcleat {
 
-/// @brief Decides which requests' events go to the log once a request is over:
-/// all of those that did not go as they should, while a rate allows it, and a
-/// sample of the others, the same at all hosts. Not thread-safe.
+/// @brief Decides, after a request has ended, whether its events are logged.
+/// Failed requests are logged up to a rate limit. Of the others a sample is
+/// logged, chosen by request id, so that all hosts log the same requests. Not
+/// thread-safe.
 /// @ingroup telemetry
 class RequestLog {
  public:
   RequestLog(EventLog& events, const RequestLogSettings& settings);
 
-  /// @brief A request is over.
-  /// @param failed it was refused, retried, slow, left by its caller or may
-  /// have run without an answer.
+  /// @brief Logs the events of a request that has ended, if it is chosen.
+  /// @param failed whether the request was refused, retried or slow, its caller
+  /// disconnected, or it may have run without an answer.
   void LogRequest(const std::string& request_id,
                   bool failed,
                   const std::vector<Event>& events,
                   Time now);
 
-  /// @brief Requests that failed and were not logged, for their number.
-  std::uint64_t suppressed_failures() const { return left_out_; }
+  /// @brief Number of failed requests that the rate limit kept out of the log.
+  std::uint64_t suppressed_failures() const { return suppressed_failures_; }
 
-  /// @brief Whether a request's events are logged when it goes well.
+  /// @brief Whether a request's events are logged if the request succeeds.
   bool IsSampled(const std::string& request_id) const;
 
  private:
   EventLog& events_;
   RequestLogSettings settings_;
-  TokenBucket failures_;
-  std::uint64_t left_out_ = 0;
+  TokenBucket failure_limiter_;
+  std::uint64_t suppressed_failures_ = 0;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/telemetry/trace_store.hpp
+++ b/include/pathcleat/telemetry/trace_store.hpp
@@ -12,14 +12,16 @@
 
 namespace pathcleat {
 
-/// @brief Remembers, for the newest requests, each step with its inputs and
-/// reasons: what "why REQUEST-ID" tells.
+/// @brief Keeps the events of the most recent requests, with the inputs and
+/// reasons of each step, for the command "why REQUEST-ID".
 /// @ingroup telemetry
 class TraceStore {
  public:
+  /// @param capacity maximum number of requests.
   explicit TraceStore(std::size_t capacity) : capacity_(capacity) {}
 
-  /// @brief Keeps a finished request's events.
+  /// @brief Stores the events of a finished request. Evicts the oldest request
+  /// if the store is full.
   void Keep(const std::string& request_id, std::vector<Event> events);
 
   std::optional<std::vector<Event>> Find(const std::string& request_id) const;
@@ -27,7 +29,7 @@
  private:
   std::size_t capacity_;
   std::unordered_map<std::string, std::vector<Event>> traces_;
-  std::deque<std::string> order_;
+  std::deque<std::string> insertion_order_;
 };
 
 }  // namespace pathcleat
--- a/src/pathcleat/telemetry/account_stats.cpp
+++ b/src/pathcleat/telemetry/account_stats.cpp
@@ -6,13 +6,13 @@
 namespace pathcleat {
 namespace {
 
-// 120 bytes each.
-constexpr std::size_t kMostCounted = 512;
-constexpr std::size_t kForemost = 10;
+// Bounds memory: each counted account takes 120 bytes.
+constexpr std::size_t kMaxCountedAccounts = 512;
+constexpr std::size_t kTopAccountCount = 10;
 
 // Moves the accounts with the largest counts to the front.
 template <class Count>
-void LeadBy(std::vector<AccountStats::Row>& rows, Count count) {
+void SortDescendingBy(std::vector<AccountStats::Row>& rows, Count count) {
   std::stable_sort(
       rows.begin(), rows.end(),
       [count](const AccountStats::Row& a, const AccountStats::Row& b) {
@@ -27,7 +27,7 @@
   if (found != counts_.end()) {
     return &found->second;
   }
-  if (counts_.size() >= kMostCounted) {
+  if (counts_.size() >= kMaxCountedAccounts) {
     ++uncounted_;
     return nullptr;
   }
@@ -53,14 +53,15 @@
 
 std::vector<AccountStats::Row> AccountStats::TopAccounts() const {
   std::vector<Row> rows(counts_.begin(), counts_.end());
-  LeadBy(rows, [](const AccountCounts& c) { return c.accepted; });
-  const std::size_t busiest = std::min(rows.size(), kForemost);
-  std::vector<Row> refused(rows.begin() + static_cast<std::ptrdiff_t>(busiest),
-                           rows.end());
-  rows.resize(busiest);
-  LeadBy(refused, [](const AccountCounts& c) { return c.over_limit; });
+  SortDescendingBy(rows, [](const AccountCounts& c) { return c.accepted; });
+  const std::size_t busiest_count = std::min(rows.size(), kTopAccountCount);
+  std::vector<Row> refused(
+      rows.begin() + static_cast<std::ptrdiff_t>(busiest_count), rows.end());
+  rows.resize(busiest_count);
+  SortDescendingBy(refused,
+                   [](const AccountCounts& c) { return c.over_limit; });
   for (const Row& row : refused) {
-    if (rows.size() == 2 * kForemost || row.second.over_limit == 0) {
+    if (rows.size() == 2 * kTopAccountCount || row.second.over_limit == 0) {
       break;
     }
     rows.push_back(row);
--- a/src/pathcleat/telemetry/account_stats_test.cpp
+++ b/src/pathcleat/telemetry/account_stats_test.cpp
@@ -6,27 +6,27 @@
 namespace pathcleat {
 namespace {
 
-// However many accounts there are, a page names a few.
-Test(account_stats, busiest_and_most_refused_are_named) {
-  constexpr std::size_t kMostNamed = 20;
+// Guards against a metrics page that grows with the number of accounts.
+Test(account_stats, only_busiest_and_most_refused_accounts_are_listed) {
+  constexpr std::size_t kMaxListed = 20;
   AccountStats stats;
   for (int i = 0; i < 5'000; ++i) {
     stats.OnAccepted("quiet-" + std::to_string(i));
   }
   cr_assert_gt(stats.uncounted(), 0U);
-  AccountStats few;
+  AccountStats small_stats;
   for (int i = 0; i < 100; ++i) {
-    few.OnAccepted("quiet-" + std::to_string(i));
+    small_stats.OnAccepted("quiet-" + std::to_string(i));
   }
-  few.OnAccepted("busy");
-  few.OnAccepted("busy");
-  few.OnOverLimit("refused");
-  const auto rows = few.TopAccounts();
-  cr_assert_leq(rows.size(), kMostNamed);
+  small_stats.OnAccepted("busy");
+  small_stats.OnAccepted("busy");
+  small_stats.OnOverLimit("refused");
+  const auto rows = small_stats.TopAccounts();
+  cr_assert_leq(rows.size(), kMaxListed);
   cr_assert_eq(rows.front().first, "busy");
   cr_assert_eq(rows.back().first, "refused");
-  cr_assert_eq(few.CountsOf("busy").accepted, 2U);
-  cr_assert_eq(few.CountsOf("unknown").accepted, 0U);
+  cr_assert_eq(small_stats.CountsOf("busy").accepted, 2U);
+  cr_assert_eq(small_stats.CountsOf("unknown").accepted, 0U);
 }
 
 }  // namespace
--- a/src/pathcleat/telemetry/metrics.cpp
+++ b/src/pathcleat/telemetry/metrics.cpp
@@ -29,10 +29,10 @@
 Metrics::RouteMetrics::RouteMetrics()
     : latency(acc::extended_p_square_probabilities = kQuantiles) {}
 
-void Metrics::Record(const std::string& kind,
+void Metrics::Record(const std::string& route,
                      RunOutcome outcome,
                      Duration latency) {
-  RouteMetrics& metrics = kinds_[kind];
+  RouteMetrics& metrics = by_route_[route];
   switch (outcome) {
     case RunOutcome::kAnswered:
       ++metrics.answered;
@@ -51,7 +51,7 @@
 std::string Metrics::ToText() const {
   std::ostringstream text;
   text << std::fixed << std::setprecision(1);
-  for (const auto& [name, metrics] : kinds_) {
+  for (const auto& [name, metrics] : by_route_) {
     text << name << ": answered " << metrics.answered << ", not-run "
          << metrics.not_run << ", unknown " << metrics.unknown;
     if (metrics.answered > 0) {
--- a/src/pathcleat/telemetry/request_log.cpp
+++ b/src/pathcleat/telemetry/request_log.cpp
@@ -6,8 +6,8 @@
 namespace pathcleat {
 namespace {
 
-// Failures that may be logged at once, in seconds of their rate: a burst of a
-// few seconds' failures is told whole.
+// Burst size of the failure rate limit, in seconds of the configured rate: the
+// failures of an incident of a few seconds are all logged.
 constexpr double kFailureBurstSeconds = 4;
 
 }  // namespace
@@ -15,8 +15,8 @@
 RequestLog::RequestLog(EventLog& events, const RequestLogSettings& settings)
     : events_(events),
       settings_(settings),
-      failures_(settings.failures_per_second,
-                settings.failures_per_second * kFailureBurstSeconds) {}
+      failure_limiter_(settings.failures_per_second,
+                       settings.failures_per_second * kFailureBurstSeconds) {}
 
 bool RequestLog::IsSampled(const std::string& request_id) const {
   const auto one_of = static_cast<std::uint64_t>(settings_.sample_one_of);
@@ -30,8 +30,8 @@
   if (!settings_.enabled) {
     return;
   }
-  if (failed && !failures_.TryAcquire(now)) {
-    ++left_out_;
+  if (failed && !failure_limiter_.TryAcquire(now)) {
+    ++suppressed_failures_;
     return;
   }
   if (!failed && !IsSampled(request_id)) {
--- a/src/pathcleat/telemetry/trace_store.cpp
+++ b/src/pathcleat/telemetry/trace_store.cpp
@@ -12,10 +12,10 @@
   if (!added) {
     return;
   }
-  order_.push_back(request_id);
-  if (order_.size() > capacity_) {
-    traces_.erase(order_.front());
-    order_.pop_front();
+  insertion_order_.push_back(request_id);
+  if (insertion_order_.size() > capacity_) {
+    traces_.erase(insertion_order_.front());
+    insertion_order_.pop_front();
   }
 }
 
