--- a/include/pathcleat/query/command.hpp
+++ b/include/pathcleat/query/command.hpp
@@ -11,7 +11,7 @@
 
 namespace pathcleat {
 
-/// @brief The names that commands may use.
+/// @brief Names that commands may refer to.
 /// @ingroup query
 struct ValidNames {
   std::set<std::string> services;
@@ -19,20 +19,20 @@
   std::set<std::string> upstreams;
 };
 
-/// @brief "where SERVICE from CLIENT-IP"
+/// @brief The command "where SERVICE from CLIENT-IP".
 /// @ingroup query
 struct WhereQuery {
   std::string service;
   std::string caller;
 };
 
-/// @brief "why REQUEST-ID"
+/// @brief The command "why REQUEST-ID".
 /// @ingroup query
 struct WhyQuery {
   std::string request_id;
 };
 
-/// @brief What "show" can show.
+/// @brief Topics of the command "show".
 /// @ingroup query
 enum class ShowTopic {
   kHosts,
@@ -44,19 +44,19 @@
   kRollouts
 };
 
-/// @brief "show TOPIC"
+/// @brief The command "show TOPIC".
 /// @ingroup query
 struct ShowQuery {
   ShowTopic topic = ShowTopic::kHosts;
 };
 
-/// @brief "account NAME"
+/// @brief The command "account NAME".
 /// @ingroup query
 struct AccountQuery {
   std::string name;
 };
 
-/// @brief "help"
+/// @brief The command "help".
 /// @ingroup query
 struct HelpQuery {};
 
@@ -66,7 +66,7 @@
   ConfigOperation operation;
 };
 
-/// @brief Anything an operator can say.
+/// @brief Any parsed operator command.
 /// @ingroup query
 using OperatorCommand = std::variant<WhereQuery,
                                      WhyQuery,
@@ -75,12 +75,14 @@
                                      HelpQuery,
                                      ChangeCommand>;
 
-/// @brief The language's grammar, for "help".
+/// @brief Grammar of the operator commands, printed by "help".
 /// @ingroup query
 std::string_view CommandHelp();
 
-/// @brief Reads one command; names must be known.
-/// @return kInvalid, naming the word at fault and what was expected there.
+/// @brief Parses one operator command.
+/// @param names the services, regions and upstreams that `text` may refer to.
+/// @return the command; kInvalid with the position of the first wrong word and
+/// what was expected there.
 /// @ingroup query
 Result<OperatorCommand> ParseCommand(const ValidNames& names,
                                      std::string_view text);
--- a/include/pathcleat/query/log_line.hpp
+++ b/include/pathcleat/query/log_line.hpp
@@ -11,37 +11,38 @@
 
 namespace pathcleat {
 
-/// @brief One event as read from a log.
+/// @brief One event parsed from a log line.
 /// @ingroup query
 struct LogLine {
   HybridTime time;
-  std::string name;  ///< of the event, such as "request-sent"
+  std::string name;  ///< name of the event, such as "request-sent"
   std::string host;
-  /// The event's other fields, each as text.
+  /// All fields of the event, each as text.
   std::map<std::string, std::string> fields;
-  std::string text;  ///< the line as it was, without what stood before it
+  std::string text;  ///< the event's JSON, without a log collector's prefix
 
-  /// @brief A field's text; empty if it has none.
+  /// @brief Text of a field; empty if the event does not have the field.
   std::string Field(const std::string& field) const;
 
-  /// @brief A field as a number; 0 if it is none.
+  /// @brief A field as a number; 0 if the field is missing or not a number.
   std::int64_t Number(const std::string& field) const;
 };
 
-/// @brief The logs of several hosts as one.
+/// @brief Merged log of several hosts.
 /// @ingroup query
 struct MergedLog {
-  std::vector<LogLine> lines;  ///< by hybrid time
-  int unreadable = 0;          ///< lines that are no events
+  std::vector<LogLine> lines;  ///< sorted by hybrid time after SortByTime()
+  int unreadable = 0;          ///< number of lines that are not events
 };
 
-/// @brief Reads log lines, in any order, of any hosts. What a collector puts
-/// before an event on its line is passed over.
+/// @brief Appends log lines to `log`. The lines may be in any order and come
+/// from several hosts. Text that a log collector puts before the event on a
+/// line is skipped.
 /// @ingroup query
-void ReadLog(std::istream& stream, MergedLog& into);
+void ReadLog(std::istream& stream, MergedLog& log);
 
-/// @brief Puts the lines of all hosts into one order.
+/// @brief Sorts the lines of all hosts by hybrid time.
 /// @ingroup query
-void SortByTime(MergedLog& lines);
+void SortByTime(MergedLog& log);
 
 }  // namespace pathcleat
--- a/include/pathcleat/query/request_diagnosis.hpp
+++ b/include/pathcleat/query/request_diagnosis.hpp
@@ -8,45 +8,47 @@
 
 namespace pathcleat {
 
-/// @brief Why a request went as it did.
+/// @brief Causes that explain the course of a request.
 /// @ingroup query
 enum class RequestCause {
-  kNotLogged,        ///< the logs say nothing of it
-  kNone,             ///< it was answered, and nothing looks wrong
-  kStaleConfig,      ///< another host had a newer configuration in force
-  kLeavingUpstream,  ///< another host knew that the upstream leaves
-  kOverload,         ///< refused: it would have waited too long
-  kNoUpstream,       ///< refused: no upstream would have it
-  kRefused,          ///< refused for another reason
-  kLostAnswer,       ///< it may have run, and its answer did not come
-  kCallerLeft,       ///< its caller closed before the answer
-  kSlow,             ///< answered, after a wait or a retry
+  kNotLogged,    ///< the logs have no event of the request
+  kNone,         ///< the request was answered without a detected problem
+  kStaleConfig,  ///< another host had already applied a newer configuration
+  /// Sent to an upstream that another host had already seen leave.
+  kLeavingUpstream,
+  kOverload,    ///< refused: the expected wait was too long
+  kNoUpstream,  ///< refused: no upstream accepted the request
+  kRefused,     ///< refused for another reason
+  kLostAnswer,  ///< the request may have run, and its answer was lost
+  kCallerLeft,  ///< the caller disconnected before the answer
+  kSlow,        ///< answered at the second attempt
 };
 
-/// @brief One cause, said in a sentence with the inputs that decided it.
+/// @brief One cause, with a one-sentence explanation that includes the inputs
+/// of the decision.
 /// @ingroup query
 struct DiagnosedCause {
   RequestCause cause = RequestCause::kNone;
   std::string explanation;
 };
 
-/// @brief A request's way through the fleet, from logs alone.
+/// @brief Course of a request through the fleet, derived from logs alone.
 /// @ingroup query
 struct RequestDiagnosis {
-  std::vector<LogLine> lines;          ///< its own, in order
-  std::vector<DiagnosedCause> causes;  ///< the first explains the others
-  std::vector<std::string> missing;    ///< what the logs do not hold
+  std::vector<LogLine> lines;          ///< events of the request, by time
+  std::vector<DiagnosedCause> causes;  ///< root cause first
+  std::vector<std::string> missing;    ///< known gaps in the logs
 };
 
-/// @brief Tells what befell a request and why.
-/// @param log of as many hosts as there are, sorted by time.
+/// @brief Finds the events of a request and the causes of its outcome.
+/// @param log logs of as many hosts as possible, sorted by time.
 /// @ingroup query
 RequestDiagnosis DiagnoseRequest(const MergedLog& log,
                                  const std::string& request_id);
 
-/// @brief A story as an operator reads it.
+/// @brief Formats a diagnosis for operators.
 /// @ingroup query
-std::string ToText(const RequestDiagnosis& story,
+std::string ToText(const RequestDiagnosis& diagnosis,
                    const std::string& request_id);
 
 }  // namespace pathcleat
--- a/src/pathcleat/query/command.cpp
+++ b/src/pathcleat/query/command.cpp
@@ -50,10 +50,10 @@
       : names_(names), words_(SplitWords(text)) {}
 
   Result<OperatorCommand> Parse() {
-    BOOST_LEAF_AUTO(verb, Word("a command; 'help' lists them"));
+    BOOST_LEAF_AUTO(verb, NextWord("a command; 'help' lists them"));
     BOOST_LEAF_AUTO(command, ParseVerb(verb));
-    if (next_ < words_.size()) {
-      return Expected("the end of the command");
+    if (next_word_ < words_.size()) {
+      return FailExpecting("the end of the command");
     }
     return command;
   }
@@ -90,26 +90,26 @@
     if (verb == "help") {
       return OperatorCommand(HelpQuery{});
     }
-    --next_;
-    return Expected("a command; 'help' lists them");
+    --next_word_;
+    return FailExpecting("a command; 'help' lists them");
   }
 
   Result<OperatorCommand> ParseWhere() {
     WhereQuery query;
-    BOOST_LEAF_ASSIGN(query.service, Service());
-    BOOST_LEAF_CHECK(Keyword("from"));
-    BOOST_LEAF_ASSIGN(query.caller, Word("a client's IPv4 number"));
+    BOOST_LEAF_ASSIGN(query.service, ParseService());
+    BOOST_LEAF_CHECK(ExpectKeyword("from"));
+    BOOST_LEAF_ASSIGN(query.caller, NextWord("a client's IPv4 number"));
     boost::system::error_code error;
     boost::asio::ip::make_address_v4(query.caller, error);
     if (error) {
-      --next_;
-      return Expected("a client's IPv4 number");
+      --next_word_;
+      return FailExpecting("a client's IPv4 number");
     }
     return OperatorCommand(query);
   }
 
   Result<OperatorCommand> ParseWhy() {
-    BOOST_LEAF_AUTO(id, Word("a request id"));
+    BOOST_LEAF_AUTO(id, NextWord("a request id"));
     return OperatorCommand(WhyQuery{id});
   }
 
@@ -119,176 +119,184 @@
         {"shifts", ShowTopic::kShifts},    {"config", ShowTopic::kConfig},
         {"metrics", ShowTopic::kMetrics},  {"accounts", ShowTopic::kAccounts},
         {"rollouts", ShowTopic::kRollouts}};
-    constexpr const char* kWanted =
+    constexpr const char* kExpected =
         "hosts, upstreams, shifts, config, metrics, accounts or rollouts";
-    BOOST_LEAF_AUTO(word, Word(kWanted));
+    BOOST_LEAF_AUTO(word, NextWord(kExpected));
     const auto topic = topics.find(word);
     if (topic == topics.end()) {
-      --next_;
-      return Expected(kWanted);
+      --next_word_;
+      return FailExpecting(kExpected);
     }
     return OperatorCommand(ShowQuery{topic->second});
   }
 
   Result<OperatorCommand> ParseRollBack() {
-    BOOST_LEAF_CHECK(Keyword("back"));
+    BOOST_LEAF_CHECK(ExpectKeyword("back"));
     RolloutStep step;
-    BOOST_LEAF_ASSIGN(step.service, Service());
+    BOOST_LEAF_ASSIGN(step.service, ParseService());
     step.phase = RolloutPhase::kRolledBack;
-    return Change(step);
+    return MakeChange(step);
   }
 
   Result<OperatorCommand> ParseAccount() {
-    BOOST_LEAF_AUTO(name, Word("the name of a client account"));
+    BOOST_LEAF_AUTO(name, NextWord("the name of a client account"));
     return OperatorCommand(AccountQuery{name});
   }
 
   Result<OperatorCommand> ParseDrain(bool drained) {
-    BOOST_LEAF_AUTO(sort, Word("upstream or region"));
-    if (sort == "upstream") {
-      BOOST_LEAF_AUTO(upstream, Upstream());
-      return Change(SetUpstreamDrain{upstream, drained});
+    BOOST_LEAF_AUTO(kind, NextWord("upstream or region"));
+    if (kind == "upstream") {
+      BOOST_LEAF_AUTO(upstream, ParseUpstream());
+      return MakeChange(SetUpstreamDrain{upstream, drained});
     }
-    if (sort == "region") {
-      BOOST_LEAF_AUTO(region, Region());
-      return Change(SetRegionDrain{region, drained});
+    if (kind == "region") {
+      BOOST_LEAF_AUTO(region, ParseRegion());
+      return MakeChange(SetRegionDrain{region, drained});
     }
-    --next_;
-    return Expected("upstream or region");
+    --next_word_;
+    return FailExpecting("upstream or region");
   }
 
   Result<OperatorCommand> ParseShift() {
     ShiftPlan plan;
-    BOOST_LEAF_ASSIGN(plan.service, Service());
-    BOOST_LEAF_CHECK(Keyword("from"));
-    BOOST_LEAF_ASSIGN(plan.from_region, Region());
-    BOOST_LEAF_CHECK(Keyword("to"));
-    BOOST_LEAF_ASSIGN(plan.to_region, Region());
+    BOOST_LEAF_ASSIGN(plan.service, ParseService());
+    BOOST_LEAF_CHECK(ExpectKeyword("from"));
+    BOOST_LEAF_ASSIGN(plan.from_region, ParseRegion());
+    BOOST_LEAF_CHECK(ExpectKeyword("to"));
+    BOOST_LEAF_ASSIGN(plan.to_region, ParseRegion());
     if (plan.from_region == plan.to_region) {
-      --next_;
-      return Expected("another region than the one to leave");
+      --next_word_;
+      return FailExpecting("another region than the one to leave");
     }
-    BOOST_LEAF_CHECK(Keyword("cap"));
-    BOOST_LEAF_ASSIGN(plan.cap, Share());
-    if (next_ < words_.size()) {
-      BOOST_LEAF_CHECK(Keyword("over"));
-      BOOST_LEAF_ASSIGN(plan.ramp_time, Span());
+    BOOST_LEAF_CHECK(ExpectKeyword("cap"));
+    BOOST_LEAF_ASSIGN(plan.cap, ParseShare());
+    if (next_word_ < words_.size()) {
+      BOOST_LEAF_CHECK(ExpectKeyword("over"));
+      BOOST_LEAF_ASSIGN(plan.ramp_time, ParseDuration());
     }
-    return Change(StartShift{plan});
+    return MakeChange(StartShift{plan});
   }
 
   Result<OperatorCommand> ParseStop() {
     StopShift stop;
-    BOOST_LEAF_CHECK(Keyword("shift"));
-    BOOST_LEAF_ASSIGN(stop.service, Service());
-    BOOST_LEAF_CHECK(Keyword("from"));
-    BOOST_LEAF_ASSIGN(stop.from_region, Region());
-    return Change(stop);
+    BOOST_LEAF_CHECK(ExpectKeyword("shift"));
+    BOOST_LEAF_ASSIGN(stop.service, ParseService());
+    BOOST_LEAF_CHECK(ExpectKeyword("from"));
+    BOOST_LEAF_ASSIGN(stop.from_region, ParseRegion());
+    return MakeChange(stop);
   }
 
   Result<OperatorCommand> ParseAssign() {
-    BOOST_LEAF_AUTO(text, Word("a client block"));
+    BOOST_LEAF_AUTO(text, NextWord("a client block"));
     boost::system::error_code error;
     const auto subnet = boost::asio::ip::make_network_v4(text, error);
     if (error) {
-      --next_;
-      return Expected("a client block such as 10.1.0.0/16");
+      --next_word_;
+      return FailExpecting("a client block such as 10.1.0.0/16");
     }
     AssignClientBlock assign;
     assign.first_address = subnet.network().to_uint();
     assign.prefix_length = static_cast<std::uint8_t>(subnet.prefix_length());
-    BOOST_LEAF_CHECK(Keyword("to"));
-    BOOST_LEAF_ASSIGN(assign.region, Region());
-    return Change(assign);
+    BOOST_LEAF_CHECK(ExpectKeyword("to"));
+    BOOST_LEAF_ASSIGN(assign.region, ParseRegion());
+    return MakeChange(assign);
   }
 
-  static Result<OperatorCommand> Change(const ConfigOperation& operation) {
+  static Result<OperatorCommand> MakeChange(const ConfigOperation& operation) {
     return OperatorCommand(ChangeCommand{operation});
   }
 
-  Result<std::string> Word(const std::string& wanted) {
-    if (next_ >= words_.size()) {
-      return Expected(wanted);
+  Result<std::string> NextWord(const std::string& expected) {
+    if (next_word_ >= words_.size()) {
+      return FailExpecting(expected);
     }
-    return words_[next_++];
+    return words_[next_word_++];
   }
 
-  Result<void> Keyword(const std::string& keyword) {
-    const std::string wanted = "'" + keyword + "'";
-    BOOST_LEAF_AUTO(word, Word(wanted));
+  Result<void> ExpectKeyword(const std::string& keyword) {
+    const std::string expected = "'" + keyword + "'";
+    BOOST_LEAF_AUTO(word, NextWord(expected));
     if (word != keyword) {
-      --next_;
-      return Expected(wanted);
+      --next_word_;
+      return FailExpecting(expected);
     }
     return {};
   }
 
-  Result<std::string> Named(const std::string& sort,
-                            const std::set<std::string>& known) {
-    const std::string article = sort == "upstream" ? "an " : "a ";
-    BOOST_LEAF_AUTO(name, Word(article + sort));
-    if (!known.contains(name)) {
-      --next_;
-      return Expected("the name of " + article + sort);
+  Result<std::string> ParseName(const std::string& kind,
+                                const std::set<std::string>& valid_names) {
+    const std::string article = kind == "upstream" ? "an " : "a ";
+    BOOST_LEAF_AUTO(name, NextWord(article + kind));
+    if (!valid_names.contains(name)) {
+      --next_word_;
+      return FailExpecting("the name of " + article + kind);
     }
     return name;
   }
 
-  Result<std::string> Service() { return Named("service", names_.services); }
-  Result<std::string> Region() { return Named("region", names_.regions); }
-  Result<std::string> Upstream() { return Named("upstream", names_.upstreams); }
+  Result<std::string> ParseService() {
+    return ParseName("service", names_.services);
+  }
+  Result<std::string> ParseRegion() {
+    return ParseName("region", names_.regions);
+  }
+  Result<std::string> ParseUpstream() {
+    return ParseName("upstream", names_.upstreams);
+  }
 
-  // A number followed by one of the units.
-  Result<double> NumberWith(const std::string& wanted, std::string& unit) {
-    BOOST_LEAF_AUTO(word, Word(wanted));
+  // Parses a positive number and returns the rest of the word in `unit`.
+  Result<double> ParseNumberWithUnit(const std::string& expected,
+                                     std::string& unit) {
+    BOOST_LEAF_AUTO(word, NextWord(expected));
     double value = 0;
     const char* end = word.data() + word.size();
     const auto parsed = std::from_chars(word.data(), end, value);
     if (parsed.ec != std::errc() || value <= 0) {
-      --next_;
-      return Expected(wanted);
+      --next_word_;
+      return FailExpecting(expected);
     }
     unit = std::string(parsed.ptr, end);
     return value;
   }
 
-  Result<double> Share() {
-    constexpr const char* kWanted = "a share from 1% to 100%";
-    constexpr double kWhole = 100;
+  Result<double> ParseShare() {
+    constexpr const char* kExpected = "a share from 1% to 100%";
+    constexpr double kMaxPercent = 100;
     std::string unit;
-    BOOST_LEAF_AUTO(percent, NumberWith(kWanted, unit));
-    if (unit != "%" || percent > kWhole) {
-      --next_;
-      return Expected(kWanted);
+    BOOST_LEAF_AUTO(percent, ParseNumberWithUnit(kExpected, unit));
+    if (unit != "%" || percent > kMaxPercent) {
+      --next_word_;
+      return FailExpecting(kExpected);
     }
-    return percent / kWhole;
+    return percent / kMaxPercent;
   }
 
-  Result<Duration> Span() {
-    constexpr const char* kWanted = "a time such as 30s or 10m";
+  Result<Duration> ParseDuration() {
+    constexpr const char* kExpected = "a time such as 30s or 10m";
     const std::map<std::string, double> unit_micros = {
         {"s", 1e6}, {"m", 60e6}, {"h", 3600e6}};
     std::string unit;
-    BOOST_LEAF_AUTO(value, NumberWith(kWanted, unit));
+    BOOST_LEAF_AUTO(value, ParseNumberWithUnit(kExpected, unit));
     const auto micros = unit_micros.find(unit);
     if (micros == unit_micros.end()) {
-      --next_;
-      return Expected(kWanted);
+      --next_word_;
+      return FailExpecting(kExpected);
     }
     return Duration(static_cast<Duration::rep>(value * micros->second));
   }
 
-  boost::leaf::error_id Expected(const std::string& wanted) const {
-    const std::string found =
-        next_ < words_.size() ? "'" + words_[next_] + "'" : "nothing more";
+  boost::leaf::error_id FailExpecting(const std::string& expected) const {
+    const std::string found = next_word_ < words_.size()
+                                  ? "'" + words_[next_word_] + "'"
+                                  : "nothing more";
     return Fail({ErrorCode::kInvalid, "read command", "operator",
-                 "word " + std::to_string(next_ + 1) + ": expected " + wanted +
-                     "; found " + found});
+                 "word " + std::to_string(next_word_ + 1) + ": expected " +
+                     expected + "; found " + found});
   }
 
   const ValidNames& names_;
   std::vector<std::string> words_;
-  std::size_t next_ = 0;
+  std::size_t next_word_ = 0;
 };
 
 }  // namespace
--- a/src/pathcleat/query/command_test.cpp
+++ b/src/pathcleat/query/command_test.cpp
@@ -6,12 +6,12 @@
 namespace pathcleat {
 namespace {
 
-ValidNames SmallNames() {
+ValidNames TestNames() {
   return {{"booking"}, {"north", "south"}, {"core-1"}};
 }
 
-std::string FaultOf(const std::string& text) {
-  const ValidNames names = SmallNames();
+std::string ParseErrorOf(const std::string& text) {
+  const ValidNames names = TestNames();
   return TryOr(
       [&]() -> Result<std::string> {
         BOOST_LEAF_CHECK(ParseCommand(names, text));
@@ -20,8 +20,8 @@
       [](const Error& error) { return error.detail; });
 }
 
-Test(command, shift_is_read_with_cap_and_time) {
-  const ValidNames names = SmallNames();
+Test(command, shift_is_parsed_with_cap_and_ramp_time) {
+  const ValidNames names = TestNames();
   const auto command =
       ParseCommand(names, "shift booking from north to south cap 30% over 10m");
   cr_assert(command.has_value());
@@ -32,34 +32,34 @@
   cr_assert_str_eq(plan.to_region.c_str(), "south");
 }
 
-Test(command, every_line_of_the_help_can_be_said) {
+Test(command, commands_listed_by_help_are_parsed) {
   for (const char* text :
        {"where booking from 10.0.0.1", "why 5f3a-1c", "show hosts",
         "show config", "drain upstream core-1", "undrain region north",
         "stop shift booking from north", "assign 10.1.0.0/16 to south",
         "help"}) {
-    cr_assert_eq(FaultOf(text).size(), 0U, "%s: %s", text,
-                 FaultOf(text).c_str());
+    cr_assert_eq(ParseErrorOf(text).size(), 0U, "%s: %s", text,
+                 ParseErrorOf(text).c_str());
   }
 }
 
-Test(command, fault_names_the_word_and_what_was_expected) {
-  cr_assert_neq(FaultOf("drain upstream nobody")
+Test(command, error_gives_the_word_and_what_was_expected) {
+  cr_assert_neq(ParseErrorOf("drain upstream nobody")
                     .find("word 3: expected the name of an upstream; found "
                           "'nobody'"),
                 std::string::npos);
-  cr_assert_neq(FaultOf("shift booking from north to north cap 10%")
+  cr_assert_neq(ParseErrorOf("shift booking from north to north cap 10%")
                     .find("another region"),
                 std::string::npos);
-  cr_assert_neq(FaultOf("shift booking from north to south cap 300%")
+  cr_assert_neq(ParseErrorOf("shift booking from north to south cap 300%")
                     .find("expected a share"),
                 std::string::npos);
-  cr_assert_neq(FaultOf("show hosts now").find("the end of the command"),
+  cr_assert_neq(ParseErrorOf("show hosts now").find("the end of the command"),
                 std::string::npos);
-  cr_assert_neq(FaultOf("").find("found nothing more"), std::string::npos);
+  cr_assert_neq(ParseErrorOf("").find("found nothing more"), std::string::npos);
 }
 
-Test(command, no_text_breaks_the_parser) {
+Test(command, any_words_give_a_command_or_an_error) {
   cr_assert(Holds("any words give a command or a fault", [] {
     const auto words = *rc::gen::container<std::vector<std::string>>(
         rc::gen::element<std::string>("shift", "booking", "from", "north", "to",
@@ -70,7 +70,7 @@
     for (const std::string& word : words) {
       text += word + " ";
     }
-    FaultOf(text);
+    ParseErrorOf(text);
   }));
 }
 
--- a/src/pathcleat/query/log_line.cpp
+++ b/src/pathcleat/query/log_line.cpp
@@ -13,19 +13,19 @@
 using nlohmann::json;
 
 template <class Number>
-Number NumberOf(std::string_view text) {
+Number ParseNumber(std::string_view text) {
   Number number = 0;
   std::from_chars(text.data(), text.data() + text.size(), number);
   return number;
 }
 
-// "micros.counter"
-HybridTime TimeOf(std::string_view text) {
+// Parses "micros.counter".
+HybridTime ParseTime(std::string_view text) {
   HybridTime time;
-  time.micros = NumberOf<std::uint64_t>(text);
+  time.micros = ParseNumber<std::uint64_t>(text);
   const auto point = text.find('.');
   if (point != std::string_view::npos) {
-    time.counter = NumberOf<std::uint32_t>(text.substr(point + 1));
+    time.counter = ParseNumber<std::uint32_t>(text.substr(point + 1));
   }
   return time;
 }
@@ -46,7 +46,7 @@
     line.fields[key] =
         value.is_string() ? value.get<std::string>() : value.dump();
   }
-  line.time = TimeOf(line.Field("time"));
+  line.time = ParseTime(line.Field("time"));
   line.name = line.Field("name");
   line.host = line.Field("host");
   return line;
@@ -60,22 +60,22 @@
 }
 
 std::int64_t LogLine::Number(const std::string& field) const {
-  return NumberOf<std::int64_t>(Field(field));
+  return ParseNumber<std::int64_t>(Field(field));
 }
 
-void ReadLog(std::istream& stream, MergedLog& into) {
+void ReadLog(std::istream& stream, MergedLog& log) {
   for (std::string text; std::getline(stream, text);) {
     if (auto line = ParseLine(text)) {
-      into.lines.push_back(std::move(*line));
+      log.lines.push_back(std::move(*line));
     } else if (!text.empty()) {
-      ++into.unreadable;
+      ++log.unreadable;
     }
   }
 }
 
-void SortByTime(MergedLog& lines) {
+void SortByTime(MergedLog& log) {
   std::stable_sort(
-      lines.lines.begin(), lines.lines.end(),
+      log.lines.begin(), log.lines.end(),
       [](const LogLine& a, const LogLine& b) { return a.time < b.time; });
 }
 
--- a/src/pathcleat/query/request_diagnosis.cpp
+++ b/src/pathcleat/query/request_diagnosis.cpp
@@ -27,14 +27,15 @@
   return found == lines.rend() ? nullptr : &*found;
 }
 
-// A newer configuration was in force elsewhere when the request was taken.
-void FindOldConfig(const MergedLog& log,
-                   const LogLine& taken,
-                   RequestDiagnosis& story) {
-  const std::int64_t version = taken.Number(field::kConfigVersion);
+// Adds a cause if another host had applied a newer configuration before this
+// host accepted the request.
+void CheckStaleConfig(const MergedLog& log,
+                      const LogLine& accepted,
+                      RequestDiagnosis& diagnosis) {
+  const std::int64_t version = accepted.Number(field::kConfigVersion);
   const LogLine* first = nullptr;
   for (const LogLine& line : log.lines) {
-    if (line.time > taken.time) {
+    if (line.time > accepted.time) {
       break;
     }
     const bool newer = line.name == "config-applied" &&
@@ -48,17 +49,18 @@
     return;
   }
   std::ostringstream text;
-  text << "handled by configuration " << version << " at " << taken.host
+  text << "handled by configuration " << version << " at " << accepted.host
        << ", while " << first->Field(field::kConfigVersion)
        << " had been in force at " << first->host << " for "
-       << MillisecondsBetween(first->time, taken.time) << " ms";
-  story.causes.push_back({RequestCause::kStaleConfig, text.str()});
+       << MillisecondsBetween(first->time, accepted.time) << " ms";
+  diagnosis.causes.push_back({RequestCause::kStaleConfig, text.str()});
 }
 
-// An upstream was known to leave elsewhere when the request was sent there.
-void FindLeaving(const MergedLog& log,
-                 const LogLine& sent,
-                 RequestDiagnosis& story) {
+// Adds a cause if a host had logged that the upstream leaves or is gone before
+// the request was sent to the upstream.
+void CheckLeavingUpstream(const MergedLog& log,
+                          const LogLine& sent,
+                          RequestDiagnosis& diagnosis) {
   const std::string upstream = sent.Field(field::kUpstream);
   for (const LogLine& line : log.lines) {
     if (line.time > sent.time) {
@@ -74,13 +76,13 @@
            << " went by list version " << sent.Field(field::kListVersion)
            << ", unchanged there for " << sent.Field(field::kListAgeMs)
            << " ms";
-      story.causes.push_back({RequestCause::kLeavingUpstream, text.str()});
+      diagnosis.causes.push_back({RequestCause::kLeavingUpstream, text.str()});
       return;
     }
   }
 }
 
-void FindRefusal(const LogLine& refused, RequestDiagnosis& story) {
+void AddRefusalCause(const LogLine& refused, RequestDiagnosis& diagnosis) {
   const std::string reason = refused.Field(field::kReason);
   std::ostringstream text;
   RequestCause cause = RequestCause::kRefused;
@@ -100,67 +102,69 @@
   } else {
     text << "refused, not run: " << reason;
   }
-  story.causes.push_back({cause, text.str()});
+  diagnosis.causes.push_back({cause, text.str()});
 }
 
-void FindLostAnswer(const LogLine& unknown, RequestDiagnosis& story) {
+void AddLostAnswerCause(const LogLine& unknown, RequestDiagnosis& diagnosis) {
   std::ostringstream text;
   text << "its answer was lost, so it may have run: "
        << unknown.Field(field::kReason);
-  if (const LogLine* sent = LastNamed(story.lines, "request-sent")) {
+  if (const LogLine* sent = LastNamed(diagnosis.lines, "request-sent")) {
     text << "; sent to " << sent->Field(field::kUpstream) << " in "
          << sent->Field(field::kDomain) << ", expected after "
          << sent->Field(field::kExpectedMs) << " ms";
   }
-  if (const LogLine* failed = LastNamed(story.lines, "attempt-failed")) {
+  if (const LogLine* failed = LastNamed(diagnosis.lines, "attempt-failed")) {
     text << "; there " << failed->Field(field::kDetail) << " after "
          << failed->Field(field::kElapsedMs) << " ms";
   }
-  story.causes.push_back({RequestCause::kLostAnswer, text.str()});
+  diagnosis.causes.push_back({RequestCause::kLostAnswer, text.str()});
 }
 
-void FindEnd(RequestDiagnosis& story) {
-  if (const LogLine* refused = LastNamed(story.lines, "request-refused")) {
-    FindRefusal(*refused, story);
-  } else if (const LogLine* lost = LastNamed(story.lines, "request-unknown")) {
-    FindLostAnswer(*lost, story);
-  } else if (LastNamed(story.lines, "caller-left") != nullptr) {
-    story.causes.push_back(
+void AddOutcomeCause(RequestDiagnosis& diagnosis) {
+  if (const LogLine* refused = LastNamed(diagnosis.lines, "request-refused")) {
+    AddRefusalCause(*refused, diagnosis);
+  } else if (const LogLine* lost =
+                 LastNamed(diagnosis.lines, "request-unknown")) {
+    AddLostAnswerCause(*lost, diagnosis);
+  } else if (LastNamed(diagnosis.lines, "caller-left") != nullptr) {
+    diagnosis.causes.push_back(
         {RequestCause::kCallerLeft, "its caller closed before the answer"});
-  } else if (LastNamed(story.lines, "request-retried") != nullptr) {
-    story.causes.push_back(
+  } else if (LastNamed(diagnosis.lines, "request-retried") != nullptr) {
+    diagnosis.causes.push_back(
         {RequestCause::kSlow, "answered at the second attempt"});
-  } else if (story.causes.empty()) {
-    story.causes.push_back({RequestCause::kNone, "nothing went wrong"});
+  } else if (diagnosis.causes.empty()) {
+    diagnosis.causes.push_back({RequestCause::kNone, "nothing went wrong"});
   }
 }
 
-void FindMissing(const MergedLog& log, RequestDiagnosis& story) {
-  std::set<std::string> writers;
-  std::set<std::string> named;
+void AddMissingLogs(const MergedLog& log, RequestDiagnosis& diagnosis) {
+  std::set<std::string> logging_hosts;
+  std::set<std::string> seen_peers;
   for (const LogLine& line : log.lines) {
-    writers.insert(line.host);
+    logging_hosts.insert(line.host);
     if (line.name == "peer-heard" || line.name == "peer-silent") {
-      named.insert(line.Field("peer"));
+      seen_peers.insert(line.Field("peer"));
     }
     if (line.name == "log-dropped") {
-      story.missing.push_back(
+      diagnosis.missing.push_back(
           line.host + " dropped lines: " + line.Field(field::kDroppedRequests) +
           " of requests, " + line.Field(field::kDroppedFailures) +
           " of failures, " + line.Field(field::kDroppedStates) + " of state");
     }
   }
-  for (const std::string& host : named) {
-    if (!writers.contains(host)) {
-      story.missing.push_back("no line of host " + host);
+  for (const std::string& host : seen_peers) {
+    if (!logging_hosts.contains(host)) {
+      diagnosis.missing.push_back("no line of host " + host);
     }
   }
   if (log.unreadable > 0) {
-    story.missing.push_back(std::to_string(log.unreadable) +
-                            " lines are no events");
+    diagnosis.missing.push_back(std::to_string(log.unreadable) +
+                                " lines are no events");
   }
-  if (!story.lines.empty() && story.lines.front().name != "request-taken") {
-    story.missing.push_back("the line that took the request");
+  if (!diagnosis.lines.empty() &&
+      diagnosis.lines.front().name != "request-taken") {
+    diagnosis.missing.push_back("the line that took the request");
   }
 }
 
@@ -168,52 +172,52 @@
 
 RequestDiagnosis DiagnoseRequest(const MergedLog& log,
                                  const std::string& request_id) {
-  RequestDiagnosis story;
+  RequestDiagnosis diagnosis;
   for (const LogLine& line : log.lines) {
     if (line.Field("request") == request_id) {
-      story.lines.push_back(line);
+      diagnosis.lines.push_back(line);
     }
   }
-  FindMissing(log, story);
-  if (story.lines.empty()) {
-    story.causes.push_back(
+  AddMissingLogs(log, diagnosis);
+  if (diagnosis.lines.empty()) {
+    diagnosis.causes.push_back(
         {RequestCause::kNotLogged,
          "the logs say nothing of it: it went well and was not sampled, "
          "failed beyond the log's rate, or reached none of these hosts"});
-    return story;
+    return diagnosis;
   }
-  for (const LogLine& line : story.lines) {
+  for (const LogLine& line : diagnosis.lines) {
     if (line.name == "request-taken") {
-      FindOldConfig(log, line, story);
+      CheckStaleConfig(log, line, diagnosis);
     } else if (line.name == "request-sent") {
-      FindLeaving(log, line, story);
+      CheckLeavingUpstream(log, line, diagnosis);
     }
   }
-  FindEnd(story);
-  return story;
+  AddOutcomeCause(diagnosis);
+  return diagnosis;
 }
 
-std::string ToText(const RequestDiagnosis& story,
+std::string ToText(const RequestDiagnosis& diagnosis,
                    const std::string& request_id) {
-  const std::set<std::string> in_front = {"time",     "code", "name",
-                                          "severity", "host", "request"};
+  const std::set<std::string> omitted_fields = {"time",     "code", "name",
+                                                "severity", "host", "request"};
   std::ostringstream text;
   text << "request " << request_id << "\n";
-  for (const LogLine& line : story.lines) {
-    text << "+" << MillisecondsBetween(story.lines.front().time, line.time)
+  for (const LogLine& line : diagnosis.lines) {
+    text << "+" << MillisecondsBetween(diagnosis.lines.front().time, line.time)
          << " ms " << line.host << " " << line.name;
     for (const auto& [name, value] : line.fields) {
-      if (!in_front.contains(name)) {
+      if (!omitted_fields.contains(name)) {
         text << " " << name << "=" << value;
       }
     }
     text << "\n";
   }
-  for (const DiagnosedCause& cause : story.causes) {
+  for (const DiagnosedCause& cause : diagnosis.causes) {
     text << "cause: " << cause.explanation << "\n";
   }
-  for (const std::string& what : story.missing) {
-    text << "missing: " << what << "\n";
+  for (const std::string& gap : diagnosis.missing) {
+    text << "missing: " << gap << "\n";
   }
   return text.str();
 }
--- a/src/pathcleat/query/request_diagnosis_test.cpp
+++ b/src/pathcleat/query/request_diagnosis_test.cpp
@@ -9,7 +9,7 @@
 namespace pathcleat {
 namespace {
 
-const char* const kLog = R"(
+const char* const kLogText = R"(
 10.1.0.5 out: {"time":"5000000.0","name":"request-taken","host":"b","request":"r","config_version":2,"age_ms":900}
 {"time":"4000000.0","name":"config-applied","host":"a","topic":"routes","config_version":3}
 {"time":"5000000.1","name":"request-sent","host":"b","request":"r","upstream":"u1","list_version":7,"list_age_ms":800}
@@ -20,7 +20,7 @@
 not an event {
 )";
 
-MergedLog Logs(const std::string& text) {
+MergedLog ReadLogText(const std::string& text) {
   std::istringstream stream(text);
   MergedLog log;
   ReadLog(stream, log);
@@ -28,33 +28,37 @@
   return log;
 }
 
-bool Has(const std::string& text, const std::string& part) {
+bool Contains(const std::string& text, const std::string& part) {
   return text.find(part) != std::string::npos;
 }
 
-Test(request_story, old_views_are_named_with_their_ages) {
-  const RequestDiagnosis story = DiagnoseRequest(Logs(kLog), "r");
-  cr_assert_eq(story.lines.size(), 3U);
-  cr_assert_eq(story.causes.size(), 2U);
-  cr_assert(story.causes[0].cause == RequestCause::kStaleConfig);
-  cr_assert(Has(story.causes[0].explanation, "in force at a for 1000 ms"));
-  cr_assert(story.causes[1].cause == RequestCause::kLeavingUpstream);
-  cr_assert(Has(story.causes[1].explanation, "leaving for 100 ms"));
+Test(request_diagnosis, stale_config_and_list_are_reported_with_their_ages) {
+  const RequestDiagnosis diagnosis =
+      DiagnoseRequest(ReadLogText(kLogText), "r");
+  cr_assert_eq(diagnosis.lines.size(), 3U);
+  cr_assert_eq(diagnosis.causes.size(), 2U);
+  cr_assert(diagnosis.causes[0].cause == RequestCause::kStaleConfig);
+  cr_assert(
+      Contains(diagnosis.causes[0].explanation, "in force at a for 1000 ms"));
+  cr_assert(diagnosis.causes[1].cause == RequestCause::kLeavingUpstream);
+  cr_assert(Contains(diagnosis.causes[1].explanation, "leaving for 100 ms"));
 }
 
-Test(request_story, what_the_logs_lack_is_said) {
-  const std::string text = ToText(DiagnoseRequest(Logs(kLog), "r"), "r");
-  cr_assert(Has(text, "missing: no line of host c"));
-  cr_assert(Has(text, "b dropped lines: 4 of requests"));
-  cr_assert(Has(text, "1 lines are no events"));
-  const RequestDiagnosis unknown = DiagnoseRequest(Logs(kLog), "other");
+Test(request_diagnosis, missing_logs_are_reported) {
+  const std::string text =
+      ToText(DiagnoseRequest(ReadLogText(kLogText), "r"), "r");
+  cr_assert(Contains(text, "missing: no line of host c"));
+  cr_assert(Contains(text, "b dropped lines: 4 of requests"));
+  cr_assert(Contains(text, "1 lines are no events"));
+  const RequestDiagnosis unknown =
+      DiagnoseRequest(ReadLogText(kLogText), "other");
   cr_assert(unknown.causes[0].cause == RequestCause::kNotLogged);
 }
 
-Test(request_story, lines_in_any_order_tell_the_same) {
+Test(request_diagnosis, line_order_does_not_change_the_diagnosis) {
   cr_assert(Holds("any order", [] {
     std::vector<std::string> lines;
-    std::istringstream stream(kLog);
+    std::istringstream stream(kLogText);
     for (std::string line; std::getline(stream, line);) {
       lines.push_back(line);
     }
@@ -65,16 +69,16 @@
     for (const std::string& line : lines) {
       text += line + "\n";
     }
-    RC_ASSERT(ToText(DiagnoseRequest(Logs(text), "r"), "r") ==
-              ToText(DiagnoseRequest(Logs(kLog), "r"), "r"));
+    RC_ASSERT(ToText(DiagnoseRequest(ReadLogText(text), "r"), "r") ==
+              ToText(DiagnoseRequest(ReadLogText(kLogText), "r"), "r"));
   }));
 }
 
-Test(request_story, any_bytes_are_read_or_counted) {
+Test(request_diagnosis, arbitrary_bytes_are_parsed_or_counted) {
   cr_assert(Holds("no bytes do harm", [] {
     const auto bytes =
         *rc::gen::container<std::string>(rc::gen::inRange<char>(-128, 127));
-    DiagnoseRequest(Logs("{" + bytes), "r");
+    DiagnoseRequest(ReadLogText("{" + bytes), "r");
   }));
 }
 
