--- a/src/pathcleat/app/log_files.cpp
+++ b/src/pathcleat/app/log_files.cpp
@@ -16,24 +16,26 @@
 };
 using GzipFile = std::unique_ptr<gzFile_s, GzipCloser>;
 
-// zlib passes bytes that are not compressed through as they are.
-Result<void> ReadOne(GzipFile file, const std::string& name, MergedLog& into) {
+// Reads plain files too: zlib returns uncompressed input unchanged.
+Result<void> ReadLogFile(GzipFile file,
+                         const std::string& name,
+                         MergedLog& log) {
   if (!file) {
     return Fail({ErrorCode::kInvalid, "read log", name, "cannot be opened"});
   }
-  constexpr std::size_t kPiece = 64UL * 1024;
-  std::vector<char> piece(kPiece);
+  constexpr std::size_t kChunkBytes = 64UL * 1024;
+  std::vector<char> chunk(kChunkBytes);
   std::stringstream text;
-  int got = 0;
-  while ((got = gzread(file.get(), piece.data(), kPiece)) > 0) {
-    text.write(piece.data(), got);
+  int bytes_read = 0;
+  while ((bytes_read = gzread(file.get(), chunk.data(), kChunkBytes)) > 0) {
+    text.write(chunk.data(), bytes_read);
   }
-  if (got < 0) {
+  if (bytes_read < 0) {
     int code = 0;
     return Fail(
         {ErrorCode::kInvalid, "read log", name, gzerror(file.get(), &code)});
   }
-  ReadLog(text, into);
+  ReadLog(text, log);
   return {};
 }
 
@@ -42,11 +44,12 @@
 Result<MergedLog> ReadLogFiles(const std::vector<std::string>& paths) {
   MergedLog log;
   if (paths.empty()) {
-    BOOST_LEAF_CHECK(ReadOne(GzipFile(gzdopen(dup(STDIN_FILENO), "rb")),
-                             "standard input", log));
+    BOOST_LEAF_CHECK(ReadLogFile(GzipFile(gzdopen(dup(STDIN_FILENO), "rb")),
+                                 "standard input", log));
   }
   for (const std::string& path : paths) {
-    BOOST_LEAF_CHECK(ReadOne(GzipFile(gzopen(path.c_str(), "rb")), path, log));
+    BOOST_LEAF_CHECK(
+        ReadLogFile(GzipFile(gzopen(path.c_str(), "rb")), path, log));
   }
   SortByTime(log);
   return log;
--- a/src/pathcleat/app/log_files.hpp
+++ b/src/pathcleat/app/log_files.hpp
@@ -9,8 +9,10 @@
 
 namespace pathcleat {
 
-/// @brief Reads collected logs, plain or compressed by gzip, sorted by time.
-/// @param paths files; none: standard input.
+/// @brief Reads logs, plain or compressed by gzip, and sorts their lines by
+/// time.
+/// @param paths log files; empty: standard input.
+/// @return the merged log; kInvalid if a file cannot be opened or read.
 Result<MergedLog> ReadLogFiles(const std::vector<std::string>& paths);
 
 }  // namespace pathcleat
--- a/src/pathcleat/app/operator_client.cpp
+++ b/src/pathcleat/app/operator_client.cpp
@@ -12,17 +12,17 @@
 namespace {
 
 constexpr std::chrono::seconds kTimeout{10};
-constexpr std::uint64_t kLongestAnswer = 64ULL * 1024 * 1024;
+constexpr std::uint64_t kMaxAnswerBytes = 64ULL * 1024 * 1024;
 
-Result<std::string> Exchange(const OperatorEndpoint& host,
-                             const std::string& token,
-                             HttpRequest request) {
+Result<std::string> SendRequest(const OperatorEndpoint& host,
+                                const std::string& token,
+                                HttpRequest request) {
   const std::string peer = host.endpoint.address().to_string() + ":" +
                            std::to_string(host.endpoint.port());
   request.headers.push_back({"Host", peer});
   request.headers.push_back({"Authorization", "Bearer " + token});
   HttpLimits limits;
-  limits.max_body_bytes = kLongestAnswer;
+  limits.max_body_bytes = kMaxAnswerBytes;
   boost::asio::io_context loop;
   const auto client = std::make_shared<HttpClient>(loop, host.endpoint, limits);
   CallResult result;
@@ -33,13 +33,14 @@
                });
   loop.run();
   if (result.outcome == CallOutcome::kNotSent) {
-    return Fail({ErrorCode::kUnreachable, "ask host", peer, result.detail});
+    return Fail({ErrorCode::kUnreachable, "query host", peer, result.detail});
   }
   if (result.outcome != CallOutcome::kAnswered) {
-    return Fail({ErrorCode::kUnknown, "ask host", peer, result.detail});
+    return Fail({ErrorCode::kUnknown, "query host", peer, result.detail});
   }
   if (result.response.status != http_status::kOk) {
-    return Fail({ErrorCode::kRefused, "ask host", peer, result.response.body});
+    return Fail(
+        {ErrorCode::kRefused, "query host", peer, result.response.body});
   }
   return result.response.body;
 }
@@ -59,12 +60,12 @@
 Result<std::string> SendCommand(const OperatorEndpoint& host,
                                 const std::string& token,
                                 const std::string& command) {
-  return Exchange(host, token, {"POST", "/v1/query", {}, command});
+  return SendRequest(host, token, {"POST", "/v1/query", {}, command});
 }
 
 Result<std::string> FetchTimeline(const OperatorEndpoint& host,
                                   const std::string& token) {
-  return Exchange(host, token, {"GET", "/v1/timeline", {}, ""});
+  return SendRequest(host, token, {"GET", "/v1/timeline", {}, ""});
 }
 
 }  // namespace pathcleat
--- a/src/pathcleat/app/operator_client.hpp
+++ b/src/pathcleat/app/operator_client.hpp
@@ -8,22 +8,25 @@
 
 namespace pathcleat {
 
-/// @brief A host's operator port as an operator gives it: "ADDRESS:PORT".
+/// @brief Address and port on which a host accepts operator commands.
 struct OperatorEndpoint {
   boost::asio::ip::tcp::endpoint endpoint;
 };
 
-/// @brief Reads "ADDRESS:PORT"; kInvalid if it is not that.
+/// @brief Parses "ADDRESS:PORT".
+/// @return the endpoint; kInvalid if `text` has another form.
 Result<OperatorEndpoint> ParseEndpoint(const std::string& text);
 
-/// @brief Gives a command to a host and waits for the answer.
-/// @return the answer's text; kRefused with the text if the host declined,
-/// kUnreachable or kUnknown if no whole answer came.
+/// @brief Sends an operator command to a host and waits for the answer.
+/// @return the answer's text; kRefused with the answer's text if the host
+/// rejected the command, kUnreachable if the command could not be sent,
+/// kUnknown if no complete answer was received.
 Result<std::string> SendCommand(const OperatorEndpoint& host,
                                 const std::string& token,
                                 const std::string& command);
 
-/// @brief The events a host keeps, one JSON line each.
+/// @brief Fetches the events that a host keeps, one JSON object a line.
+/// @return the lines; the same errors as SendCommand().
 Result<std::string> FetchTimeline(const OperatorEndpoint& host,
                                   const std::string& token);
 
--- a/src/pathcleat/app/pathcleat.cpp
+++ b/src/pathcleat/app/pathcleat.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-// The shipped program.
+// The program pathcleat: entry host and operators' command line.
 
 #include <docopt/docopt.h>
 #include <log4cplus/initializer.h>
@@ -74,18 +74,18 @@
 constexpr int kDone = 0;
 constexpr int kFailed = 1;
 constexpr int kWrongUsage = 2;
-// Log lines that wait for a slow reader.
-constexpr std::size_t kLogBytesWaiting = 256UL * 1024;
+// Log lines queued for a slow reader of standard output.
+constexpr std::size_t kMaxQueuedLogBytes = 256UL * 1024;
 
 using Arguments = std::map<std::string, docopt::value>;
 
 std::string SettingsPath(const Arguments& arguments) {
-  const docopt::value& given = arguments.at("SETTINGS");
-  if (given) {
-    return given.asString();
+  const docopt::value& argument = arguments.at("SETTINGS");
+  if (argument) {
+    return argument.asString();
   }
-  const char* named = std::getenv("PATHCLEAT_SETTINGS");
-  return named == nullptr ? "" : named;
+  const char* variable = std::getenv("PATHCLEAT_SETTINGS");
+  return variable == nullptr ? "" : variable;
 }
 
 bool ReportFaults(const LoadedEntrySettings& loaded) {
@@ -120,7 +120,7 @@
   signal(SIGPIPE, SIG_IGN);
   log4cplus::Initializer logging;
   boost::asio::io_context loop(1);
-  LogWriter log(loop, STDOUT_FILENO, kLogBytesWaiting);
+  LogWriter log(loop, STDOUT_FILENO, kMaxQueuedLogBytes);
   log.Attach();
   StoreCallStats store_calls;
   platform::PlatformOptions options;
@@ -160,9 +160,10 @@
       [&]() -> Result<int> {
         BOOST_LEAF_CHECK(gateway.Start());
         loop.run();
-        // The logging library joins its threads at a normal end, which took
-        // longer than the grace time leaves. Nothing is kept here: all is
-        // answered by now, and what lasts is in the store.
+        // A normal exit would join the threads of the logging library, which
+        // takes longer than the rest of the grace period. Exiting without
+        // destructors loses nothing: all requests have been answered, and
+        // persistent state is in the store.
         log.Flush();
         std::cerr.flush();
         std::_Exit(kDone);
@@ -212,7 +213,7 @@
   return kDone;
 }
 
-// "micros.counter" as a pair that sorts by time.
+// Parses the time of an event, "micros.counter", into a sort key.
 std::pair<std::uint64_t, std::uint64_t> TimeKey(const std::string& line) {
   const auto event = nlohmann::json::parse(line, nullptr, false);
   if (!event.is_object()) {
@@ -263,26 +264,26 @@
 Result<int> RunWhy(const Arguments& arguments) {
   const std::string id = arguments.at("ID").asString();
   BOOST_LEAF_AUTO(log, ReadLogFiles(arguments.at("FILE").asStringList()));
-  const RequestDiagnosis story = DiagnoseRequest(log, id);
-  std::cout << ToText(story, id);
-  return story.lines.empty() ? kFailed : kDone;
+  const RequestDiagnosis diagnosis = DiagnoseRequest(log, id);
+  std::cout << ToText(diagnosis, id);
+  return diagnosis.lines.empty() ? kFailed : kDone;
 }
 
-bool Asks(const Arguments& arguments, const char* command) {
+bool IsSelected(const Arguments& arguments, const char* command) {
   return arguments.at(command).asBool();
 }
 
 int RunClient(const Arguments& arguments) {
   return TryOr(
       [&]() -> Result<int> {
-        if (Asks(arguments, "query")) {
+        if (IsSelected(arguments, "query")) {
           return RunQuery(arguments);
         }
-        if (Asks(arguments, "why")) {
+        if (IsSelected(arguments, "why")) {
           return RunWhy(arguments);
         }
-        return Asks(arguments, "--logs") ? RunLogTimeline(arguments)
-                                         : RunTimeline(arguments);
+        return IsSelected(arguments, "--logs") ? RunLogTimeline(arguments)
+                                               : RunTimeline(arguments);
       },
       [](const Error& error) {
         std::cerr << ToString(error) << "\n";
@@ -307,8 +308,8 @@
 
 int Main(int argc, char** argv) {
   const Arguments arguments = ParseArguments(argc, argv);
-  if (Asks(arguments, "query") || Asks(arguments, "timeline") ||
-      Asks(arguments, "why")) {
+  if (IsSelected(arguments, "query") || IsSelected(arguments, "timeline") ||
+      IsSelected(arguments, "why")) {
     return RunClient(arguments);
   }
   const std::string path = SettingsPath(arguments);
--- a/src/pathcleat/app/pathcleat_lab.cpp
+++ b/src/pathcleat/app/pathcleat_lab.cpp
@@ -1,6 +1,6 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-// The lab program, never shipped: stand-ins for what pathcleat meets, a load
-// generator, and the measurements.
+// The program pathcleat-lab, for development only: stand-ins for upstreams and
+// for the platform's store, a load generator and measurements.
 
 #include <docopt/docopt.h>
 #include <signal.h>
@@ -122,10 +122,10 @@
 Result<int> WriteSettings(const Deployment& deployment,
                           const std::string& folder) {
   std::filesystem::create_directories(folder);
-  for (const HostIndex seat : IndicesOf<HostIndex>(deployment.hosts)) {
-    const std::string path = folder + "/" + deployment.At(seat).name + ".jsonc";
+  for (const HostIndex host : IndicesOf<HostIndex>(deployment.hosts)) {
+    const std::string path = folder + "/" + deployment.At(host).name + ".jsonc";
     std::ofstream file(path);
-    file << SettingsTextOf(deployment, seat);
+    file << SettingsTextOf(deployment, host);
     if (!file.flush()) {
       return Fail({ErrorCode::kRefused, "write settings", path,
                    "the file cannot be written"});
@@ -134,7 +134,7 @@
   return kDone;
 }
 
-double WeightOf(Priority priority) {
+double RequestWeight(Priority priority) {
   switch (priority) {
     case Priority::kSubmission:
       return 2;
@@ -146,26 +146,27 @@
   return 1;
 }
 
-LoadPlan PlanFrom(const Arguments& arguments, const Deployment& deployment) {
-  const docopt::value& only = arguments.at("--service");
+LoadPlan MakeLoadPlan(const Arguments& arguments,
+                      const Deployment& deployment) {
+  const docopt::value& service_filter = arguments.at("--service");
   LoadPlan plan;
   for (const Service& service : deployment.services) {
-    if (only && only.asString() != service.name) {
+    if (service_filter && service_filter.asString() != service.name) {
       continue;
     }
     for (const RequestKind& kind : service.kinds) {
-      const std::string below =
+      const std::string subpath =
           kind.path_prefix.ends_with('/') ? "item" : "/item";
-      const std::string path = service.path_prefix + kind.path_prefix + below;
+      const std::string path = service.path_prefix + kind.path_prefix + subpath;
       plan.kinds.push_back({service.name + "/" + kind.name,
-                            kind.methods.front(), path, WeightOf(kind.priority),
-                            !kind.repeatable});
+                            kind.methods.front(), path,
+                            RequestWeight(kind.priority), !kind.repeatable});
     }
   }
-  for (const EntryHost& seat : deployment.hosts) {
-    plan.hosts.push_back(seat.address + ":" + std::to_string(seat.caller_port));
-    plan.locators.push_back(seat.address + ":" +
-                            std::to_string(seat.caller_port + 2));
+  for (const EntryHost& host : deployment.hosts) {
+    plan.hosts.push_back(host.address + ":" + std::to_string(host.caller_port));
+    plan.locators.push_back(host.address + ":" +
+                            std::to_string(host.caller_port + 2));
   }
   plan.caller_address_prefixes.clear();
   for (std::size_t i = 0; i < deployment.regions.size(); ++i) {
@@ -204,7 +205,7 @@
 
 Result<int> RunLoad(const Arguments& arguments, const Deployment& deployment) {
   boost::asio::io_context loop;
-  LoadGenerator load(loop, PlanFrom(arguments, deployment));
+  LoadGenerator load(loop, MakeLoadPlan(arguments, deployment));
   load.Start([&loop] { loop.stop(); });
   loop.run();
   BOOST_LEAF_AUTO(ledger, Fetch(std::string(kControlAddress) + ":" +
@@ -212,10 +213,10 @@
                                 "/ledger"));
   BOOST_LEAF_AUTO(audit, AuditLoad(load, ledger));
   std::cout << ReportLoad(load, audit);
-  const bool kept = audit.duplicate_runs == 0 && audit.false_not_run == 0 &&
-                    audit.upstreams_over_slots == 0 &&
-                    audit.corrupt_answers == 0;
-  return kept ? kDone : kFailed;
+  const bool promises_kept =
+      audit.duplicate_runs == 0 && audit.false_not_run == 0 &&
+      audit.upstreams_over_slots == 0 && audit.corrupt_answers == 0;
+  return promises_kept ? kDone : kFailed;
 }
 
 Result<int> PrintToken(const Deployment& deployment) {
