--- a/src/pathcleat/app/pathcleat_lab.cpp
+++ b/src/pathcleat/app/pathcleat_lab.cpp
@@ -1,6 +1,6 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-// The program pathcleat-lab, for development only: stand-ins for upstreams and
-// for the platform's store, a load generator and measurements.
+// The program pathcleat-lab, for development only and never shipped: stand-ins
+// for upstreams and for the platform's store, a load generator, measurements.
 
 #include <docopt/docopt.h>
 #include <signal.h>
