--- a/include/pathcleat/core/binary_codec.hpp
+++ b/include/pathcleat/core/binary_codec.hpp
@@ -22,7 +22,8 @@
   return stream.str();
 }
 
-/// @brief Deserializes a value; std::nullopt if the bytes do not encode one.
+/// @brief Deserializes a value; std::nullopt if the bytes do not encode a
+/// Value.
 /// @ingroup core
 template <class Value>
 std::optional<Value> DecodeBinary(std::string_view bytes) {
--- a/include/pathcleat/core/event.hpp
+++ b/include/pathcleat/core/event.hpp
@@ -11,7 +11,7 @@
 
 namespace pathcleat {
 
-/// @brief Numbers of the log events, described in docs/EVENTS.md.
+/// @brief Numbers of the events; docs/EVENTS.md describes each event.
 /// @ingroup core
 enum class EventCode : std::uint16_t {
   kHostStarted = 1001,
@@ -76,7 +76,7 @@
   const char* name;
   Severity severity;
   LogClass log_class;
-  const char* subject_field;  ///< name of the field with the subject
+  const char* subject_field;  ///< JSON key for Event::subject
 };
 
 /// @brief Lists all event codes, sorted by number.
@@ -87,13 +87,13 @@
 /// @ingroup core
 const EventInfo& EventInfoOf(EventCode code);
 
-/// @brief One event of the log and of the time line.
+/// @brief One event, as written to the log and returned by /v1/timeline.
 /// @ingroup core
 struct Event {
   HybridTime time;
   EventCode code = EventCode::kHostStarted;
   std::string host;     ///< host of the process that recorded the event
-  std::string subject;  ///< e.g. a request id: see EventInfo
+  std::string subject;  ///< e.g. a request id; its kind depends on the code
   std::string text;     ///< description in a sentence, or empty
   EventFields fields;   ///< inputs of a decision and its outcome
 };
@@ -106,8 +106,8 @@
 /// @ingroup core
 std::string ToText(const Event& event);
 
-/// @brief Formats an event as one line of JSON, as in the log and the time
-/// line.
+/// @brief Formats an event as one line of JSON, for the log and for
+/// /v1/timeline.
 /// @ingroup core
 std::string ToJsonLine(const Event& event);
 
--- a/include/pathcleat/core/event_log.hpp
+++ b/include/pathcleat/core/event_log.hpp
@@ -11,8 +11,8 @@
 
 namespace pathcleat {
 
-/// @brief Keeps the newest events in memory for the time line and writes each
-/// event as a JSON line to the log4cplus logger of its class. Thread-safe.
+/// @brief Keeps the newest events in memory for /v1/timeline and writes each
+/// event as a JSON line to the log4cplus logger of its LogClass. Thread-safe.
 /// @ingroup core
 class EventLog {
  public:
--- a/include/pathcleat/core/hash.hpp
+++ b/include/pathcleat/core/hash.hpp
@@ -19,7 +19,8 @@
 /// @ingroup core
 double ToUnitInterval(std::uint64_t hash);
 
-/// @brief Combines two hashes; gives the rank of a pair in rendezvous hashing.
+/// @brief Combines two hashes into one. In rendezvous hashing, the result for
+/// the hashes of an upstream and a host is the rank of that host.
 /// @ingroup core
 std::uint64_t MixHashes(std::uint64_t a, std::uint64_t b);
 
--- a/include/pathcleat/core/lock_rank.hpp
+++ b/include/pathcleat/core/lock_rank.hpp
@@ -15,7 +15,7 @@
   kRouter = 4,      ///< state of other pools, shifts, retry budget
   kTrace = 5,       ///< explanations of recent requests
   kMetrics = 6,     ///< counters and latency statistics
-  kEvents = 7,      ///< time line and event log
+  kEvents = 7,      ///< events kept in memory by EventLog
 };
 
 /// @brief A mutex with a rank; meets the BasicLockable requirements.
--- a/include/pathcleat/core/log_class.hpp
+++ b/include/pathcleat/core/log_class.hpp
@@ -14,7 +14,7 @@
   kRequest,  ///< a request without failure
   kFailure,  ///< a request that was refused, retried, slow or has
              ///< an unknown outcome
-  kState,    ///< a change of state that the process has seen
+  kState,    ///< any other event, e.g. an upstream that fails
 };
 
 constexpr std::size_t kLogClassCount = 3;
--- a/include/pathcleat/core/log_writer.hpp
+++ b/include/pathcleat/core/log_writer.hpp
@@ -27,7 +27,7 @@
   /// @brief Replaces all log4cplus appenders by this writer.
   void Attach();
 
-  /// @brief Buffers a line, which is written a little later.
+  /// @brief Buffers a line and schedules a Flush.
   void Write(LogClass log_class, std::string_view line);
 
   /// @brief Writes as many buffered lines as possible without blocking.
@@ -36,8 +36,8 @@
   /// @brief Number of lines dropped since construction, by class.
   const LogCounts& dropped() const { return buffer_.dropped(); }
 
-  /// @brief Sets the handler that receives the number of newly dropped lines,
-  /// by class, as soon as the buffer has been written out.
+  /// @brief Sets the handler that receives the number of lines dropped since
+  /// its last call, by class. It is called when all buffered lines are written.
   void OnDropped(std::function<void(const LogCounts&)> handler) {
     on_dropped_ = std::move(handler);
   }
--- a/include/pathcleat/core/mechanism.hpp
+++ b/include/pathcleat/core/mechanism.hpp
@@ -10,8 +10,9 @@
 namespace pathcleat {
 
 /// @brief Parts of the routing policy that can be switched off one by one, to
-/// measure the benefit of each (tools/ablate.py). Of the guarantees to users,
-/// only those of kCrashBlock and kUpstreamLimits depend on a mechanism.
+/// measure the benefit of each (tools/ablate.py). Switching off kCrashBlock or
+/// kUpstreamLimits also ends a guarantee to users; no other mechanism affects a
+/// guarantee.
 /// @ingroup core
 enum class Mechanism {
   kRegionShares,    ///< keys stay in their callers' region while it has
@@ -20,10 +21,12 @@
   kKeyPlacement,    ///< a key is routed to a few upstreams only
   kAdmission,       ///< requests that would wait too long are refused
                     ///< with a retry time
-  kUsualLoad,       ///< the usual load by other hosts is remembered
+  kUsualLoad,       ///< the estimated load by other hosts decays to its
+                    ///< usual value, not to zero
   kAverageLoad,     ///< an upstream without reports is assumed to have
                     ///< the average load
-  kPatience,        ///< repeatable requests leave a silent upstream
+  kPatience,        ///< a repeatable request fails over if its upstream
+                    ///< stays silent
   kCarryingCost,    ///< the cost of transfers between regions counts in
                     ///< the choice of upstream
   kSlowness,        ///< an upstream's speed is estimated from run times
--- a/include/pathcleat/core/request_id.hpp
+++ b/include/pathcleat/core/request_id.hpp
@@ -14,8 +14,9 @@
 /// their restarts.
 /// @ingroup core
 struct RequestId {
-  std::uint64_t incarnation = 0;  ///< of the accepting entry host
-  std::uint64_t sequence = 0;     ///< number of the request at that host
+  std::uint64_t incarnation =
+      0;                       ///< differs at each start of the accepting host
+  std::uint64_t sequence = 0;  ///< number of the request at that host
   std::uint16_t attempt = 0;
 
   auto operator<=>(const RequestId&) const = default;
@@ -26,12 +27,12 @@
   }
 };
 
-/// @brief Formats an id as "incarnation-sequence" in hexadecimal; the same for
-/// all attempts of a request.
+/// @brief Formats an id as "incarnation-sequence" in hexadecimal. The text is
+/// the same for all attempts of a request.
 /// @ingroup core
 std::string ToString(const RequestId& id);
 
-/// @brief Parses the text form of an id; attempt is 0.
+/// @brief Parses "incarnation-sequence"; the attempt of the result is 0.
 /// @ingroup core
 std::optional<RequestId> ParseRequestId(std::string_view text);
 
--- a/include/pathcleat/core/request_kind.hpp
+++ b/include/pathcleat/core/request_kind.hpp
@@ -9,7 +9,8 @@
 
 namespace pathcleat {
 
-/// @brief Priority of requests under overload; the last is shed first.
+/// @brief Priority of requests under overload: kDownload is refused first,
+/// kSubmission last.
 /// @ingroup core
 enum class Priority : std::uint8_t {
   kSubmission = 0,
--- a/include/pathcleat/core/store_outcome.hpp
+++ b/include/pathcleat/core/store_outcome.hpp
@@ -8,8 +8,9 @@
 enum class StoreOutcome {
   kDone,         ///< carried out
   kConflict,     ///< the condition did not hold; nothing was changed
-  kNotDone,      ///< certainly not carried out: refused, or never sent
-  kUnknown,      ///< may have been carried out, or may yet be
+  kNotDone,      ///< certainly not carried out: refused or not sent
+  kUnknown,      ///< may have been carried out, or may still be
+                 ///< carried out later
   kHistoryGone,  ///< a watch requested changes that the store no longer
                  ///< keeps
 };
--- a/include/pathcleat/http/http_client.hpp
+++ b/include/pathcleat/http/http_client.hpp
@@ -33,7 +33,7 @@
 struct CallResult {
   CallOutcome outcome = CallOutcome::kNotSent;
   HttpResponse response;             ///< set for kAnswered
-  std::string detail;                ///< cause of the other outcomes
+  std::string detail;                ///< cause of any outcome but kAnswered
   std::uint64_t received_bytes = 0;  ///< bytes of answers, with headers
   Duration transfer_time{0};  ///< from the first received byte to the end
   /// The request failed because the peer neither sent bytes nor closed:
@@ -75,8 +75,9 @@
  public:
   using Callback = std::function<void(CallResult)>;
 
-  /// @brief Returns whether an answer belongs to the request sent. Any other
-  /// answer is late or surplus: the client drops it and waits for the next.
+  /// @brief Returns whether an answer belongs to the current request. The
+  /// client drops an answer that belongs to another request and waits for the
+  /// next.
   using Matcher = std::function<bool(const HttpResponse&)>;
 
   HttpClient(boost::asio::io_context& loop,
@@ -96,8 +97,8 @@
 
   /// @brief Sets how long the peer's machine may leave bytes or TCP keep-alive
   /// probes unacknowledged before the connection is closed. Must be set before
-  /// the first request. An idle connection is closed at most a second later
-  /// than that.
+  /// the first request. An idle connection may stay open up to one second
+  /// longer than the limit.
   void SetAckTimeout(Duration limit) { ack_timeout_ = limit; }
 
   /// @brief Sets a callback that is called if the next request opens a
@@ -146,7 +147,8 @@
                              : std::nullopt;
   }
 
-  /// @brief Time to open the connection, if the current request opened it.
+  /// @brief How long the connection took to open; std::nullopt if the current
+  /// request uses a connection that was already open.
   std::optional<Duration> connect_time() const { return connect_time_; }
 
   /// @brief Whether the current request uses a connection that has carried an
@@ -176,7 +178,7 @@
   Time CurrentDeadline() const;
   void ArmDeadline();
   void OnDeadline();
-  void ArmTimer(Duration timeout, void (HttpClient::*step)());
+  void ArmTimer(Duration timeout, void (HttpClient::*on_expiry)());
   void Fail(CallOutcome outcome, std::string detail);
   void Finish(CallResult result);
   void Close();
--- a/include/pathcleat/http/http_exchange.hpp
+++ b/include/pathcleat/http/http_exchange.hpp
@@ -31,8 +31,8 @@
   /// @brief Sends the answer. Only the first call has an effect.
   void Respond(HttpResponse response);
 
-  /// @brief Closes the connection without an answer, for upstream stand-ins
-  /// that simulate a failure.
+  /// @brief Closes the connection without an answer. Used by the stand-ins of
+  /// the upstreams and of the platform to simulate a failure.
   void DropConnection();
 
   /// @brief Sets a callback that is called once if the caller disconnects
@@ -40,9 +40,9 @@
   void OnAbandoned(std::function<void()> callback);
 
   /// @brief Sets a callback that is called once if the caller half-closes the
-  /// connection before the answer. Most such callers have disconnected, some
-  /// still wait for the answer, so an answer is still written. Without a
-  /// callback the caller counts as disconnected.
+  /// connection before the answer. Most callers that half-close have
+  /// disconnected, but some still wait, so the answer is still written. Without
+  /// a callback, the caller counts as disconnected.
   void OnCallerHalfClosed(std::function<void()> callback);
 
   /// @brief Checks whether the caller has closed the connection, also if unread
@@ -53,7 +53,7 @@
   /// @brief Whether the caller is connected and has no answer yet.
   bool IsOpen() const { return !response_ && !abandoned_; }
 
-  // Used by the connection.
+  // The functions from here on are called by ServerSession.
   bool answered() const { return response_.has_value(); }
   const HttpResponse& response() const { return *response_; }
   void OnAnswered(std::function<void()> callback);
@@ -61,7 +61,8 @@
   void OnConnectionCheck(std::function<void()> callback);
   void Abandon();
 
-  /// @return whether a callback was set, whose owner will answer.
+  /// @brief Calls the callback of OnCallerHalfClosed.
+  /// @return false if the exchange is no longer open or no callback is set.
   bool NotifyCallerHalfClosed();
 
  private:
--- a/include/pathcleat/http/http_message.hpp
+++ b/include/pathcleat/http/http_message.hpp
@@ -44,8 +44,8 @@
 std::optional<std::string> FindHeader(const HttpHeaders& headers,
                                       std::string_view name);
 
-/// @brief Headers to forward end to end: all except hop-by-hop headers, headers
-/// named in Connection and Content-Length.
+/// @brief Returns the headers that a proxy forwards: all except Content-Length,
+/// the hop-by-hop headers and the headers that Connection names.
 /// @ingroup http
 HttpHeaders EndToEndHeaders(const HttpHeaders& headers);
 
--- a/include/pathcleat/settings/entry_settings.hpp
+++ b/include/pathcleat/settings/entry_settings.hpp
@@ -24,27 +24,27 @@
   std::string metrics;
 };
 
-/// @brief Limits that all hosts together keep.
+/// @brief Limits that apply to all hosts together.
 /// @ingroup settings
 struct FleetBounds {
   double retry_ratio = 0.2;  ///< retries per request, in any window
   double retry_slack = 50;   ///< retries beyond the ratio, in any window
-  double cold_slack = 5;     ///< requests beyond a cold upstream's rate
+  double cold_slack = 5;     ///< requests beyond the limit of a cold upstream
   /// Length of the windows in which requests are counted against a rate limit
-  /// that an upstream reports. limit_overage and limit_slack are how far a
-  /// window may exceed the limit.
+  /// that an upstream reports. The requests in a window may exceed the limit by
+  /// limit_overage and limit_slack together.
   Duration limit_window{4'000'000};
-  double limit_overage = 0.5;  ///< share of the limit
-  double limit_slack = 5;      ///< requests beyond that
+  double limit_overage = 0.5;  ///< as a share of the limit
+  double limit_slack = 5;      ///< as a number of requests
   Duration locate_ttl{2'000'000};
   Duration stop_grace{6'000'000};  ///< from a planned stop to exit
   /// Time from the acknowledgement of a configuration after which no host may
   /// apply an older configuration.
   Duration config_apply{3'000'000};
-  QuotaBounds quota;  ///< how far client accounts may exceed limits
+  QuotaBounds quota;  ///< how far client accounts may exceed their limits
 };
 
-/// @brief Cost of transferring a gigabyte, in units of the value of one answer.
+/// @brief Cost of transferring a gigabyte; 1 is the value of one answer.
 /// @ingroup settings
 struct TransferCosts {
   double between_domains = 0;
@@ -55,9 +55,9 @@
 /// @ingroup settings
 struct RequestLogSettings {
   bool enabled = true;  ///< false: no requests are logged
-  /// Logs one in this many successful requests. Use 1 to log all of them, which
-  /// a full account of a day needs. One in 128 costs less than 2% of the
-  /// processor time.
+  /// Logs one in this many successful requests. 1 logs all of them, as needed
+  /// to reconstruct every request of a day. Logging one in 128 costs less than
+  /// 2% of the processor time.
   int sample_one_of = 128;
   /// Limit on logged requests per second that fail or are slow. 50 per second
   /// is 1% of the highest request rate of a host.
--- a/src/pathcleat/core/log_writer_test.cpp
+++ b/src/pathcleat/core/log_writer_test.cpp
@@ -42,7 +42,7 @@
   LogCounts reported{};
   writer.OnDropped([&](const LogCounts& dropped) { reported = dropped; });
   const std::string line(100, 'x');
-  // Far more than the pipe and the buffer can store.
+  // The lines are far more than the pipe and the buffer can store.
   for (int i = 0; i < 10'000; ++i) {
     writer.Write(LogClass::kRequest, line);
     writer.Flush();
--- a/src/pathcleat/http/http_client.cpp
+++ b/src/pathcleat/http/http_client.cpp
@@ -20,16 +20,18 @@
 namespace http = boost::beast::http;
 using boost::system::error_code;
 
-constexpr std::size_t kReadChunk = 8UL * 1024;
+constexpr std::size_t kReadChunkBytes = 8UL * 1024;
 constexpr int kMaxMismatchedResponses = 2;
 constexpr int kFirstFinalStatus = 200;
 constexpr const char* kSilentDetail = "the connection is silent";
 
-// Keep-alive probes detect a lost peer while nothing is written, as in a long
-// watch. One second is the shortest interval that TCP supports.
+// Keep-alive probes detect a lost peer while nothing is written, e.g. while
+// a watch of the store waits for a change. One second is the shortest interval
+// that TCP supports.
 constexpr int kProbeIntervalSeconds = 1;
 
-// Number of unacknowledged probes that fit into the limit.
+// Number of probes that may stay unacknowledged before the connection is
+// closed: as many as fit into the limit, at least one.
 int ProbeCountWithin(Duration limit) {
   const auto seconds = std::chrono::ceil<std::chrono::seconds>(limit).count() -
                        kProbeIntervalSeconds;
@@ -84,8 +86,8 @@
 
 void HttpClient::Cancel() {
   if (callback_ && connected_ && !request_written_) {
-    // Without a reset the system would still send the rest of the body from
-    // its buffers.
+    // Closes the socket with a reset: otherwise the operating system would
+    // still send the rest of the body from its buffers.
     error_code ignored;
     socket_.set_option(boost::asio::socket_base::linger(true, 0), ignored);
   }
@@ -161,7 +163,8 @@
   boost::asio::async_write(
       socket_, boost::asio::buffer(request_bytes_),
       [self = shared_from_this()](const error_code& error, std::size_t) {
-        // A failed write is reported by the read too, after any early answer.
+        // A failed write does not end the request here: the read fails as well,
+        // after it has returned an answer that the peer sent early.
         self->OnWritten(!error);
       });
   Read();
@@ -181,7 +184,7 @@
   }
   reading_ = true;
   socket_.async_read_some(
-      buffer_.prepare(kReadChunk),
+      buffer_.prepare(kReadChunkBytes),
       [self = shared_from_this()](const error_code& error, std::size_t bytes) {
         self->OnRead(error, bytes);
       });
@@ -259,7 +262,7 @@
   Finish(std::move(result));
 }
 
-// The response was an interim one or belonged to another request: the
+// Called if the response was interim (1xx) or belonged to another request. The
 // first-byte timeout applies again.
 void HttpClient::AwaitNextResponse() {
   StartParser();
@@ -337,15 +340,15 @@
   Fail(CallOutcome::kNotSent, "no connection in time");
 }
 
-void HttpClient::ArmTimer(Duration timeout, void (HttpClient::*step)()) {
+void HttpClient::ArmTimer(Duration timeout, void (HttpClient::*on_expiry)()) {
   // An expiry that is already queued cannot be cancelled; the generation
   // distinguishes it from the current timer.
   const std::uint64_t generation = ++timer_generation_;
   timer_.expires_after(timeout);
   timer_.async_wait([self = shared_from_this(), generation,
-                     step](const error_code& error) {
+                     on_expiry](const error_code& error) {
     if (!error && self->callback_ && generation == self->timer_generation_) {
-      (self.get()->*step)();
+      (self.get()->*on_expiry)();
     }
   });
 }
--- a/src/pathcleat/http/http_exchange.cpp
+++ b/src/pathcleat/http/http_exchange.cpp
@@ -45,7 +45,8 @@
 }
 
 void HttpExchange::CheckConnection() {
-  // A copy, as the check may end the exchange and destroy the callback.
+  // Calls a copy: the callback may end the exchange, which destroys the
+  // original.
   if (const auto check = on_connection_check_) {
     check();
   }
--- a/src/pathcleat/http/http_server.cpp
+++ b/src/pathcleat/http/http_server.cpp
@@ -15,8 +15,9 @@
 
 constexpr std::chrono::milliseconds kSweepInterval{500};
 constexpr std::chrono::milliseconds kAcceptRetryDelay{50};
-// Connections closed per eviction. Ranking all connections costs more than
-// closing several, so one ranking is used for a batch.
+// Maximum number of connections that one eviction closes. Ranking all
+// connections costs more than closing several of them, so each ranking is used
+// for a batch.
 constexpr std::size_t kEvictionBatch = 16;
 
 }  // namespace
@@ -78,7 +79,8 @@
   });
 }
 
-// Out of file descriptors: evicts connections, or retries later, when answered
+// Accepting fails if no file descriptor is free. Connections are evicted to
+// free some; if none can be evicted, accepting is retried later, when answered
 // requests have released descriptors.
 void HttpServer::OnAcceptFailed() {
   if (EvictConnections()) {
--- a/src/pathcleat/http/http_server_test.cpp
+++ b/src/pathcleat/http/http_server_test.cpp
@@ -94,8 +94,9 @@
 }
 
 // Requests in progress are never evicted; a caller beyond the limit gets the
-// answer that its request was not run. Fails with the rejected connection
-// started in place of Evict (the caller waits forever).
+// answer that its request was not run. Fails if OpenSession
+// calls Start instead of Evict for the rejected connection (the caller waits
+// forever).
 Test(http_server, caller_beyond_the_connection_limit_is_answered_not_run) {
   ServerFixture fixture;
   constexpr std::size_t kMaxConnections = 4;
@@ -135,8 +136,8 @@
   cr_assert(fixture.server.CanAccept());
 }
 
-// Guards against a server that reports to accept connections while it has no
-// free descriptors and all its connections wait for answers. Fails without
+// Guards against a server whose CanAccept returns true while it has no free
+// file descriptors and all its connections wait for answers. Fails without
 // setting can_accept_ to false in OnAcceptFailed.
 Test(http_server, server_without_descriptors_reports_that_it_cannot_accept) {
   ServerFixture fixture;
--- a/src/pathcleat/http/server_session.cpp
+++ b/src/pathcleat/http/server_session.cpp
@@ -19,13 +19,14 @@
 namespace http = boost::beast::http;
 using boost::system::error_code;
 
-// A second is enough: partial requests and idle connections are evicted at
-// once, and requests in progress take seconds at most.
+// Retry time for callers of evicted connections. One second is enough: partial
+// requests and idle connections are evicted at once, and requests in progress
+// take seconds at most.
 constexpr const char* kRetryAfterSeconds = "1";
-constexpr std::size_t kReadChunk = 8UL * 1024;
+constexpr std::size_t kReadChunkBytes = 8UL * 1024;
 constexpr Duration kLingerTime{2'000'000};
-// Short enough that the work of a caller that has disconnected is cancelled
-// within the 0.5 s that the users' rules allow.
+// The users' rules allow 0.5 s until the work for a caller that has
+// disconnected is cancelled; this interval is short enough for that.
 constexpr std::chrono::milliseconds kCallerCheckInterval{100};
 
 int StatusOf(const error_code& error) {
@@ -83,7 +84,8 @@
 }
 
 // A request that the caller has already sent is answered, even if this host has
-// not read it yet. Posted, so that a completed read is handled first.
+// not read it yet. The check is posted to the event loop, so that a
+// completed read is handled first.
 void ServerSession::CloseGracefully() {
   last_request_ = true;
   boost::asio::post(socket_.get_executor(),
@@ -114,7 +116,7 @@
   }
   reading_ = true;
   socket_.async_read_some(
-      buffer_.prepare(kReadChunk),
+      buffer_.prepare(kReadChunkBytes),
       [self = shared_from_this()](const error_code& error, std::size_t bytes) {
         self->OnRead(error, bytes);
       });
@@ -138,7 +140,8 @@
     Parse();
     return;
   }
-  // Stops reading from a caller that keeps sending; continues after the answer.
+  // Stops reading from a caller that keeps sending. Reading continues after the
+  // answer.
   if (buffer_.size() < server_->limits().max_header_bytes) {
     Read();
   } else {
@@ -182,8 +185,8 @@
   }
 }
 
-// Polls for the close of the connection, which reads do not see while bytes
-// before it are unread.
+// Checks repeatedly whether the caller has closed the connection. A read would
+// not detect the close until all bytes before it are read.
 void ServerSession::PollCaller() {
   caller_check_timer_.expires_after(kCallerCheckInterval);
   caller_check_timer_.async_wait(
@@ -354,8 +357,8 @@
 }
 
 // Writes as much of the answer as fits into the socket without blocking.
-// Received bytes are read first, as otherwise a reset would overtake the
-// answer.
+// Received bytes are read first: a close with unread bytes would reset the
+// connection, and the reset could overtake the answer.
 void ServerSession::Evict() {
   const bool idle = !closing_ && reading_ && !parser_->got_some();
   if (!closing_ && !idle) {
@@ -364,7 +367,7 @@
     response.headers.push_back({"Retry-After", kRetryAfterSeconds});
     const std::string text = SerializeResponse(response, false, false);
     error_code error;
-    std::array<char, kReadChunk> unread{};
+    std::array<char, kReadChunkBytes> unread{};
     socket_.non_blocking(true, error);
     socket_.read_some(boost::asio::buffer(unread), error);
     socket_.write_some(boost::asio::buffer(text), error);
--- a/src/pathcleat/http/server_session.hpp
+++ b/src/pathcleat/http/server_session.hpp
@@ -27,7 +27,8 @@
 /// @brief Server side of one connection. While a request waits for its answer
 /// the socket is still read, so that a disconnect of the caller is detected at
 /// once; received bytes are buffered for the next request. Once the buffer is
-/// full, the socket is polled several times a second instead.
+/// full, the session checks several times a second whether the caller has
+/// disconnected.
 /// @ingroup http
 class ServerSession : public std::enable_shared_from_this<ServerSession> {
  public:
@@ -89,7 +90,7 @@
   bool reading_ = false;
   bool writing_ = false;
   bool last_request_ = false;
-  bool caller_half_closed_ = false;  ///< or disconnected
+  bool caller_half_closed_ = false;  ///< or caller has disconnected
   bool closing_ = false;  ///< half-closed; received bytes are dropped
   bool closed_ = false;
 };
--- a/src/pathcleat/http/server_stop_test.cpp
+++ b/src/pathcleat/http/server_stop_test.cpp
@@ -62,8 +62,9 @@
 
 // Guards against requests that a busy host has not read before shutdown and
 // then drops, so that their callers see the connection close without an answer.
-// Fails without the post in ServerSession::CloseGracefully (nothing received),
-// as the first read has completed by then but is not handled yet.
+// Fails without the post in ServerSession::CloseGracefully (the caller receives
+// nothing), as the first read has completed before CloseGracefully but is not
+// handled yet.
 Test(http_server, request_in_the_accept_queue_is_answered_on_shutdown) {
   ServerFixture fixture;
   fixture.Send();
@@ -75,7 +76,8 @@
 }
 
 // Guards against dropping a request that has arrived but has not been read.
-// Fails without unread in CloseIfIdle (nothing received).
+// Fails if CloseIfIdle does not check for unread bytes (the caller receives
+// nothing).
 Test(http_server, unread_request_is_answered_on_shutdown) {
   ServerFixture fixture;
   cr_assert(WaitUntil(fixture.loop,
--- a/src/pathcleat/settings/read_deployment.cpp
+++ b/src/pathcleat/settings/read_deployment.cpp
@@ -28,7 +28,7 @@
   return text;
 }
 
-// Reads a name and looks it up with find; an unknown name is a fault.
+// Reads a name and looks it up with find; adds a fault if the name is unknown.
 template <class Find>
 auto ResolveName(JsonReader& reader, const std::string& key, Find find) {
   const std::string name = reader.Text(key);
@@ -160,7 +160,7 @@
     deployment_.hosts.push_back(std::move(host));
   }
 
-  // One entry describes 'count' instances on consecutive ports.
+  // One JSON object describes 'count' instances on consecutive ports.
   void ReadUpstreams(JsonReader& reader) {
     Upstream upstream;
     const std::string name = reader.Text("name");
