--- a/include/pathcleat/core/request_id.hpp
+++ b/include/pathcleat/core/request_id.hpp
@@ -14,8 +14,8 @@
 /// their restarts.
 /// @ingroup core
 struct RequestId {
-  std::uint64_t incarnation =
-      0;                       ///< differs at each start of the accepting host
+  /// Number of the accepting host that differs at each start of its process.
+  std::uint64_t incarnation = 0;
   std::uint64_t sequence = 0;  ///< number of the request at that host
   std::uint16_t attempt = 0;
 
--- a/include/pathcleat/settings/entry_settings.hpp
+++ b/include/pathcleat/settings/entry_settings.hpp
@@ -27,15 +27,16 @@
 /// @brief Limits that apply to all hosts together.
 /// @ingroup settings
 struct FleetBounds {
-  double retry_ratio = 0.2;  ///< retries per request, in any window
-  double retry_slack = 50;   ///< retries beyond the ratio, in any window
-  double cold_slack = 5;     ///< requests beyond the limit of a cold upstream
+  double retry_ratio = 0.2;  ///< retries per request, over any period
+  double retry_slack = 50;   ///< retries beyond retry_ratio, over any period
+  double cold_slack = 5;     ///< requests beyond a cold upstream's rate limit
   /// Length of the windows in which requests are counted against a rate limit
   /// that an upstream reports. The requests in a window may exceed the limit by
   /// limit_overage and limit_slack together.
   Duration limit_window{4'000'000};
   double limit_overage = 0.5;  ///< as a share of the limit
   double limit_slack = 5;      ///< as a number of requests
+  /// How long a caller may use a list of hosts from the locate interface.
   Duration locate_ttl{2'000'000};
   Duration stop_grace{6'000'000};  ///< from a planned stop to exit
   /// Time from the acknowledgement of a configuration after which no host may
--- a/src/pathcleat/core/log_writer_test.cpp
+++ b/src/pathcleat/core/log_writer_test.cpp
@@ -35,7 +35,7 @@
 
 // Guards against a log reader that stops reading and blocks the event loop.
 // Fails without the poll in Flush (the write blocks forever).
-Test(log_writer, stalled_reader_costs_lines_but_does_not_block) {
+Test(log_writer, stalled_reader_drops_lines_but_does_not_block) {
   Pipe pipe;
   boost::asio::io_context loop;
   LogWriter writer(loop, pipe.ends[1], kCapacity);
--- a/src/pathcleat/http/http_server_test.cpp
+++ b/src/pathcleat/http/http_server_test.cpp
@@ -94,9 +94,8 @@
 }
 
 // Requests in progress are never evicted; a caller beyond the limit gets the
-// answer that its request was not run. Fails if OpenSession
-// calls Start instead of Evict for the rejected connection (the caller waits
-// forever).
+// answer that its request was not run. Fails if OpenSession calls Start
+// instead of Evict for the rejected connection (the caller waits forever).
 Test(http_server, caller_beyond_the_connection_limit_is_answered_not_run) {
   ServerFixture fixture;
   constexpr std::size_t kMaxConnections = 4;
--- a/src/pathcleat/http/server_session.cpp
+++ b/src/pathcleat/http/server_session.cpp
@@ -84,8 +84,8 @@
 }
 
 // A request that the caller has already sent is answered, even if this host has
-// not read it yet. The check is posted to the event loop, so that a
-// completed read is handled first.
+// not read it yet. The check is posted to the event loop, so that a completed
+// read is handled first.
 void ServerSession::CloseGracefully() {
   last_request_ = true;
   boost::asio::post(socket_.get_executor(),
--- a/src/pathcleat/http/server_session.hpp
+++ b/src/pathcleat/http/server_session.hpp
@@ -90,7 +90,7 @@
   bool reading_ = false;
   bool writing_ = false;
   bool last_request_ = false;
-  bool caller_half_closed_ = false;  ///< or caller has disconnected
+  bool caller_half_closed_ = false;  ///< or the caller has disconnected
   bool closing_ = false;  ///< half-closed; received bytes are dropped
   bool closed_ = false;
 };
--- a/src/pathcleat/settings/json_file.hpp
+++ b/src/pathcleat/settings/json_file.hpp
@@ -15,7 +15,7 @@
 struct JsonFile {
   std::string path;
   nlohmann::json root;
-  std::map<std::string, int> lines;  ///< JSON pointer to line
+  std::map<std::string, int> lines;  ///< line number by JSON pointer
 
   int LineOf(const std::string& pointer) const;
 };
