--- a/src/pathcleat/core/log_writer_test.cpp
+++ b/src/pathcleat/core/log_writer_test.cpp
@@ -35,14 +35,14 @@
 
 // Guards against a log reader that stops reading and blocks the event loop.
 // Fails without the poll in Flush (the write blocks forever).
-Test(log_writer, stalled_reader_costs_lines_but_does_not_block) {
+Test(log_writer, stalled_reader_drops_lines_but_does_not_block) {
   Pipe pipe;
   boost::asio::io_context loop;
   LogWriter writer(loop, pipe.ends[1], kCapacity);
   LogCounts reported{};
   writer.OnDropped([&](const LogCounts& dropped) { reported = dropped; });
   const std::string line(100, 'x');
-  // Far more than the pipe and the buffer can store.
+  // The lines are far more than the pipe and the buffer can store.
   for (int i = 0; i < 10'000; ++i) {
     writer.Write(LogClass::kRequest, line);
     writer.Flush();
