--- a/src/pathcleat/testing/heartbeat_fleet.hpp
+++ b/src/pathcleat/testing/heartbeat_fleet.hpp
@@ -16,7 +16,7 @@
 inline const Time kStart{Duration(60'000'000)};
 inline constexpr Duration kHeartbeatTimeout{2'500'000};
 inline constexpr Duration kHeartbeatInterval{500'000};
-// Hosts' rounds do not begin at one moment.
+// Hosts send heartbeats at different phases of the interval, not all at once.
 inline constexpr int kPhasesPerInterval = 5;
 inline constexpr Duration kPhaseLength =
     kHeartbeatInterval / kPhasesPerInterval;
@@ -39,13 +39,13 @@
   std::unique_ptr<HostTable> table;
   std::unique_ptr<DomainReporter> reporter;
   std::unique_ptr<HeartbeatPlan> plan;
-  int received = 0;  ///< datagrams
+  int received = 0;  ///< number of datagrams
   bool is_running = true;
   int phase = 0;
 };
 
-// Hosts that exchange heartbeats and reports as PeerLink does, with time and
-// losses in the test's hands.
+// Simulated hosts that exchange heartbeats and reports as PeerLink does. The
+// test controls the time and which datagrams are lost.
 struct HeartbeatFleet {
   HeartbeatFleet(int domains, int per_domain) {
     for (int d = 0; d < domains; ++d) {
@@ -70,7 +70,8 @@
     return nodes.back();
   }
 
-  // A host reads all rows of the store when it starts.
+  // Adds all hosts to the node's table, as a host does when it starts and reads
+  // all rows of the store.
   void ListAllHosts(HeartbeatNode& node) {
     for (const HeartbeatNode& other : nodes) {
       node.table->OnStoreRow(other.info, now);
@@ -79,9 +80,9 @@
 
   HeartbeatNode* Find(const std::string& address) {
     const auto [first, last] = node_index_by_address.equal_range(address);
-    for (auto place = first; place != last; ++place) {
-      if (nodes[place->second].is_running) {
-        return &nodes[place->second];
+    for (auto entry = first; entry != last; ++entry) {
+      if (nodes[entry->second].is_running) {
+        return &nodes[entry->second];
       }
     }
     return nullptr;
@@ -99,7 +100,8 @@
     }
   }
 
-  // To all, as after a start.
+  // Sends a heartbeat to every running host of the same domain, as a host does
+  // after its start.
   void AnnounceStart(const HeartbeatNode& from) {
     for (HeartbeatNode& node : nodes) {
       if (node.is_running && node.info.domain == from.info.domain &&
@@ -145,9 +147,11 @@
         continue;
       }
       for (HeartbeatNode& node : nodes) {
-        const bool near = node.info.domain == receiver->info.domain;
-        const bool itself = &node == receiver;
-        if (node.is_running && near && (itself || !is_lost())) {
+        const bool in_receiver_domain =
+            node.info.domain == receiver->info.domain;
+        const bool is_receiver = &node == receiver;
+        if (node.is_running && in_receiver_domain &&
+            (is_receiver || !is_lost())) {
           for (const DomainReport& report : reports) {
             Receive(node, report);
           }
@@ -190,7 +194,7 @@
     return count;
   }
 
-  // What all hosts together take of a limit of 1 that they share.
+  // Sum of the shares that all running hosts use of a shared limit of 1.
   double TotalShare() const {
     double sum = 0;
     for (const HeartbeatNode& node : nodes) {
@@ -201,10 +205,10 @@
 
   std::vector<HeartbeatNode> nodes;
   std::multimap<std::string, std::size_t>
-      node_index_by_address;  ///< by address
+      node_index_by_address;  ///< a restarted host keeps its address
   Time now = kStart;
   int steps = 0;
-  std::size_t reports_between_domains = 0;  ///< datagrams
+  std::size_t reports_between_domains = 0;  ///< number of datagrams
   std::function<bool()> is_lost = [] { return false; };
 };
 
--- a/src/pathcleat/testing/picker_fixture.hpp
+++ b/src/pathcleat/testing/picker_fixture.hpp
@@ -10,7 +10,8 @@
 
 inline const Time kStart{Duration(1'000'000)};
 
-/// @brief A request for an object, with two seconds left.
+/// @brief A sticky request for the object `key` with 2 s left until its
+/// deadline.
 inline PickRequest StickyRequest(const Route& route, std::uint64_t key) {
   PickRequest request;
   request.route = &route;
@@ -22,7 +23,8 @@
   return request;
 }
 
-/// @brief Two regions of one failure domain each, and one host's view of them.
+/// @brief The upstream table and picker of one host, with the upstreams of two
+/// regions that have one failure domain each.
 class PickerFixture {
  public:
   explicit PickerFixture(int upstreams_in_region = 6,
--- a/src/pathcleat/testing/property.hpp
+++ b/src/pathcleat/testing/property.hpp
@@ -10,18 +10,18 @@
 
 namespace pathcleat {
 
-/// @brief Checks a property with rapidcheck, always from the same seed; the
-/// environment variable RC_PARAMS overrides it.
-/// @param cases number of cases tried.
-/// @return whether it held for all cases tried.
+/// @brief Checks a property with rapidcheck, with a fixed seed unless the
+/// environment variable RC_PARAMS is set.
+/// @param cases number of generated cases.
+/// @return whether the property held for all generated cases.
 template <class Property>
 bool Holds(const std::string& description,
            Property&& property,
            int cases = 200) {
-  constexpr int kKeepOthers = 0;
+  constexpr int kNoOverwrite = 0;
   const std::string params =
       "seed=20261202 max_success=" + std::to_string(cases);
-  setenv("RC_PARAMS", params.c_str(), kKeepOthers);
+  setenv("RC_PARAMS", params.c_str(), kNoOverwrite);
   return rc::check(description, std::forward<Property>(property));
 }
 
--- a/src/pathcleat/testing/raw_client.hpp
+++ b/src/pathcleat/testing/raw_client.hpp
@@ -10,7 +10,8 @@
 
 namespace pathcleat {
 
-/// @brief A TCP client that sends and sees bytes as they are.
+/// @brief A TCP client that sends bytes unchanged and records all received
+/// bytes.
 class RawClient {
  public:
   RawClient(boost::asio::io_context& loop,
@@ -32,13 +33,13 @@
     boost::system::error_code error;
     shared_->socket.close(error);
   }
-  /// @brief Ends this side and goes on reading.
+  /// @brief Shuts down the sending side; the client continues to read.
   void HalfClose() {
     boost::system::error_code error;
     shared_->socket.shutdown(boost::asio::ip::tcp::socket::shutdown_send,
                              error);
   }
-  /// @brief Cuts the connection by a reset.
+  /// @brief Closes the connection with a TCP reset.
   void Reset() {
     boost::system::error_code error;
     shared_->socket.set_option(boost::asio::socket_base::linger(true, 0),
--- a/src/pathcleat/testing/scripted_server.hpp
+++ b/src/pathcleat/testing/scripted_server.hpp
@@ -13,21 +13,21 @@
 
 namespace pathcleat {
 
-/// @brief A TCP server that sends to its last caller the bytes that a test
-/// gives it, whole or a byte at a time.
+/// @brief A TCP server that sends bytes given by a test over the connection
+/// accepted last, all at once or one byte at a time.
 class ScriptedServer {
  public:
   ScriptedServer(boost::asio::io_context& loop, const std::string& address)
       : acceptor_(loop, {boost::asio::ip::make_address(address), 0}),
         socket_(loop),
-        pace_(loop) {
+        send_timer_(loop) {
     Accept();
   }
 
   boost::asio::ip::tcp::endpoint endpoint() const {
     return acceptor_.local_endpoint();
   }
-  int accepted_count() const { return accepted_; }
+  int accepted_count() const { return accepted_count_; }
   bool HasReceived(const std::string& text) const {
     return received_.find(text) != std::string::npos;
   }
@@ -36,15 +36,15 @@
     boost::asio::write(socket_, boost::asio::buffer(bytes));
   }
 
-  /// @brief Sends a byte, waits, and so on.
+  /// @brief Sends the bytes one at a time, with a pause after each byte.
   void SendByteByByte(std::string bytes, std::chrono::milliseconds pause) {
     if (bytes.empty()) {
       return;
     }
     Send(bytes.substr(0, 1));
-    pace_.expires_after(pause);
-    pace_.async_wait([this, rest = bytes.substr(1),
-                      pause](const boost::system::error_code& error) {
+    send_timer_.expires_after(pause);
+    send_timer_.async_wait([this, rest = bytes.substr(1),
+                            pause](const boost::system::error_code& error) {
       if (!error) {
         SendByteByByte(rest, pause);
       }
@@ -57,7 +57,7 @@
                                   boost::asio::ip::tcp::socket socket) {
       if (!error) {
         socket_ = std::move(socket);
-        ++accepted_;
+        ++accepted_count_;
         Read();
         Accept();
       }
@@ -77,10 +77,10 @@
 
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::ip::tcp::socket socket_;
-  boost::asio::steady_timer pace_;
+  boost::asio::steady_timer send_timer_;
   std::array<char, 4096> buffer_{};
   std::string received_;
-  int accepted_ = 0;
+  int accepted_count_ = 0;
 };
 
 }  // namespace pathcleat
--- a/src/pathcleat/testing/tcp_proxy.hpp
+++ b/src/pathcleat/testing/tcp_proxy.hpp
@@ -17,14 +17,15 @@
 
 namespace pathcleat {
 
-/// @brief How connections fall silent.
+/// @brief How connections are made silent.
 enum class SilenceMode {
-  kDropPackets,     ///< nothing gets through, not even acknowledgements
-  kStopForwarding,  ///< acknowledged, but nothing is passed on any more
+  kDropPackets,     ///< incoming packets are dropped and not acknowledged
+  kStopForwarding,  ///< data is acknowledged but no longer forwarded
 };
 
-/// @brief Passes TCP connections on to another address. Those that are open
-/// can be made silent for good, without a close or a reset; new ones work.
+/// @brief Forwards TCP connections to another address. Open connections can be
+/// made silent permanently, without a close or a reset; connections accepted
+/// later are forwarded as usual.
 class TcpProxy {
  public:
   TcpProxy(boost::asio::io_context& loop,
@@ -51,10 +52,10 @@
            std::to_string(endpoint().port());
   }
 
-  /// @brief Connections taken so far.
-  int accepted_count() const { return accepted_; }
+  /// @brief Number of connections accepted so far.
+  int accepted_count() const { return accepted_count_; }
 
-  /// @brief Those of them that still pass bytes on.
+  /// @brief Number of accepted connections that still forward bytes.
   int forwarding_count() const {
     int forwarding_count = 0;
     for (const auto& link : links_) {
@@ -63,12 +64,12 @@
     return forwarding_count;
   }
 
-  void SilenceConnections(SilenceMode how) {
+  void SilenceConnections(SilenceMode mode) {
     for (const auto& link : links_) {
       link->silent = true;
-      if (how == SilenceMode::kDropPackets) {
-        DropAll(link->caller);
-        DropAll(link->target);
+      if (mode == SilenceMode::kDropPackets) {
+        DropAllPackets(link->caller);
+        DropAllPackets(link->target);
       }
     }
   }
@@ -94,10 +95,11 @@
   };
   using LinkPtr = std::shared_ptr<Link>;
 
-  // The kernel drops what arrives for the socket before TCP sees it.
-  static void DropAll(Socket& socket) {
-    sock_filter none{BPF_RET | BPF_K, 0, 0, 0};
-    const sock_fprog program{1, &none};
+  // Makes the kernel drop every packet that arrives for the socket before TCP
+  // processes the packet.
+  static void DropAllPackets(Socket& socket) {
+    sock_filter drop_filter{BPF_RET | BPF_K, 0, 0, 0};
+    const sock_fprog program{1, &drop_filter};
     ::setsockopt(socket.native_handle(), SOL_SOCKET, SO_ATTACH_FILTER, &program,
                  sizeof program);
   }
@@ -106,7 +108,7 @@
     acceptor_.async_accept(
         [this](const boost::system::error_code& error, Socket socket) {
           if (!error) {
-            ++accepted_;
+            ++accepted_count_;
             Open(std::make_shared<Link>(std::move(socket), loop_));
             Accept();
           }
@@ -121,15 +123,15 @@
             link->Close();
             return;
           }
-          Pump(link, link->caller, link->target, link->to_target);
-          Pump(link, link->target, link->caller, link->to_caller);
+          Forward(link, link->caller, link->target, link->to_target);
+          Forward(link, link->target, link->caller, link->to_caller);
         });
   }
 
-  static void Pump(const LinkPtr& link,
-                   Socket& from,
-                   Socket& to,
-                   std::array<char, 16384>& buffer) {
+  static void Forward(const LinkPtr& link,
+                      Socket& from,
+                      Socket& to,
+                      std::array<char, 16384>& buffer) {
     from.async_read_some(
         boost::asio::buffer(buffer),
         [link, &from, &to, &buffer](const boost::system::error_code& error,
@@ -146,7 +148,7 @@
               [link, &from, &to, &buffer](
                   const boost::system::error_code& failed, std::size_t) {
                 if (!failed && !link->silent) {
-                  Pump(link, from, to, buffer);
+                  Forward(link, from, to, buffer);
                 }
               });
         });
@@ -156,7 +158,7 @@
   boost::asio::ip::tcp::endpoint target_;
   boost::asio::ip::tcp::acceptor acceptor_;
   std::vector<LinkPtr> links_;
-  int accepted_ = 0;
+  int accepted_count_ = 0;
 };
 
 }  // namespace pathcleat
--- a/src/pathcleat/testing/test_cluster.hpp
+++ b/src/pathcleat/testing/test_cluster.hpp
@@ -21,17 +21,17 @@
 
 namespace pathcleat {
 
-/// @brief Entry hosts, upstream stand-ins and a stand-in of the platform in
-/// one process and one event loop, over real sockets.
+/// @brief Entry hosts, upstream stand-ins and platform stand-ins in one process
+/// and one event loop, connected by real sockets.
 class TestCluster {
  public:
   explicit TestCluster(const TestClusterPlan& plan = {})
-      : plan_(plan), platform_(loop_, 1), lone_platform_(loop_, 2) {
+      : plan_(plan), platform_(loop_, 1), isolated_platform_(loop_, 2) {
     SilenceLog();
     store_address_ = address_ + ":" + std::to_string(next_port_);
-    Must(platform_.Listen(address_, next_port_++));
-    lone_store_address_ = address_ + ":" + std::to_string(next_port_);
-    Must(lone_platform_.Listen(address_, next_port_++));
+    AssertListening(platform_.Listen(address_, next_port_++));
+    isolated_store_address_ = address_ + ":" + std::to_string(next_port_);
+    AssertListening(isolated_platform_.Listen(address_, next_port_++));
     config_ = MakeConfig();
     platform_.PutConfig(config_);
     MakeUpstreams();
@@ -42,7 +42,7 @@
     }
   }
 
-  /// @brief Hosts started from now on reach the store at this address.
+  /// @brief Sets the store address for all hosts that are started afterwards.
   void SetStoreAddress(const std::string& address) { store_address_ = address; }
   const std::string& store_address() const { return store_address_; }
 
@@ -59,7 +59,7 @@
     options.stats = &host.store_calls;
     platform::PlatformOptions table_options = options;
     if (plan_.isolated_hosts.contains(index)) {
-      table_options.address = lone_store_address_;
+      table_options.address = isolated_store_address_;
     }
     host.table =
         std::make_unique<platform::PlatformTable>(loop_, table_options);
@@ -78,7 +78,7 @@
           return true;
         },
         [](const Error&) { return false; });
-    cr_assert(started, "host must start");
+    cr_assert(started, "host did not start");
   }
 
   void StartAll() {
@@ -88,7 +88,7 @@
     cr_assert(Await([this] { return AreAllReady(); }));
   }
 
-  /// @brief Every host is ready and has heard every other.
+  /// @brief Whether every host is ready and sees all hosts alive.
   bool AreAllReady() {
     for (const auto& host : hosts_) {
       const int alive =
@@ -105,16 +105,17 @@
     return WaitUntil(loop_, condition);
   }
 
-  /// @brief Gives the loop turns enough for what is under way to arrive.
+  /// @brief Polls the event loop often enough for messages in transit to
+  /// arrive.
   void PollEventLoop() {
-    constexpr int kTurns = 200;
-    for (int i = 0; i < kTurns; ++i) {
+    constexpr int kPollCount = 200;
+    for (int i = 0; i < kPollCount; ++i) {
       loop_.restart();
       loop_.poll();
     }
   }
 
-  /// @brief IP number that a host calls the platform from.
+  /// @brief Local IP address from which a host connects to the platform.
   static std::string StoreClientAddress(std::size_t host) {
     return "127.200.0." + std::to_string(host + 1);
   }
@@ -132,8 +133,8 @@
     return ParseTcpEndpoint(hosts_[index]->settings.listen.callers)->port();
   }
 
-  /// @brief Sends one request and waits for how it ended.
-  /// @param from local IP number; empty: any.
+  /// @brief Sends a request and waits for its result.
+  /// @param from local IP address; empty: any.
   CallResult SendAndWait(const std::string& endpoint,
                          const HttpRequest& request,
                          const std::string& from = "") {
@@ -145,8 +146,8 @@
     bool done = false;
     CallResult result;
     client->Send(request, {std::chrono::seconds(60), std::chrono::seconds(60)},
-                 [&](const CallResult& answer) {
-                   result = answer;
+                 [&](const CallResult& call_result) {
+                   result = call_result;
                    done = true;
                  });
     cr_assert(Await([&] { return done; }));
@@ -293,8 +294,8 @@
   };
 
   template <class T>
-  static void Must(Result<T> result) {
-    cr_assert(result.has_value(), "stand-in must listen");
+  static void AssertListening(Result<T> result) {
+    cr_assert(result.has_value(), "stand-in could not listen");
   }
 
   static std::string DomainName(std::size_t d) {
@@ -348,7 +349,7 @@
         options.seed = next_port_;
         options.enforces_deadlines = plan_.upstreams_enforce_deadlines;
         upstreams_.push_back(std::make_unique<UpstreamStandIn>(loop_, options));
-        Must(upstreams_.back()->Listen(address_, next_port_++));
+        AssertListening(upstreams_.back()->Listen(address_, next_port_++));
         infos_.push_back(info);
         platform_.PutUpstream(info);
       }
@@ -379,9 +380,10 @@
   std::string address_ = UniqueLoopbackAddress();
   std::uint16_t next_port_ = 20'000;
   std::string store_address_;
-  std::string lone_store_address_;
+  std::string isolated_store_address_;
   platform::PlatformStandIn platform_;
-  platform::PlatformStandIn lone_platform_;  ///< knows other secrets
+  /// Uses other secrets than platform_.
+  platform::PlatformStandIn isolated_platform_;
   RoutingConfig config_;
   std::vector<UpstreamInfo> infos_;
   std::vector<std::unique_ptr<UpstreamStandIn>> upstreams_;
--- a/src/pathcleat/testing/test_cluster_plan.hpp
+++ b/src/pathcleat/testing/test_cluster_plan.hpp
@@ -12,7 +12,7 @@
 
 namespace pathcleat {
 
-/// @brief Shape of a small world for tests: one failure domain a region.
+/// @brief Configuration of a TestCluster; each region has one failure domain.
 struct TestClusterPlan {
   std::vector<int> hosts_in_domain{2};
   int upstreams_in_domain = 2;
@@ -22,9 +22,11 @@
   Duration timeout{5'000'000};
   Duration stop_grace{2'500'000};
   bool upstreams_enforce_deadlines = false;
-  /// Without answers, when an upstream counts as silent is guessed from it.
+  /// The time after which an upstream counts as silent is estimated from this
+  /// target while the upstream has not responded yet.
   Duration target_latency = Route().target_latency;
-  /// Hosts that know other secrets than the rest, so that no host hears them.
+  /// Indices of hosts with other secrets than the rest, so that the rest accept
+  /// no messages from them.
   std::set<std::size_t> isolated_hosts;
 };
 
