--- a/src/pathcleat/lab/accounts_test.cpp
+++ b/src/pathcleat/lab/accounts_test.cpp
@@ -106,7 +106,7 @@
   cr_assert_eq(accounts.RequestsWithKey(), 0);
 }
 
-// Fails without RefuseKey in Gateway::HandleCaller.
+// Fails without RefuseApiKey in Gateway::HandleCaller.
 Test(promise, request_without_a_valid_key_runs_nowhere) {
   AccountCluster accounts;
   TestCluster& cluster = accounts.cluster;
--- a/src/pathcleat/lab/caller_leaves_test.cpp
+++ b/src/pathcleat/lab/caller_leaves_test.cpp
@@ -123,7 +123,7 @@
 
 // A host reads pipelined bytes only up to a limit, so the end of the connection
 // behind unread bytes is not seen by reading. Fails, with the slot kept until
-// the deadline, without WatchCaller.
+// the deadline, without PollCaller.
 Test(caller_leaves, caller_that_leaves_with_unread_bytes_is_detected) {
   TestCluster cluster;
   cluster.StartAll();
@@ -194,7 +194,7 @@
 
 // A key claim that completes after its caller has left starts nothing and
 // leaves the key free. Fails, with one run, without the check of done_ in
-// RequestHandler::OnKey.
+// RequestHandler::OnKeyDecision.
 Test(caller_leaves, key_claim_that_ends_too_late_starts_nothing) {
   TestCluster cluster;
   cluster.StartAll();
@@ -298,7 +298,7 @@
 
 // After a half-close the host completes the answer that it is writing, and does
 // not start the pipelined request behind. Fails, with the answer cut off, if
-// OnReadEnd closes at once.
+// ServerSession::OnReadError closes at once.
 Test(caller_leaves,
      caller_that_half_closes_while_it_reads_gets_the_whole_answer) {
   constexpr std::size_t kBodyBytes = 32UL * 1024 * 1024;
--- a/src/pathcleat/lab/config_behind_test.cpp
+++ b/src/pathcleat/lab/config_behind_test.cpp
@@ -99,7 +99,7 @@
   cr_assert(cluster.Await([&] { return cluster.host(0).IsReady(); }));
 }
 
-// Fails with routes_applied_at not set in FleetSync::AdoptConfig.
+// Fails with routes_applied_at not set in FleetSync::ApplyConfig.
 Test(config_behind, heartbeats_report_the_age_of_the_applied_version) {
   TestCluster cluster;
   cluster.StartAll();
--- a/src/pathcleat/lab/deadline_test.cpp
+++ b/src/pathcleat/lab/deadline_test.cpp
@@ -38,8 +38,8 @@
   cr_assert_eq(cluster.platform().writes(), writes);
 }
 
-// Fails, with 503, without kLongestDeadline: the largest number overflowed to a
-// time in the past.
+// Fails, with 503, without kMaxCallerTimeout: the largest number overflowed to
+// a time in the past.
 Test(deadlines, invalid_or_missing_deadline_leaves_the_timeout_of_the_route) {
   TestCluster cluster;
   cluster.StartAll();
--- a/src/pathcleat/lab/leaving_upstream_test.cpp
+++ b/src/pathcleat/lab/leaving_upstream_test.cpp
@@ -95,7 +95,7 @@
 }
 
 // A cold upstream may get few requests, and a request chosen before it became
-// cold counts among them. Fails without TakeShare in
+// cold counts among them. Fails without AcquireRateShare in
 // UpstreamAttempt::MayStillSend.
 Test(promise, cold_upstream_gets_only_its_share_over_opening_connections) {
   OpeningConnection opening;
--- a/src/pathcleat/lab/planned_stop_test.cpp
+++ b/src/pathcleat/lab/planned_stop_test.cpp
@@ -66,7 +66,7 @@
 
 // Guards against a stopping host that cancels a request that its upstream is
 // running, in order to retry it elsewhere. Fails (two runs) without the check
-// of state_.leaving in RequestHandler::MayGoElsewhere.
+// of state_.leaving in RequestHandler::MayFailOver.
 Test(promise, planned_stop_cancels_no_running_request) {
   TestClusterPlan plan;
   plan.timeout = Duration(60'000'000);
@@ -109,7 +109,7 @@
 // Promise: a stopping host starts only requests that it can finish. A request
 // that arrives after the stop began and is still queued at its upstream when
 // the host must exit is answered in time as not run. Fails (504) if
-// RequestHandler::Left returns the time to the caller's deadline alone.
+// RequestHandler::TimeLeft returns the time to the caller's deadline alone.
 Test(promise, planned_stop_answers_requests_queued_at_an_upstream) {
   TestCluster cluster(BusyUpstreamPlan());
   WarmUp(cluster);
@@ -137,7 +137,7 @@
 
 // Promise: every request that a host has read is answered, whatever its
 // upstream does. Fails (nothing received) without the call of OnHostShutdown in
-// Gateway::AwaitQuiet.
+// Gateway::WaitUntilIdle.
 Test(promise, planned_stop_answers_what_its_upstream_never_does) {
   TestClusterPlan plan;
   plan.hosts_in_domain = {1};
@@ -172,8 +172,8 @@
 
 // Promise: a stopping host refuses at once a request that it could not finish.
 // The request reaches no upstream, and its key is not written to the store.
-// Fails without may_begin in RequestHandler::ChooseNow, and without MayClaim in
-// RequestHandler::ClaimKey (the key is claimed).
+// Fails without may_begin in RequestHandler::ChooseUpstream, and without
+// MayClaim in RequestHandler::ClaimKey (the key is claimed).
 Test(promise, planned_stop_refuses_requests_that_it_could_not_finish) {
   TestClusterPlan plan;
   plan.timeout = Duration(60'000'000);
@@ -215,7 +215,7 @@
 
 // The stored answer of a keyed request must outlive the host, so the process
 // exits only when the store has confirmed it. Fails without
-// idempotency_keys.pending_writes() in Gateway::AwaitQuiet.
+// idempotency_keys.pending_writes() in Gateway::WaitUntilIdle.
 Test(promise, planned_stop_waits_until_the_answer_of_a_key_is_stored) {
   TestClusterPlan plan;
   plan.hosts_in_domain = {1};
--- a/src/pathcleat/lab/refusal_test.cpp
+++ b/src/pathcleat/lab/refusal_test.cpp
@@ -68,7 +68,7 @@
 // Guards against callers that go from host to host without end, because all
 // hosts start without a configuration and each sends its callers to the others
 // at once. Fails with AliveCount() > 1 as the condition in
-// Gateway::ReturnUnloaded.
+// Gateway::RetryDelayWithoutConfig.
 Test(refusals,
      hosts_that_all_lack_a_configuration_send_no_caller_to_each_other) {
   TestCluster cluster;
--- a/src/pathcleat/lab/truthful_test.cpp
+++ b/src/pathcleat/lab/truthful_test.cpp
@@ -118,7 +118,7 @@
 // Promise: "not run" is true, in all orders of answers, closed connections,
 // rejections and silence at upstreams, a half-close by the caller, its
 // deadline, a planned stop and the failover timeout. Fails with a call of
-// runs_.OnNotRun in RequestHandler::OnFailure.
+// run_tracker_.OnNotRun in RequestHandler::OnFailure.
 Test(promise, refusals_are_true_in_every_order_of_events) {
   std::map<int, int> statuses;
   cr_assert(Holds(
@@ -132,8 +132,8 @@
 }
 
 // The same where the host gives up on a silent first upstream and sends the
-// request to another. Fails with a call of runs_.OnNotRun in
-// RequestHandler::OnPatienceOver.
+// request to another. Fails with a call of run_tracker_.OnNotRun in
+// RequestHandler::OnFailoverTimeout.
 Test(promise, refusals_are_true_after_giving_up_on_a_silent_upstream) {
   cr_assert(Holds(
       "no promise after patience",
@@ -151,7 +151,7 @@
 
 // The host gives up on a silent upstream, which still runs the request
 // successfully, and all other upstreams reject it. Fails (503) with a call of
-// runs_.OnNotRun in RequestHandler::OnPatienceOver.
+// run_tracker_.OnNotRun in RequestHandler::OnFailoverTimeout.
 Test(promise, lookup_sent_to_a_silent_upstream_is_unknown) {
   Order order;
   // A long deadline: a host that is delayed by more than the time left after
