--- a/include/pathcleat/accounts/quota_control.hpp
+++ b/include/pathcleat/accounts/quota_control.hpp
@@ -69,7 +69,7 @@
   /// @brief Requests a second, by region, of the accounts that have allowed
   /// regions and a limit. The demand of an account counts up to its limit, and
   /// is divided evenly among the account's regions.
-  std::map<std::string, double> DemandByHomeRegion(
+  std::map<std::string, double> DemandByAllowedRegion(
       const std::vector<Account>& accounts,
       Time now) const;
 
--- a/include/pathcleat/fleet/heartbeat_plan.hpp
+++ b/include/pathcleat/fleet/heartbeat_plan.hpp
@@ -44,7 +44,7 @@
 
  private:
   bool IsLarge(Time now) const;
-  std::vector<const KnownHost*> OtherHostsInDomain() const;
+  std::vector<const HostEntry*> OtherHostsInDomain() const;
 
   const HostTable& hosts_;
   Time own_domain_report_at_;
--- a/include/pathcleat/fleet/host_rank.hpp
+++ b/include/pathcleat/fleet/host_rank.hpp
@@ -20,6 +20,6 @@
 /// @ingroup fleet
 int CountHigherRanked(const HostTable& hosts,
                       const HostInfo& ranked,
-                      const std::function<bool(const KnownHost&)>& counts);
+                      const std::function<bool(const HostEntry&)>& counts);
 
 }  // namespace pathcleat
--- a/include/pathcleat/fleet/host_table.hpp
+++ b/include/pathcleat/fleet/host_table.hpp
@@ -17,7 +17,7 @@
 
 /// @brief The data that this host has on another host.
 /// @ingroup fleet
-struct KnownHost {
+struct HostEntry {
   HostInfo info;
   Time last_seen;    ///< last heartbeat, or when its record arrived
   Time alive_since;  ///< first heartbeat or record of this incarnation
@@ -65,27 +65,27 @@
   /// @brief Records a heartbeat that another failure domain received from one
   /// of its hosts. Ignored if this host has no record of that incarnation.
   /// @return the host if it was dead or had no heartbeat before; else null.
-  const KnownHost* OnMemberReported(const MemberObservation& member,
+  const HostEntry* OnMemberReported(const MemberObservation& member,
                                     const HostVersions& versions,
                                     Time now);
 
-  bool IsAlive(const KnownHost& host, Time now) const;
+  bool IsAlive(const HostEntry& host, Time now) const;
 
   /// @brief Whether `host` is counted where limits are divided among all hosts.
   /// A host that counts too few other hosts uses more than its share of a
   /// limit. So a host is counted for longer than it counts as alive. A store
   /// row is enough to be counted, because this host has not received the
   /// heartbeats of all other hosts yet when it has just started.
-  bool SharesLimits(const KnownHost& host, Time now) const;
+  bool SharesLimits(const HostEntry& host, Time now) const;
 
   /// @brief Names of the hosts whose heartbeats timed out since the last call.
-  std::vector<std::string> NewlySilent(Time now);
+  std::vector<std::string> TakeTimedOutHosts(Time now);
 
   /// @brief Whether a host's last message announced its planned stop.
   bool IsLeaving(const std::string& name) const;
 
   /// @brief All other hosts in the table, dead ones included.
-  std::vector<const KnownHost*> Others() const;
+  std::vector<const HostEntry*> Others() const;
 
   /// @brief Number of hosts that share a region's limits, this host included
   /// if it is in the region; at least one, as limits are divided by it.
@@ -114,8 +114,8 @@
                                   Time now) const;
 
  private:
-  Duration TimeSinceSeen(const KnownHost& host, Time now) const;
-  void Store(const KnownHost& host);
+  Duration TimeSinceSeen(const HostEntry& host, Time now) const;
+  void Store(const HostEntry& host);
   std::vector<HostInfo> HostsAcceptingCallers(Time now) const;
 
   HostInfo self_;
@@ -124,7 +124,7 @@
   Time stall_end_;   ///< end of the last stall of this host
   Duration stall_duration_{0};
   Duration unreported_stall_{0};
-  std::map<std::string, KnownHost> others_;
+  std::map<std::string, HostEntry> others_;
   // The keys are incarnation ids (IncarnationId).
   std::map<std::uint64_t, std::string> names_by_incarnation_;
 };
--- a/include/pathcleat/fleet/up_to_date_host.hpp
+++ b/include/pathcleat/fleet/up_to_date_host.hpp
@@ -17,7 +17,7 @@
 /// fetch, so that a host that does not answer is not chosen every time.
 /// @return null if no living host has the data.
 /// @ingroup fleet
-const KnownHost* ChooseUpToDateHost(
+const HostEntry* ChooseUpToDateHost(
     const HostTable& hosts,
     const std::function<bool(const HostVersions&)>& has_data,
     std::uint64_t salt,
--- a/include/pathcleat/routing/retry_scheduler.hpp
+++ b/include/pathcleat/routing/retry_scheduler.hpp
@@ -13,7 +13,7 @@
 /// @param caller_left time until the caller gives up.
 /// @param service time from a free slot to the response.
 /// @ingroup routing
-Duration LatestRetry(Duration caller_left, Duration service);
+Duration LatestRetryDelay(Duration caller_left, Duration service);
 
 /// @brief When a refused request could be served, as far as this host can tell.
 /// All times count from now.
@@ -22,7 +22,8 @@
   Duration earliest{0};  ///< until there is capacity for the request
   /// Longest delay with an answer within the target latency.
   Duration latest_in_time{0};
-  Duration latest{0};  ///< longest delay of use to the caller (LatestRetry)
+  Duration latest{
+      0};  ///< longest delay of use to the caller (LatestRetryDelay)
   /// Between two retries, so that the capacity suffices for both.
   Duration spacing{0};
 };
--- a/include/pathcleat/routing/upstream_table.hpp
+++ b/include/pathcleat/routing/upstream_table.hpp
@@ -67,7 +67,7 @@
   const std::vector<UpstreamPtr>& MaybeRateBounded(Time now);
 
   /// @brief Upstreams whose entries have lapsed.
-  std::vector<UpstreamPtr> Lapsed() const;
+  std::vector<UpstreamPtr> LapsedUpstreams() const;
 
   /// @brief Increases with each change of the listed or open upstreams.
   std::uint64_t revision() const { return revision_; }
--- a/include/pathcleat/routing/usual_deadline.hpp
+++ b/include/pathcleat/routing/usual_deadline.hpp
@@ -28,7 +28,7 @@
 
   /// @brief Time since the caller's first attempt, estimated from the deadline
   /// that the caller sent with the current attempt.
-  Duration SinceFirstTry(Duration deadline) const {
+  Duration TimeSinceFirstAttempt(Duration deadline) const {
     return Matches(deadline) ? Duration::zero()
                              : std::max(Duration::zero(), value_ - deadline);
   }
--- a/include/pathcleat/store/fleet_change.hpp
+++ b/include/pathcleat/store/fleet_change.hpp
@@ -12,7 +12,7 @@
 
 /// @brief An upstream's entry was removed from the list.
 /// @ingroup store
-struct UpstreamGone {
+struct UpstreamRemoval {
   std::string id;
 };
 
@@ -45,7 +45,7 @@
                                  RolloutOrder,
                                  RolloutWithdrawn,
                                  UpstreamInfo,
-                                 UpstreamGone,
+                                 UpstreamRemoval,
                                  UnreadableRow>;
 
 }  // namespace pathcleat
--- a/src/pathcleat/accounts/quota_control.cpp
+++ b/src/pathcleat/accounts/quota_control.cpp
@@ -116,7 +116,7 @@
   }
 }
 
-std::map<std::string, double> QuotaControl::DemandByHomeRegion(
+std::map<std::string, double> QuotaControl::DemandByAllowedRegion(
     const std::vector<Account>& accounts,
     Time now) const {
   std::map<std::string, double> demand;
--- a/src/pathcleat/feeds/fleet_snapshot.cpp
+++ b/src/pathcleat/feeds/fleet_snapshot.cpp
@@ -66,7 +66,7 @@
     answer.changes.emplace_back(upstream);
   }
   for (const std::string& id : snapshot.removed_upstreams) {
-    answer.changes.emplace_back(UpstreamGone{id});
+    answer.changes.emplace_back(UpstreamRemoval{id});
   }
   return answer;
 }
--- a/src/pathcleat/feeds/source_watcher_test.cpp
+++ b/src/pathcleat/feeds/source_watcher_test.cpp
@@ -70,7 +70,8 @@
   cr_assert_eq(fixture.updates.size(), 1U);
   cr_assert(fixture.updates[0].is_full);
   cr_assert_eq(fixture.source.watched_after, 7U);
-  fixture.source.watches.back()(WatcherFixture::Done(9, {UpstreamGone{"u"}}));
+  fixture.source.watches.back()(
+      WatcherFixture::Done(9, {UpstreamRemoval{"u"}}));
   cr_assert_not(fixture.updates[1].is_full);
   cr_assert_eq(fixture.watcher.newest_change_version(), 9U);
   cr_assert(WaitUntil(fixture.loop,
@@ -149,7 +150,7 @@
   WatcherFixture fixture;
   fixture.source.reads.back()(WatcherFixture::Done(7));
   cr_assert(fixture.watcher.ApplyIfNewer(
-      WatcherFixture::Done(20, {UpstreamGone{"u"}})));
+      WatcherFixture::Done(20, {UpstreamRemoval{"u"}})));
   cr_assert_not(fixture.watcher.ApplyIfNewer(WatcherFixture::Done(19)));
   UpstreamInfo removed_since;
   removed_since.id = "gone";
@@ -168,9 +169,11 @@
   fixture.watcher.OnPeerVersion(8, now + Duration(2'000'000));
   cr_assert_eq(fixture.source.watches.size(), 2U);
   // The answer to the abandoned watch is ignored.
-  fixture.source.watches.front()(WatcherFixture::Done(8, {UpstreamGone{"u"}}));
+  fixture.source.watches.front()(
+      WatcherFixture::Done(8, {UpstreamRemoval{"u"}}));
   cr_assert_eq(fixture.updates.size(), 1U);
-  fixture.source.watches.back()(WatcherFixture::Done(8, {UpstreamGone{"u"}}));
+  fixture.source.watches.back()(
+      WatcherFixture::Done(8, {UpstreamRemoval{"u"}}));
   cr_assert_eq(fixture.updates.size(), 2U);
 }
 
@@ -194,13 +197,14 @@
 Test(source_watcher, changes_in_series_are_batched) {
   WatcherFixture fixture;
   fixture.source.reads.back()(WatcherFixture::Done(7));
-  fixture.source.watches.back()(WatcherFixture::Done(8, {UpstreamGone{"a"}}));
+  fixture.source.watches.back()(
+      WatcherFixture::Done(8, {UpstreamRemoval{"a"}}));
   cr_assert_eq(fixture.updates.size(), 2U);
   cr_assert_eq(fixture.source.watches.size(), 1U);
   // Answers of other hosts are not billed, so the next watch starts at once.
   cr_assert(WaitUntil(fixture.loop,
                       [&] { return fixture.source.watches.size() == 2U; }));
-  SourceAnswer relayed = WatcherFixture::Done(9, {UpstreamGone{"b"}});
+  SourceAnswer relayed = WatcherFixture::Done(9, {UpstreamRemoval{"b"}});
   relayed.relayed = true;
   fixture.source.watches.back()(relayed);
   cr_assert_eq(fixture.source.watches.size(), 3U);
@@ -224,10 +228,10 @@
 // changes to entries of earlier pages.
 Test(source_watcher, watch_begins_at_the_version_of_the_first_page) {
   WatcherFixture fixture;
-  SourceAnswer first = WatcherFixture::Done(7, {UpstreamGone{"a"}});
+  SourceAnswer first = WatcherFixture::Done(7, {UpstreamRemoval{"a"}});
   first.next_page = "b";
   fixture.source.reads.back()(first);
-  fixture.source.reads.back()(WatcherFixture::Done(11, {UpstreamGone{"b"}}));
+  fixture.source.reads.back()(WatcherFixture::Done(11, {UpstreamRemoval{"b"}}));
   cr_assert_eq(fixture.source.watched_after, 7U);
   cr_assert_eq(fixture.updates[0].changes.size(), 2U);
 }
--- a/src/pathcleat/fleet/domain_reporter.cpp
+++ b/src/pathcleat/fleet/domain_reporter.cpp
@@ -94,7 +94,7 @@
 }  // namespace
 
 bool DomainReporter::IsReporter(Time now) const {
-  const auto has_recent_heartbeat = [now](const KnownHost& host) {
+  const auto has_recent_heartbeat = [now](const HostEntry& host) {
     return host.has_heartbeat && now - host.last_seen <= kReporterTimeout;
   };
   return CountHigherRanked(hosts_, hosts_.self(), has_recent_heartbeat) <
@@ -110,7 +110,7 @@
     (now - since <= kNewHostWindow ? new_hosts : other_hosts).push_back(host);
   };
   place(hosts_.self(), started_);
-  for (const KnownHost* host : hosts_.Others()) {
+  for (const HostEntry* host : hosts_.Others()) {
     if (host->info.domain == hosts_.self().domain &&
         hosts_.IsAlive(*host, now)) {
       place(host->info, host->alive_since);
@@ -166,7 +166,7 @@
   ReportPacker packer(head);
   packer.Add({IncarnationId(hosts_.self()), 0, hosts_.self().leaving},
              versions);
-  for (const KnownHost* host : hosts_.Others()) {
+  for (const HostEntry* host : hosts_.Others()) {
     if (host->info.domain != head.domain || !hosts_.IsAlive(*host, now)) {
       continue;
     }
@@ -187,12 +187,12 @@
 std::vector<std::string> DomainReporter::Receivers(Time now) {
   const std::uint64_t salt = MixHashes(StableHash(hosts_.self().name), round_);
   struct Best {
-    const KnownHost* host;
+    const HostEntry* host;
     bool alive;
     std::uint64_t hash;
   };
   std::map<std::string, Best> best;
-  for (const KnownHost* host : hosts_.Others()) {
+  for (const HostEntry* host : hosts_.Others()) {
     if (host->info.domain == hosts_.self().domain) {
       continue;
     }
--- a/src/pathcleat/fleet/heartbeat_plan.cpp
+++ b/src/pathcleat/fleet/heartbeat_plan.cpp
@@ -22,10 +22,10 @@
 constexpr Duration kReportTimeout{700'000};
 
 std::vector<std::string> AddressesOf(
-    const std::vector<const KnownHost*>& hosts) {
+    const std::vector<const HostEntry*>& hosts) {
   std::vector<std::string> addresses;
   addresses.reserve(hosts.size());
-  for (const KnownHost* host : hosts) {
+  for (const HostEntry* host : hosts) {
     addresses.push_back(host->info.peer_address);
   }
   return addresses;
@@ -33,9 +33,9 @@
 
 }  // namespace
 
-std::vector<const KnownHost*> HeartbeatPlan::OtherHostsInDomain() const {
-  std::vector<const KnownHost*> domain = hosts_.Others();
-  std::erase_if(domain, [this](const KnownHost* host) {
+std::vector<const HostEntry*> HeartbeatPlan::OtherHostsInDomain() const {
+  std::vector<const HostEntry*> domain = hosts_.Others();
+  std::erase_if(domain, [this](const HostEntry* host) {
     return host->info.domain != hosts_.self().domain;
   });
   return domain;
@@ -45,18 +45,18 @@
   const auto domain = OtherHostsInDomain();
   const auto alive = std::count_if(
       domain.begin(), domain.end(),
-      [&](const KnownHost* host) { return hosts_.SharesLimits(*host, now); });
+      [&](const HostEntry* host) { return hosts_.SharesLimits(*host, now); });
   return static_cast<std::size_t>(alive) >= kLargeDomainThreshold;
 }
 
 std::vector<std::string> HeartbeatPlan::Receivers(Time now) const {
-  std::vector<const KnownHost*> receivers = OtherHostsInDomain();
+  std::vector<const HostEntry*> receivers = OtherHostsInDomain();
   if (IsLarge(now) && now - own_domain_report_at_ <= kReportTimeout) {
-    std::erase_if(receivers, [&](const KnownHost* host) {
+    std::erase_if(receivers, [&](const HostEntry* host) {
       return host->info.leaving || !hosts_.IsAlive(*host, now);
     });
     std::sort(receivers.begin(), receivers.end(),
-              [](const KnownHost* a, const KnownHost* b) {
+              [](const HostEntry* a, const HostEntry* b) {
                 return RanksAhead(a->info, b->info);
               });
     receivers.resize(std::min(receivers.size(), kReceiverCount));
@@ -73,8 +73,8 @@
 }
 
 std::vector<std::string> HeartbeatPlan::AliveInDomain(Time now) const {
-  std::vector<const KnownHost*> alive = OtherHostsInDomain();
-  std::erase_if(alive, [&](const KnownHost* host) {
+  std::vector<const HostEntry*> alive = OtherHostsInDomain();
+  std::erase_if(alive, [&](const HostEntry* host) {
     return !hosts_.IsAlive(*host, now);
   });
   return AddressesOf(alive);
--- a/src/pathcleat/fleet/host_rank.cpp
+++ b/src/pathcleat/fleet/host_rank.cpp
@@ -14,9 +14,9 @@
 
 int CountHigherRanked(const HostTable& hosts,
                       const HostInfo& ranked,
-                      const std::function<bool(const KnownHost&)>& counts) {
+                      const std::function<bool(const HostEntry&)>& counts) {
   int ahead = 0;
-  for (const KnownHost* host : hosts.Others()) {
+  for (const HostEntry* host : hosts.Others()) {
     const bool candidate =
         host->info.domain == ranked.domain && !host->info.leaving;
     ahead +=
--- a/src/pathcleat/fleet/host_table.cpp
+++ b/src/pathcleat/fleet/host_table.cpp
@@ -42,13 +42,13 @@
 // Time since a host was last seen, without the time for which this host was
 // stalled. Reports to other hosts contain the time with the stall, as this host
 // does not have the information which hosts died during its stall.
-Duration HostTable::TimeSinceSeen(const KnownHost& host, Time now) const {
+Duration HostTable::TimeSinceSeen(const HostEntry& host, Time now) const {
   const Duration silence = now - host.last_seen;
   return host.last_seen < stall_end_ ? silence - stall_duration_ : silence;
 }
 
-void HostTable::Store(const KnownHost& host) {
-  KnownHost& kept = others_[host.info.name];
+void HostTable::Store(const HostEntry& host) {
+  HostEntry& kept = others_[host.info.name];
   if (!kept.info.name.empty()) {
     names_by_incarnation_.erase(IncarnationId(kept.info));
   }
@@ -98,14 +98,14 @@
   OnStoreRow(host, now);
 }
 
-const KnownHost* HostTable::OnMemberReported(const MemberObservation& member,
+const HostEntry* HostTable::OnMemberReported(const MemberObservation& member,
                                              const HostVersions& versions,
                                              Time now) {
   const auto name = names_by_incarnation_.find(member.id);
   if (name == names_by_incarnation_.end()) {
     return nullptr;
   }
-  KnownHost& host = others_.at(name->second);
+  HostEntry& host = others_.at(name->second);
   const Time last_heartbeat = now - std::chrono::milliseconds(member.age_ms);
   const bool was_alive = IsAlive(host, now);
   // A heartbeat from the host itself or from a faster report is newer.
@@ -122,15 +122,15 @@
   return is_back ? &host : nullptr;
 }
 
-bool HostTable::SharesLimits(const KnownHost& host, Time now) const {
+bool HostTable::SharesLimits(const HostEntry& host, Time now) const {
   return TimeSinceSeen(host, now) <= kLimitShareWindow;
 }
 
-bool HostTable::IsAlive(const KnownHost& host, Time now) const {
+bool HostTable::IsAlive(const HostEntry& host, Time now) const {
   return host.has_heartbeat && TimeSinceSeen(host, now) <= heartbeat_timeout_;
 }
 
-std::vector<std::string> HostTable::NewlySilent(Time now) {
+std::vector<std::string> HostTable::TakeTimedOutHosts(Time now) {
   std::vector<std::string> newly_silent;
   for (auto& [name, host] : others_) {
     if (host.alive_at_last_check && !IsAlive(host, now)) {
@@ -146,8 +146,8 @@
   return host != others_.end() && host->second.info.leaving;
 }
 
-std::vector<const KnownHost*> HostTable::Others() const {
-  std::vector<const KnownHost*> others;
+std::vector<const HostEntry*> HostTable::Others() const {
+  std::vector<const HostEntry*> others;
   for (const auto& [name, host] : others_) {
     others.push_back(&host);
   }
@@ -192,7 +192,7 @@
 bool HostTable::OtherHasConfig(std::uint64_t version, Time now) const {
   return std::any_of(others_.begin(), others_.end(),
                      [this, version, now](const auto& other) {
-                       const KnownHost& host = other.second;
+                       const HostEntry& host = other.second;
                        return !host.info.leaving && IsAlive(host, now) &&
                               host.versions.config >= version;
                      });
--- a/src/pathcleat/fleet/host_table_test.cpp
+++ b/src/pathcleat/fleet/host_table_test.cpp
@@ -71,7 +71,7 @@
   cr_assert_eq(table.TakeStallDuration().count(), 0);
   cr_assert_eq(table.AliveCount(stall_end), 2);
   cr_assert_eq(table.LimitSharerCount(stall_end), 2);
-  cr_assert(table.NewlySilent(stall_end).empty());
+  cr_assert(table.TakeTimedOutHosts(stall_end).empty());
   // After the stall, the heartbeat timeout applies as before.
   Time now = stall_end;
   for (; now < stall_end + kHeartbeatTimeout; now += kCheckInterval) {
--- a/src/pathcleat/fleet/peer_link.cpp
+++ b/src/pathcleat/fleet/peer_link.cpp
@@ -278,7 +278,7 @@
   }
   for (const MemberGroup& group : report.groups) {
     for (const MemberObservation& member : group.members) {
-      if (const KnownHost* host =
+      if (const HostEntry* host =
               hosts_.OnMemberReported(member, group.versions, now)) {
         events_.Record(EventCode::kPeerHeard, host->info.name,
                        "reported by " + report.domain);
--- a/src/pathcleat/fleet/relay_choice.cpp
+++ b/src/pathcleat/fleet/relay_choice.cpp
@@ -56,7 +56,7 @@
   const bool self_ahead = self.domain == ranked.domain && !self.leaving &&
                           !(rule.skip_failing && rule.self_failing) &&
                           RanksAhead(self, ranked);
-  const auto counts = [&](const KnownHost& host) {
+  const auto counts = [&](const HostEntry& host) {
     const bool failing = host.versions.store_access == StoreAccess::kFailing;
     return hosts.IsAlive(host, now) && !(rule.skip_failing && failing);
   };
@@ -67,22 +67,22 @@
 
 // The nearest host that a follower can get changes from. Followers are spread
 // over the relays at the same distance by a hash of the names.
-const KnownHost* NearestRelay(const HostTable& hosts,
+const HostEntry* NearestRelay(const HostTable& hosts,
                               const RelayCriteria& criteria,
                               Distance farthest,
                               Time now) {
   const HostInfo& self = hosts.self();
   const std::uint64_t own_hash = StableHash(self.name);
   const RankRule rule{criteria.domain_count, true, criteria.store_failed};
-  const KnownHost* best = nullptr;
-  const auto precedes = [&](const KnownHost& a, const KnownHost& b) {
+  const HostEntry* best = nullptr;
+  const auto precedes = [&](const HostEntry& a, const HostEntry& b) {
     const Distance to_a = DistanceOf(self, a.info);
     const Distance to_b = DistanceOf(self, b.info);
     return to_a != to_b ? to_a < to_b
                         : MixHashes(own_hash, StableHash(a.info.name)) <
                               MixHashes(own_hash, StableHash(b.info.name));
   };
-  for (const KnownHost* host : hosts.Others()) {
+  for (const HostEntry* host : hosts.Others()) {
     const bool relays =
         host->versions.store_access == StoreAccess::kWatching &&
         !host->info.leaving && hosts.IsAlive(*host, now) &&
@@ -101,7 +101,7 @@
 bool ShouldReadStore(const HostTable& hosts,
                      const StoreReadCriteria& criteria,
                      Time now) {
-  const auto counts = [&hosts, now](const KnownHost& host) {
+  const auto counts = [&hosts, now](const HostEntry& host) {
     return hosts.SharesLimits(host, now);
   };
   const int ahead = CountHigherRanked(hosts, hosts.self(), counts);
@@ -126,7 +126,7 @@
   }
   const Distance farthest =
       criteria.store_failed ? Distance::kFar : Distance::kDomain;
-  const KnownHost* relay = NearestRelay(hosts, criteria, farthest, now);
+  const HostEntry* relay = NearestRelay(hosts, criteria, farthest, now);
   if (relay != nullptr) {
     return {RelayKind::kPeer, relay->info.peer_address, relay->info.name};
   }
--- a/src/pathcleat/fleet/up_to_date_host.cpp
+++ b/src/pathcleat/fleet/up_to_date_host.cpp
@@ -21,18 +21,18 @@
 
 }  // namespace
 
-const KnownHost* ChooseUpToDateHost(
+const HostEntry* ChooseUpToDateHost(
     const HostTable& hosts,
     const std::function<bool(const HostVersions&)>& has_data,
     std::uint64_t salt,
     Time now) {
   const std::uint64_t seed = MixHashes(salt, StableHash(hosts.self().name));
-  const auto rank_of = [&](const KnownHost& host) {
+  const auto rank_of = [&](const HostEntry& host) {
     return Rank{DistanceOf(hosts.self(), host.info), -host.info.link_mbps,
                 MixHashes(seed, StableHash(host.info.name))};
   };
-  const KnownHost* best = nullptr;
-  for (const KnownHost* host : hosts.Others()) {
+  const HostEntry* best = nullptr;
+  for (const HostEntry* host : hosts.Others()) {
     if (host->info.leaving || !hosts.IsAlive(*host, now) ||
         !has_data(host->versions)) {
       continue;
--- a/src/pathcleat/fleet/up_to_date_host_test.cpp
+++ b/src/pathcleat/fleet/up_to_date_host_test.cpp
@@ -32,7 +32,7 @@
   }
 
   std::string Choose(std::uint64_t salt = 0, Time now = kStart) const {
-    const KnownHost* host = ChooseUpToDateHost(
+    const HostEntry* host = ChooseUpToDateHost(
         table, [](const HostVersions& v) { return v.orders > 7; }, salt, now);
     return host == nullptr ? "" : host->info.name;
   }
--- a/src/pathcleat/gateway/fleet_sync.cpp
+++ b/src/pathcleat/gateway/fleet_sync.cpp
@@ -143,7 +143,7 @@
   }
   // The host to fetch from need not be the sender of these versions: any host
   // with a newer version will do.
-  const KnownHost* up_to_date_host = ChooseUpToDateHost(
+  const HostEntry* up_to_date_host = ChooseUpToDateHost(
       state_.hosts,
       [topic,
        known = watcher.newest_change_version()](const HostVersions& versions) {
@@ -254,7 +254,7 @@
       listed.insert(upstream->id);
       upstream_journal_.Append(update.newest_change_version, upstream->id);
       OnUpstreamListed(*upstream, now);
-    } else if (const auto* gone = std::get_if<UpstreamGone>(&change)) {
+    } else if (const auto* gone = std::get_if<UpstreamRemoval>(&change)) {
       upstream_journal_.Append(update.newest_change_version, gone->id);
       OnUpstreamRemoved(gone->id, may_be_relisted, now);
     } else if (const auto* bad = std::get_if<UnreadableRow>(&change)) {
@@ -310,7 +310,7 @@
   for (const FleetChange& change : update.changes) {
     const bool counts = update.is_full
                             ? std::holds_alternative<UpstreamInfo>(change)
-                            : std::holds_alternative<UpstreamGone>(change);
+                            : std::holds_alternative<UpstreamRemoval>(change);
     matching_count += counts ? 1 : 0;
   }
   if (!update.is_full) {
@@ -323,7 +323,7 @@
 // Brings the deadlines of lapsed upstreams forward to `until`. Entries that
 // lapsed while the store was unreachable get this long from its return.
 void FleetSync::LimitLapseDeadlines(Time until) {
-  for (const UpstreamPtr& upstream : state_.upstreams.Lapsed()) {
+  for (const UpstreamPtr& upstream : state_.upstreams.LapsedUpstreams()) {
     upstream->lapse_deadline = std::min(*upstream->lapse_deadline, until);
   }
 }
@@ -351,7 +351,7 @@
 }
 
 void FleetSync::Tick(Time now) {
-  for (const UpstreamPtr& upstream : state_.upstreams.Lapsed()) {
+  for (const UpstreamPtr& upstream : state_.upstreams.LapsedUpstreams()) {
     if (now >= *upstream->lapse_deadline) {
       OnUpstreamRemoved(upstream->info.id, false, now);
     }
--- a/src/pathcleat/gateway/gateway.cpp
+++ b/src/pathcleat/gateway/gateway.cpp
@@ -231,7 +231,7 @@
 int Gateway::CountHostsAhead(Time now) const {
   const std::uint64_t own = StableHash(state_.settings.host);
   int ahead = 0;
-  for (const KnownHost* host : state_.hosts.Others()) {
+  for (const HostEntry* host : state_.hosts.Others()) {
     const bool is_active =
         state_.hosts.IsAlive(*host, now) && !host->info.leaving;
     ahead += is_active && StableHash(host->info.name) < own ? 1 : 0;
@@ -300,7 +300,7 @@
   }
   const Duration left = CallerTimeout(state_.headers, exchange.request())
                             .value_or(state_.settings.bounds.locate_ttl);
-  return LatestRetry(left, Duration::zero());
+  return LatestRetryDelay(left, Duration::zero());
 }
 
 void Gateway::HandleCaller(const HttpExchangePtr& exchange) {
@@ -386,7 +386,7 @@
   }
   AdvanceShifts(now);
   AdvanceRollouts(now);
-  for (const std::string& host : state_.hosts.NewlySilent(now)) {
+  for (const std::string& host : state_.hosts.TakeTimedOutHosts(now)) {
     if (state_.hosts.IsLeaving(host)) {
       state_.quotas.control().OnHostStopped(host);
     }
--- a/src/pathcleat/gateway/gateway_state.cpp
+++ b/src/pathcleat/gateway/gateway_state.cpp
@@ -146,7 +146,7 @@
   }
   UpdateQuotaHosts(now);
   picker.SetPinnedDemand(
-      quotas.control().DemandByHomeRegion(accounts.All(), now));
+      quotas.control().DemandByAllowedRegion(accounts.All(), now));
   upstream_limits.Tick(now);
   UpdateRateShares(now);
 }
@@ -156,7 +156,7 @@
     return;
   }
   std::vector<std::uint64_t> others;
-  for (const KnownHost* host : hosts.Others()) {
+  for (const HostEntry* host : hosts.Others()) {
     if (hosts.IsAlive(*host, now) && !host->info.leaving) {
       others.push_back(StableHash(host->info.name));
     }
@@ -191,7 +191,7 @@
   if (running > kDiscoveryTime && running < kNeverSeenWindow) {
     sharers.never_seen_count = static_cast<int>(std::count_if(
         others.begin(), others.end(),
-        [](const KnownHost* host) { return !host->has_heartbeat; }));
+        [](const HostEntry* host) { return !host->has_heartbeat; }));
   }
   quotas.control().SetBounds(settings.bounds.quota);
   quotas.control().SetHosts(sharers, now);
@@ -204,7 +204,7 @@
   }
   RateSenders senders(StableHash(settings.host), settings.region);
   int fleet_size = 1;
-  for (const KnownHost* host : hosts.Others()) {
+  for (const HostEntry* host : hosts.Others()) {
     if (hosts.SharesLimits(*host, now)) {
       senders.AddHost(StableHash(host->info.name), host->info.region);
     }
--- a/src/pathcleat/gateway/idempotency_guard.cpp
+++ b/src/pathcleat/gateway/idempotency_guard.cpp
@@ -22,7 +22,7 @@
 // When the store will answer again is unknown, so the retry is delayed for as
 // long as its caller can wait.
 IdempotencyDecision NotRun(const std::string& reason, Duration left) {
-  const Duration after = LatestRetry(left, Duration::zero());
+  const Duration after = LatestRetryDelay(left, Duration::zero());
   return {false, NotRunResponse(reason, after), RunOutcome::kNotRun};
 }
 
--- a/src/pathcleat/gateway/metrics_page.cpp
+++ b/src/pathcleat/gateway/metrics_page.cpp
@@ -255,7 +255,7 @@
               "How far the newest host heard is ahead, by topic.");
   std::uint64_t orders = versions.orders;
   std::uint64_t upstreams = versions.upstreams;
-  for (const KnownHost* host : state.hosts.Others()) {
+  for (const HostEntry* host : state.hosts.Others()) {
     orders = std::max(orders, host->versions.orders);
     upstreams = std::max(upstreams, host->versions.upstreams);
   }
--- a/src/pathcleat/gateway/operator_service.cpp
+++ b/src/pathcleat/gateway/operator_service.cpp
@@ -210,7 +210,7 @@
   text << state_.settings.host << ": this host"
        << (state_.leaving ? ", leaving" : "") << ", store "
        << (state_.store_reachable ? "reached" : "out of reach") << "\n";
-  for (const KnownHost* host : state_.hosts.Others()) {
+  for (const HostEntry* host : state_.hosts.Others()) {
     text << host->info.name << ": in " << host->info.domain << ", "
          << (state_.hosts.IsAlive(*host, now) ? "alive" : "silent")
          << (host->info.leaving ? ", leaving" : "");
@@ -284,7 +284,7 @@
   int alive = 1;
   int up_to_date = 1;
   std::string behind;
-  for (const KnownHost* host : state_.hosts.Others()) {
+  for (const HostEntry* host : state_.hosts.Others()) {
     if (!state_.hosts.IsAlive(*host, now)) {
       behind += "  unheard: " + host->info.name + "\n";
       continue;
--- a/src/pathcleat/gateway/quota_enforcer.cpp
+++ b/src/pathcleat/gateway/quota_enforcer.cpp
@@ -15,7 +15,7 @@
   RetryWindow window;
   window.earliest = result.decision.time_until_available;
   window.latest_in_time = Duration::zero();
-  window.latest = LatestRetry(caller_left, target);
+  window.latest = LatestRetryDelay(caller_left, target);
   window.spacing = result.decision.mean_interval;
   result.retry_after =
       retry_schedulers_[AccountId(account)].Reserve(window, now);
--- a/src/pathcleat/routing/admission_control.cpp
+++ b/src/pathcleat/routing/admission_control.cpp
@@ -36,7 +36,7 @@
 Duration TargetTimeLeft(const PickRequest& request,
                         const RequestProfile& profile) {
   return request.route->target_latency -
-         profile.usual_deadline.SinceFirstTry(request.caller_timeout);
+         profile.usual_deadline.TimeSinceFirstAttempt(request.caller_timeout);
 }
 
 // When an unavailable upstream accepts requests again, and at what interval.
@@ -108,7 +108,7 @@
   RetryWindow window;
   window.earliest = pick.expected_wait;
   window.latest_in_time = TargetTimeLeft(request, profile) - service;
-  window.latest = LatestRetry(request.CallerTimeLeft(), service);
+  window.latest = LatestRetryDelay(request.CallerTimeLeft(), service);
   window.spacing = Scale(profile.warmth.RunTime(true),
                          1 / (slots * OwnShare(*pick.upstream, now)));
   return pick.upstream->retry_scheduler.Reserve(window, now);
@@ -121,7 +121,7 @@
     Time now) {
   const Duration run = profile.warmth.RunTime(true);
   RetryWindow window;
-  window.latest = LatestRetry(request.CallerTimeLeft(), run);
+  window.latest = LatestRetryDelay(request.CallerTimeLeft(), run);
   window.latest_in_time = TargetTimeLeft(request, profile) - run;
   window.earliest = Duration::max();
   window.spacing = run;
--- a/src/pathcleat/routing/retry_scheduler.cpp
+++ b/src/pathcleat/routing/retry_scheduler.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-Duration LatestRetry(Duration caller_left, Duration service) {
+Duration LatestRetryDelay(Duration caller_left, Duration service) {
   const Duration max_accepted = caller_left / kAcceptedDelayDivisor;
   const Duration in_time = caller_left - service;
   return std::max(Duration::zero(), std::min(max_accepted, in_time));
--- a/src/pathcleat/routing/retry_scheduler_test.cpp
+++ b/src/pathcleat/routing/retry_scheduler_test.cpp
@@ -30,7 +30,7 @@
   cr_assert(Holds("a third of the time left, less if the answer needs it", [] {
     const Duration left = Micros(*rc::gen::inRange(0, 10'000'000));
     const Duration service = Micros(*rc::gen::inRange(0, 5'000'000));
-    const Duration latest = LatestRetry(left, service);
+    const Duration latest = LatestRetryDelay(left, service);
     RC_ASSERT(latest >= Duration(0));
     RC_ASSERT(latest * 3 <= left);
     RC_ASSERT(latest == Duration(0) || latest + service <= left);
--- a/src/pathcleat/routing/upstream_table.cpp
+++ b/src/pathcleat/routing/upstream_table.cpp
@@ -170,7 +170,7 @@
   return maybe_rate_bounded_;
 }
 
-std::vector<UpstreamPtr> UpstreamTable::Lapsed() const {
+std::vector<UpstreamPtr> UpstreamTable::LapsedUpstreams() const {
   std::vector<UpstreamPtr> lapsed;
   for (const std::string& id : lapsed_ids_) {
     lapsed.push_back(by_id_.at(id));
--- a/src/pathcleat/routing/upstream_table_test.cpp
+++ b/src/pathcleat/routing/upstream_table_test.cpp
@@ -39,11 +39,11 @@
     table.Put(cold, kStart);
     cr_assert_eq(table.MaybeRateBounded(kStart).size(), 1U);
     cr_assert(table.MaybeRateBounded(kStart + kSecond * 2).empty());
-    cr_assert(table.Lapsed().empty());
+    cr_assert(table.LapsedUpstreams().empty());
     table.Lapse("i-4", kStart);
-    cr_assert_eq(table.Lapsed().size(), 1U);
+    cr_assert_eq(table.LapsedUpstreams().size(), 1U);
     table.Put(InfoOf(4), kStart);
-    cr_assert(table.Lapsed().empty());
+    cr_assert(table.LapsedUpstreams().empty());
   }
 }
 
@@ -56,7 +56,7 @@
   cr_assert(table.MaybeRateBounded(kStart).empty());
   table.Lapse("i-1", kStart);
   table.Remove("i-1");
-  cr_assert(table.Lapsed().empty());
+  cr_assert(table.LapsedUpstreams().empty());
 }
 
 // Guards against requests to the first upstream of a version before the order
--- a/src/pathcleat/routing/usual_deadline_test.cpp
+++ b/src/pathcleat/routing/usual_deadline_test.cpp
@@ -13,10 +13,12 @@
 Test(usual_deadline, retry_has_less_left_by_the_time_since_the_first_attempt) {
   UsualDeadline deadline;
   deadline.OnRequest(kUsual);
-  cr_assert_eq(deadline.SinceFirstTry(kUsual).count(), 0);
-  cr_assert_eq(deadline.SinceFirstTry(Duration(2'450'000)).count(), 0);
-  cr_assert_eq(deadline.SinceFirstTry(Duration(1'500'000)).count(), 1'000'000);
-  cr_assert_eq(deadline.SinceFirstTry(std::chrono::hours(9)).count(), 0);
+  cr_assert_eq(deadline.TimeSinceFirstAttempt(kUsual).count(), 0);
+  cr_assert_eq(deadline.TimeSinceFirstAttempt(Duration(2'450'000)).count(), 0);
+  cr_assert_eq(deadline.TimeSinceFirstAttempt(Duration(1'500'000)).count(),
+               1'000'000);
+  cr_assert_eq(deadline.TimeSinceFirstAttempt(std::chrono::hours(9)).count(),
+               0);
 }
 
 // Guards against a usual deadline that unusual deadlines or retries change.
