--- a/include/pathcleat/calls/abort_cause.hpp
+++ b/include/pathcleat/calls/abort_cause.hpp
@@ -7,12 +7,13 @@
 /// working on the request.
 /// @ingroup calls
 enum class AbortCause {
-  kFailoverTimeout,   ///< no answer for far longer than expected; failed over
+  kFailoverTimeout,   ///< no answer for far longer than expected, so the
+                      ///< request was sent to another upstream
   kCallerLeft,        ///< the caller left, and the request is repeatable
-  kDeadline,          ///< the caller's deadline or the route's time-out
+  kDeadline,          ///< the caller's deadline or the route's time-out passed
   kSilentConnection,  ///< neither bytes nor TCP acknowledgements arrived
-  kBadAnswer,         ///< invalid answer, or one to another request
-  kHostStops,         ///< the grace time of a planned stop is over
+  kBadAnswer,         ///< the answer is invalid or is for another request
+  kHostStops,         ///< the grace time of a planned stop is nearly over
 };
 
 /// @brief The name of the cause in the metrics.
--- a/include/pathcleat/calls/connection_pool.hpp
+++ b/include/pathcleat/calls/connection_pool.hpp
@@ -19,8 +19,8 @@
 /// @ingroup calls
 inline constexpr Duration kMinSilence{400'000};
 
-/// @brief Idle connections, by upstream. The most recently used one is reused
-/// first, so that surplus connections age and are closed.
+/// @brief Idle connections, by upstream. The most recently used connection is
+/// reused first, so that surplus connections stay idle and are closed.
 /// @ingroup calls
 class ConnectionPool {
  public:
@@ -28,32 +28,33 @@
 
   /// @brief Returns a connection for one request: an idle one or a new one that
   /// is not open yet.
-  /// @param repeatable whether the request may be sent again if it is lost; for
-  /// others no connection is used that the upstream may have dropped while
-  /// idle.
+  /// @param repeatable whether the request may be sent again if it is lost. If
+  /// not, a connection that the upstream may have dropped while the connection
+  /// was idle is never returned.
   HttpClientPtr Acquire(const UpstreamInfo& upstream,
                         bool repeatable,
                         Time now);
 
   /// @brief Called when an idle connection turned out to be closed on reuse.
-  /// @param idle_time time since its last use.
+  /// @param idle_time how long the connection had been idle.
   void OnStaleConnection(const UpstreamInfo& upstream,
                          Duration idle_time,
                          Time now);
 
-  /// @brief Returns a new connection that is not open yet, even if idle ones
-  /// exist.
+  /// @brief Returns a new connection that is not open yet, even if there are
+  /// idle connections to the upstream.
   HttpClientPtr Create(const UpstreamInfo& upstream);
 
-  /// @brief Returns a connection to the pool after its answer.
+  /// @brief Returns a connection to the pool after the answer was received.
   void Release(const std::string& upstream_id, const HttpClientPtr& client);
 
   /// @brief Closes the idle connections to an upstream.
   void CloseConnections(const std::string& upstream_id);
 
   /// @brief Called when a connection to an upstream was found silent. Closes
-  /// the idle connections to it that have received nothing recently; if another
-  /// upstream fell silent at about the same time, those to all upstreams.
+  /// the idle connections to this upstream that have received no bytes within
+  /// kMinSilence. If another upstream fell silent at about the same time,
+  /// closes such connections to all upstreams.
   /// @return whether the connection was opened after the upstream's last
   /// silence; connections opened before it show nothing new about the upstream.
   bool OnSilentConnection(const std::string& upstream_id,
@@ -77,7 +78,7 @@
 
   boost::asio::io_context& loop_;
   std::map<std::string, Connections> idle_;
-  std::map<std::string, Time> last_silences_;                ///< by upstream
+  std::map<std::string, Time> last_silences_;                ///< by upstream id
   std::map<std::string, IdleReuseLimit> idle_reuse_limits_;  ///< by service
   std::uint64_t silent_count_ = 0;
 };
--- a/include/pathcleat/calls/failover_timeout.hpp
+++ b/include/pathcleat/calls/failover_timeout.hpp
@@ -14,7 +14,7 @@
 
 /// @brief How long to wait for an upstream before another one is tried: far
 /// longer than expected, but at most half of the time left, so that the other
-/// one has as much. Never less than twice the expected time.
+/// upstream has as much time. Never less than twice the expected time.
 /// @param expected time from sending to the answer, as expected when sending.
 /// @param left time until the caller must be answered.
 /// @ingroup calls
--- a/include/pathcleat/calls/header_names.hpp
+++ b/include/pathcleat/calls/header_names.hpp
@@ -16,12 +16,12 @@
   std::string expect_upstream = "X-Expect-Upstream";
   std::string upstream_id = "X-Upstream-Id";
   std::string account = "X-Account";     ///< name of the caller's account
-  std::string load = "X-Upstream-Load";  ///< running,waiting,slots
+  std::string load = "X-Upstream-Load";  ///< "running,waiting,slots": counts
   std::string rate_limit =
       "X-Upstream-Limit";  ///< requests per second that the upstream accepts
   std::string not_run = "X-Not-Run";
   std::string cold_ms = "X-Cold-Ms";
-  std::string signature;  ///< present in every complete answer
+  std::string signature;  ///< field that every complete answer carries
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/calls/idempotency_key_store.hpp
+++ b/include/pathcleat/calls/idempotency_key_store.hpp
@@ -25,11 +25,12 @@
 /// @ingroup calls
 struct ClaimResult {
   KeyAction action = KeyAction::kRefuseNotRun;
-  ClaimedKey claimed;            ///< for kRun
-  HttpResponse stored_response;  ///< for kReplayAnswer
+  ClaimedKey claimed;            ///< set if the action is kRun
+  HttpResponse stored_response;  ///< set if the action is kReplayAnswer
 };
 
-/// @brief Input of a claim: a request and its idempotency key.
+/// @brief Input of a claim: the row of the idempotency key, and the request's
+/// fingerprint and deadline.
 /// @ingroup calls
 struct KeyClaimRequest {
   std::string row_name;
@@ -37,8 +38,10 @@
   std::uint64_t deadline_wall_micros = 0;
 };
 
-/// @brief Stores idempotency keys in the table service: one conditional write
-/// claims a key, another one settles it. Lives in the thread of one event loop.
+/// @brief Stores idempotency keys in the table service: a first conditional
+/// write claims a key, and a second conditional write settles the key, that is,
+/// stores the outcome of the request. Must be used only in the thread of its
+/// event loop.
 /// @ingroup calls
 class IdempotencyKeyStore {
  public:
@@ -54,15 +57,15 @@
   /// repeated requests.
   void MarkFinished(ClaimedKey key, const HttpResponse& answer);
 
-  /// @brief Settles the key of a request that may have run: it will not be run
-  /// again.
+  /// @brief Settles the key of a request that may have run: the request will
+  /// not be run again.
   void MarkUnknown(ClaimedKey key);
 
   /// @brief Releases the key of a request that certainly did not run: the key
   /// may be used again.
   void Release(const ClaimedKey& key);
 
-  /// @brief Number of settling writes that are not done yet.
+  /// @brief Number of writes that settle or release a key and are not done yet.
   int pending_writes() const { return pending_writes_; }
 
  private:
--- a/include/pathcleat/calls/idle_reuse_limit.hpp
+++ b/include/pathcleat/calls/idle_reuse_limit.hpp
@@ -9,7 +9,7 @@
 /// request that must not be repeated. Upstreams may drop an idle connection
 /// silently: a request sent on it is lost, and nobody can tell whether it has
 /// run. The limit is learned from connections that broke at their first use
-/// after an idle time, and rises again while no further one is seen. Not
+/// after an idle time, and rises again while no further connection breaks. Not
 /// thread-safe.
 /// @ingroup calls
 class IdleReuseLimit {
--- a/include/pathcleat/calls/in_flight_requests.hpp
+++ b/include/pathcleat/calls/in_flight_requests.hpp
@@ -8,8 +8,8 @@
 
 namespace pathcleat {
 
-/// @brief A caller's request in flight, as its host sees it. It removes itself
-/// from its list when it is destroyed.
+/// @brief A caller's request in flight at this host. The destructor removes the
+/// request from the list that holds it.
 /// @ingroup calls
 class InFlightRequest
     : public boost::intrusive::list_base_hook<
@@ -19,7 +19,7 @@
   /// must be answered now with the outcome as far as it is known.
   virtual void OnHostShutdown() = 0;
 
-  /// @brief When the caller must have its answer.
+  /// @brief The time by which the caller must have its answer.
   virtual Time deadline() const = 0;
 
   /// @brief Called when the deadline has passed.
@@ -43,8 +43,8 @@
     ForEach([](InFlightRequest& request) { request.OnHostShutdown(); });
   }
 
-  /// @brief Ends the requests whose deadline was before this time. Requests may
-  /// be removed during the call.
+  /// @brief Ends the requests whose deadline is earlier than `before`. Requests
+  /// may be removed during the call.
   void EndOverdue(Time before) {
     ForEach([before](InFlightRequest& request) {
       if (request.deadline() < before) {
--- a/include/pathcleat/calls/run_tracker.hpp
+++ b/include/pathcleat/calls/run_tracker.hpp
@@ -4,8 +4,8 @@
 namespace pathcleat {
 
 /// @brief Tracks whether a request may have run. Each send counts as a run
-/// until the opposite is known, so that a missing OnNotRun call makes an answer
-/// promise too little and never too much.
+/// until OnNotRun is called. If that call is missing, a request that did not
+/// run is reported as one that may have run, but never the other way round.
 /// @ingroup calls
 class RunTracker {
  public:
--- a/include/pathcleat/calls/shutdown_schedule.hpp
+++ b/include/pathcleat/calls/shutdown_schedule.hpp
@@ -8,15 +8,15 @@
 /// @brief How long the work of a request may take.
 /// @ingroup calls
 struct WorkTimes {
-  Duration expected{0};    ///< time until the answer
+  Duration expected{0};    ///< expected time from sending to the answer
   Duration target{0};      ///< target latency of the route
-  bool repeatable = true;  ///< may run again elsewhere if it is ended early
+  bool repeatable = true;  ///< may run again at another upstream if ended early
 };
 
-/// @brief When a host that is shutting down stops accepting callers, ends the
-/// work of upstreams, gives its final answers and exits. The times are fixed
-/// when the shutdown begins: neither a second signal nor new settings change
-/// them. Not thread-safe.
+/// @brief The times at which a host that is shutting down stops accepting
+/// callers, ends the work of upstreams, gives its final answers and exits. The
+/// times are fixed when the shutdown begins: neither a second signal nor new
+/// settings change them. Not thread-safe.
 ///
 /// A host has a fixed time by which its process must end. Work that might not
 /// be done by then is not started, and work in progress is ended at its
@@ -32,22 +32,23 @@
   /// answered by `deadline`.
   bool ShortensDeadline(Time deadline) const;
 
-  /// @brief Until when an upstream may work on a request that must be answered
-  /// by `deadline`.
+  /// @brief The time until which an upstream may work on a request that must be
+  /// answered by `deadline`.
   Time WorkDeadline(Time deadline) const;
 
   /// @brief Whether a request that must be answered by `deadline` may be
   /// started.
   bool MayStart(const WorkTimes& times, Time deadline, Time now) const;
 
-  /// @brief Until when new callers are accepted.
+  /// @brief The time until which new callers are accepted.
   Time accepts_until() const { return accepts_until_; }
 
-  /// @brief When all unanswered requests are answered with the outcome as far
-  /// as it is known.
+  /// @brief The time at which all unanswered requests are answered with the
+  /// outcome as far as it is known.
   Time final_answer_time() const { return final_answer_time_; }
 
-  /// @brief When the process exits, even if requests are left.
+  /// @brief The time at which the process exits, even if requests are
+  /// unanswered.
   Time exit_time() const { return exit_time_; }
 
  private:
--- a/include/pathcleat/calls/upstream_protocol.hpp
+++ b/include/pathcleat/calls/upstream_protocol.hpp
@@ -20,20 +20,20 @@
 std::optional<Duration> CallerTimeout(const HeaderNames& names,
                                       const HttpRequest& request);
 
-/// @brief Metadata of a request that decides what is sent to the upstream with
-/// it.
+/// @brief Metadata of a request: determines which header fields the upstream
+/// receives and whether the request may be sent again.
 /// @ingroup calls
 struct RequestMetadata {
   std::string request_id;
   const Account* account = nullptr;   ///< null if the caller has no account
-  bool strips_authorization = false;  ///< it holds an API key
+  bool strips_authorization = false;  ///< the header holds an API key
   bool repeatable = false;
 };
 
 /// @brief Makes the request for an upstream: end-to-end fields, the request id,
 /// the account's name, the time left in milliseconds (a duration, not a time of
-/// day) and the id of the upstream meant. The account that the caller states
-/// and the API key are not passed on.
+/// day) and the id of the upstream that the request is for. The account that
+/// the caller states and the API key are not passed on.
 /// @ingroup calls
 HttpRequest MakeUpstreamRequest(const HeaderNames& names,
                                 const HttpRequest& request,
@@ -42,8 +42,8 @@
                                 Duration left);
 
 /// @brief Makes a predicate that accepts the answers to one request and rejects
-/// late answers to other requests, which carry another id. An answer without an
-/// id is accepted.
+/// late answers to other requests, which carry another request id. An answer
+/// without an id is accepted.
 /// @ingroup calls
 HttpClient::Matcher MakeResponseMatcher(const HeaderNames& names,
                                         const std::string& request_id);
@@ -60,8 +60,8 @@
   std::optional<double> per_second;  ///< none if absent or invalid
 };
 
-/// @brief Parses the rate limit that an upstream states in an answer. Of
-/// several headers the lowest valid limit applies.
+/// @brief Parses the rate limit that an upstream states in an answer. If the
+/// answer has several such headers, the lowest valid limit applies.
 /// @ingroup calls
 RateLimitHeader ParseRateLimit(const HeaderNames& names,
                                const HttpResponse& response);
@@ -70,8 +70,8 @@
 /// @ingroup calls
 bool IsNotRun(const HeaderNames& names, const HttpResponse& response);
 
-/// @brief Whether the answer is no success or carries the signature that all
-/// complete answers have.
+/// @brief Whether the answer is complete: a success must carry the signature
+/// header, if one is configured; any other status counts as complete.
 /// @ingroup calls
 bool IsCompleteAnswer(const HeaderNames& names, const HttpResponse& response);
 
@@ -80,8 +80,8 @@
 /// @ingroup calls
 HttpResponse NotRunResponse(const std::string& reason, Duration retry_after);
 
-/// @brief The reason of refusals beyond an account's limit, as in logs and
-/// metrics.
+/// @brief The reason that answers, logs and metrics state for the refusal of a
+/// request beyond its account's limit.
 /// @ingroup calls
 inline constexpr const char* kAccountLimitReason = "account_limit";
 
--- a/include/pathcleat/gateway/client_regions.hpp
+++ b/include/pathcleat/gateway/client_regions.hpp
@@ -21,7 +21,7 @@
   explicit ClientRegions(std::vector<std::string> regions);
 
   /// @brief Replaces all assignments by the blocks of a configuration; where
-  /// blocks overlap, the later one wins.
+  /// blocks overlap, the later block applies.
   void Assign(const std::vector<AssignClientBlock>& blocks);
 
   /// @param address IPv4 address in text form.
--- a/include/pathcleat/gateway/fleet_sync.hpp
+++ b/include/pathcleat/gateway/fleet_sync.hpp
@@ -20,9 +20,10 @@
 /// @ingroup gateway
 class FleetSync : private SnapshotProvider {
  public:
-  /// @param store the platform's tables.
+  /// @param store the tables of the platform, which hold the configuration, the
+  /// orders and the list of upstreams.
   /// @param on_config called with each configuration that is applied.
-  /// @param on_access called when the access to the store has changed.
+  /// @param on_access called when this host's access to the store has changed.
   FleetSync(GatewayState& state,
             FleetSource& store,
             std::function<void(const RoutingConfig&)> on_config,
@@ -32,7 +33,7 @@
   Result<void> Open(const std::string& address, std::uint16_t port);
 
   /// @brief Starts the watches, once the rows of the other hosts are loaded:
-  /// which hosts read the store is decided by them. Further calls do nothing.
+  /// these rows decide which hosts read the store. Further calls do nothing.
   void Start();
 
   /// @brief Sets the key that authenticates messages between hosts.
@@ -42,8 +43,8 @@
   /// requests can be served.
   bool IsLoaded() const;
 
-  /// @brief Called when this host runs again after a stall: watches at the
-  /// store may be lost and are restarted.
+  /// @brief Called when this host runs again after a stall: its watches at
+  /// the store may be lost and are restarted.
   /// @param since when this host last ran before the stall.
   void OnStallEnded(Time since);
 
@@ -56,8 +57,8 @@
   /// @param from name of the host or domain.
   void OnPeerVersions(const std::string& from, const HostVersions& versions);
 
-  /// @brief When a topic was last confirmed by its source, also if nothing had
-  /// changed.
+  /// @brief The time of the source's last answer about a topic, also if the
+  /// answer said that nothing had changed.
   Time LastReceivedAt(SourceTopic topic) const {
     return WatcherOf(topic).answered_at();
   }
@@ -113,14 +114,14 @@
   ConfigHistory config_history_;
   ConfigLag config_lag_;
   ChangeJournal upstream_journal_;
-  Transfer last_list_transfer_;  ///< of the last change of the list
-  /// Topics with a fetch from a peer in flight.
+  Transfer last_list_transfer_;  ///< of the last upstream list update
+  /// Whether a fetch from another host is in flight, by topic.
   std::map<SourceTopic, bool> is_fetching_;
   bool started_ = false;
   bool store_lost_ = false;
   Time store_failed_at_;  ///< when a call to the store last failed
-  /// Until then, entries that lapsed while the store was unreachable may be
-  /// listed again.
+  /// Until this time, upstreams whose entries lapsed while the store was
+  /// unreachable may be listed again.
   Time removals_uncertain_until_;
 };
 
--- a/include/pathcleat/gateway/gateway.hpp
+++ b/include/pathcleat/gateway/gateway.hpp
@@ -22,8 +22,8 @@
 
 namespace pathcleat {
 
-/// @brief Statistics of the process that the metrics page shows beside the
-/// tables of the host.
+/// @brief Statistics of the process that the metrics page shows in addition
+/// to the state of the host.
 /// @ingroup gateway
 struct ProcessStats {
   /// Log lines dropped since the start of the process, by class.
@@ -37,10 +37,10 @@
 class Gateway {
  public:
   /// @param store the table with the rows of hosts, secrets and commands.
-  /// @param source of the configuration and the list of upstreams.
-  /// @param statuses where the status of rollouts is written for operators.
-  /// @param account_key_hasher for API keys of client accounts; this object
-  /// sets its secret.
+  /// @param source provides the configuration and the list of upstreams.
+  /// @param statuses stores the status of rollouts for operators.
+  /// @param account_key_hasher hashes the API keys of client accounts; the
+  /// gateway sets the secret of the hasher.
   Gateway(boost::asio::io_context& loop,
           const EntrySettings& settings,
           const HeaderNames& headers,
@@ -57,15 +57,15 @@
   /// @brief Binds all sockets and starts the periodic work.
   Result<void> Start();
 
-  /// @brief Applies the settings that may change while the host runs: the
-  /// bounds. Addresses and names keep the values of the start.
+  /// @brief Applies the bounds of new settings, the only settings that may
+  /// change while the host runs. Addresses and names keep their first values.
   void Reload(const EntrySettings& settings);
 
   /// @brief Begins a planned stop: the host is no longer listed to callers, but
   /// serves requests until the grace time is nearly over. No request is cut off
-  /// before that.
+  /// before then.
   /// @param done called when no answer is outstanding or the grace time is
-  /// over.
+  /// nearly over.
   void Stop(std::function<void()> done);
 
   GatewayState& state() { return state_; }
--- a/include/pathcleat/gateway/gateway_state.hpp
+++ b/include/pathcleat/gateway/gateway_state.hpp
@@ -37,7 +37,7 @@
 
 namespace pathcleat {
 
-/// @brief The tables of one host. All access happens in the thread of its event
+/// @brief The state of one host. All access happens in the thread of its event
 /// loop, so no locks are needed.
 /// @ingroup gateway
 struct GatewayState {
@@ -68,7 +68,7 @@
   void TickCrashes(Time now);
 
   /// @brief Updates each rollout with the versions of the listed upstreams and
-  /// with the number of requests in flight at other versions.
+  /// with the number of requests in flight at upstreams of other versions.
   void RefreshRollouts();
 
   boost::asio::io_context& loop;
--- a/include/pathcleat/gateway/idempotency_guard.hpp
+++ b/include/pathcleat/gateway/idempotency_guard.hpp
@@ -11,7 +11,7 @@
 namespace pathcleat {
 
 /// @brief Whether a request with an idempotency key may run, or the answer that
-/// it gets instead of a run.
+/// the caller gets instead of a run.
 /// @ingroup gateway
 struct IdempotencyDecision {
   bool may_run = false;
@@ -19,8 +19,9 @@
   RunOutcome outcome = RunOutcome::kNotRun;
 };
 
-/// @brief The claim of one request to its idempotency key: made in the store
-/// before the request is sent, settled when its outcome is known.
+/// @brief The claim of one request to its idempotency key. The claim is written
+/// to the store before the request is sent, and is settled when the outcome of
+/// the request is known.
 /// @ingroup gateway
 class IdempotencyGuard {
  public:
--- a/include/pathcleat/gateway/metrics_page.hpp
+++ b/include/pathcleat/gateway/metrics_page.hpp
@@ -11,7 +11,7 @@
 
 namespace pathcleat {
 
-/// @brief Inputs of the metrics page other than the host's own tables.
+/// @brief Inputs of the metrics page other than the state of the host.
 /// @ingroup gateway
 struct MetricsInputs {
   HostVersions versions;
--- a/include/pathcleat/gateway/quota_enforcer.hpp
+++ b/include/pathcleat/gateway/quota_enforcer.hpp
@@ -10,8 +10,8 @@
 
 namespace pathcleat {
 
-/// @brief Whether a request is within its account's limit, and after which
-/// delay a refused one should be retried.
+/// @brief Whether a request is within its account's limit, and the delay before
+/// a retry if the request is refused.
 /// @ingroup gateway
 struct QuotaResult {
   QuotaDecision decision;
@@ -19,12 +19,12 @@
 };
 
 /// @brief Enforces the limits of client accounts at this host. Each refused
-/// request gets a retry time of its own; these times are spaced as the limit
-/// admits requests. Not thread-safe.
+/// request gets a retry time of its own. Retry times are spaced at the rate at
+/// which the limit admits requests. Not thread-safe.
 /// @ingroup gateway
 class QuotaEnforcer {
  public:
-  /// @param seed must differ between hosts and between starts.
+  /// @param seed must differ between hosts and between starts of a host.
   QuotaEnforcer(const std::string& domain,
                 const std::string& host,
                 std::uint64_t seed)
@@ -34,7 +34,7 @@
   const QuotaControl& control() const { return control_; }
 
   /// @param caller_left time until the caller gives up.
-  /// @param target latency of the route.
+  /// @param target target latency of the route.
   QuotaResult Admit(const Account& account,
                     Duration caller_left,
                     Duration target,
@@ -42,7 +42,7 @@
 
  private:
   QuotaControl control_;
-  /// By AccountId.
+  /// Retry times of refused requests, by AccountId.
   std::unordered_map<std::uint64_t, RetryScheduler> retry_schedulers_;
 };
 
--- a/include/pathcleat/gateway/request_handler.hpp
+++ b/include/pathcleat/gateway/request_handler.hpp
@@ -21,9 +21,9 @@
 ///
 /// A request that may not be repeated is sent to a second upstream only if the
 /// first certainly did not run it: nothing was sent, or the upstream itself
-/// said that it did not run the request. Only under the same condition is it
-/// answered as "not run" (503). With an Idempotency-Key header, such a request
-/// claims the key in the store before it is sent.
+/// said that it did not run the request. Only under the same condition is
+/// the caller answered with "not run" (status 503). With an Idempotency-Key
+/// header, such a request claims the key in the store before it is sent.
 /// @ingroup gateway
 class RequestHandler final
     : public std::enable_shared_from_this<RequestHandler>,
@@ -73,7 +73,7 @@
   bool TracksCrashes() const;
   bool MayBeSuspected() const;
   CrashDecision DecideOnCrashes(Time now);
-  std::optional<Pick> PickIfBlocked(Time now);
+  std::optional<Pick> MakeBlockedPick(Time now);
   void ProbeForCrash(const CallResult& result);
   void ReportNoCrash();
   void RecordCrashTrial();
@@ -99,7 +99,7 @@
   std::shared_ptr<const Account> account_;
   boost::asio::steady_timer deadline_timer_;
   boost::asio::steady_timer failover_timer_;  ///< for the attempt in flight
-  UpstreamAttempt attempt_;  ///< the one in flight, or the last one
+  UpstreamAttempt attempt_;  ///< the attempt in flight, or the last attempt
   IdempotencyGuard idempotency_guard_;
   RequestTrace trace_;
   std::string request_id_;
@@ -112,7 +112,7 @@
   std::optional<RequestDigest> digest_;  ///< computed on first use
   /// Whether an upstream may have crashed while it ran the request.
   bool may_have_crashed_upstream_ = false;
-  bool is_crash_trial_ = false;  ///< a blocked request, sent as a trial
+  bool is_crash_trial_ = false;  ///< sent as a trial, though blocked
   bool caller_left_ = false;     ///< the caller has disconnected or half-closed
   bool done_ = false;
   bool counted_in_quota_ = false;  ///< counted in the limit of its account
--- a/include/pathcleat/gateway/request_trace.hpp
+++ b/include/pathcleat/gateway/request_trace.hpp
@@ -11,15 +11,15 @@
 namespace pathcleat {
 
 /// @brief Collects the events of one request with the inputs of each decision.
-/// At the end of the request they go to the log and to the traces that
-/// operators query with "why".
+/// At the end of the request the events go to the log and to the traces that
+/// operators query with the command "why".
 /// @ingroup gateway
 class RequestTrace {
  public:
   explicit RequestTrace(GatewayState& state) : state_(state) {}
 
-  /// @brief Sets the id that the events name; must be called before the first
-  /// event is noted.
+  /// @brief Sets the request id that the events contain; must be called before
+  /// the first event is noted.
   void SetRequest(const std::string& request_id) { request_id_ = request_id; }
 
   void Note(EventCode code, EventFields fields);
@@ -43,7 +43,7 @@
                      Duration retry_after);
 
   /// @brief Notes that the request is sent to the upstream that was picked.
-  /// @param attempt counted from 1.
+  /// @param attempt number of the attempt, counted from 1.
   void NoteSent(const Pick& pick, int attempt, Time now);
 
   /// @brief Notes that the connection to the upstream has opened.
@@ -68,7 +68,7 @@
                    const Pick* best);
 
   /// @brief Passes the events noted so far to the log and the traces. Used when
-  /// the caller has left, as the end of the request may be far off.
+  /// the caller has left, as the request may run on for a long time.
   void Flush();
 
   /// @brief Passes the remaining events to the log and the traces at the end of
--- a/include/pathcleat/gateway/upstream_attempt.hpp
+++ b/include/pathcleat/gateway/upstream_attempt.hpp
@@ -29,8 +29,8 @@
   explicit UpstreamAttempt(GatewayState& state) : state_(state) {}
 
   /// @brief Sends a request to the upstream that was picked.
-  /// @param key hash of the request's affinity key, or of its id if it has
-  /// none.
+  /// @param key hash of the request's affinity key, or of the request id if the
+  /// request has no affinity key.
   /// @param opened called before the first byte is written if a connection had
   /// to be opened; may cancel the attempt.
   /// @param callback called once, never inside this call, and not after Cancel;
@@ -52,7 +52,7 @@
 
   /// @brief Whether the request may still be sent to the upstream that was
   /// picked for it earlier: the upstream must be listed and open, and if its
-  /// rate is bounded by now, this host's share must have capacity.
+  /// rate is bounded by now, this host's share of the rate must have capacity.
   bool MayStillSend(Time now);
 
   /// @brief Whether an exchange with an upstream is in flight.
@@ -70,14 +70,15 @@
   /// sent.
   bool IsBusy() const;
 
-  /// @brief Whether the connection is silent: not even the machine of the
-  /// upstream has acknowledged the bytes sent. Once detected, this attempt no
-  /// longer delays later requests to the upstream, and these use new
-  /// connections.
+  /// @brief Checks whether the connection is silent: not even the machine of
+  /// the upstream has acknowledged the bytes sent. Once the silence is
+  /// detected, this attempt no longer delays later requests to the upstream,
+  /// and later requests use new connections.
   bool DetectSilence();
 
   /// @brief Counts a failure of the upstream, which sent no complete answer.
-  /// Connections that are already found silent don't count against it.
+  /// A connection opened before a silence that is already recorded does not
+  /// count against the upstream, nor does one that was dropped while idle.
   void CountFailure();
 
   /// @brief Counts a missing answer if the upstream has taken too long and has
@@ -85,7 +86,8 @@
   /// An upstream that answers other requests is only busy.
   void CountMissingAnswer();
 
-  // Of the attempt in flight, or the last one.
+  // The pick and the time of sending of the attempt in flight, or of the last
+  // attempt.
   const Pick& pick() const { return pick_; }
   Time sent_at() const { return sent_at_; }
 
@@ -104,10 +106,11 @@
   HttpClientPtr client_;  ///< of the attempt in flight
   Pick pick_;
   Time sent_at_;
-  std::optional<Duration> idle_time_;  ///< of a reused connection
-  bool has_rate_share_ = false;        ///< of a rate-bounded upstream
-  bool connection_silent_ = false;     ///< found for this attempt's connection
-  bool failure_counts_ = true;         ///< against the upstream
+  /// How long the connection had been idle; none for a new connection.
+  std::optional<Duration> idle_time_;
+  bool has_rate_share_ = false;     ///< one request of the rate is reserved
+  bool connection_silent_ = false;  ///< the attempt's connection is silent
+  bool failure_counts_ = true;      ///< a failure counts against the upstream
 };
 
 }  // namespace pathcleat
--- a/src/pathcleat/calls/connection_pool.cpp
+++ b/src/pathcleat/calls/connection_pool.cpp
@@ -14,8 +14,9 @@
 // Safety margin that is subtracted from an upstream's stated keep-alive
 // time-out.
 constexpr Duration kKeepAliveMargin{1'500'000};
-// After this time, all connections opened before a silence are closed: TCP
-// detects silent ones that are in use within kAckTimeout, and idle ones a
+// How long a silence of an upstream is recorded. After this time, TCP has
+// closed all connections that were opened before the silence: it detects a
+// silent connection in use within kAckTimeout, and a silent idle connection one
 // second later, after the first keep-alive probe.
 constexpr Duration kSilenceTtl = kAckTimeout * 2;
 constexpr std::uint64_t kMaxAnswerBytes = 64ULL * 1024 * 1024;
@@ -47,8 +48,8 @@
   const Duration idle_time = now - connection->idle_since();
   if (!repeatable &&
       idle_time > idle_reuse_limits_[upstream.service].MaxIdle(now)) {
-    // The most recently used connection comes first: all others have been idle
-    // for longer.
+    // AcquireIdle returned the most recently used connection, so all other idle
+    // connections have been idle for longer.
     Release(upstream.id, connection);
     return Create(upstream);
   }
@@ -61,7 +62,8 @@
   idle_reuse_limits_[upstream.service].OnStaleConnection(idle_time, now);
 }
 
-// Returns null if no idle connection may be used.
+// Returns the most recently used idle connection that is still fresh, or null
+// if there is none. Discards connections that are no longer fresh.
 HttpClientPtr ConnectionPool::AcquireIdle(const UpstreamInfo& upstream,
                                           Time now) {
   auto& idle = idle_[upstream.id];
--- a/src/pathcleat/calls/connection_pool_test.cpp
+++ b/src/pathcleat/calls/connection_pool_test.cpp
@@ -69,8 +69,9 @@
 };
 
 // Guards against reusing connections that a network fault has silenced: idle
-// ones from before a silence are closed, those with bytes received since stay.
-// Fails with CloseUnresponsive switched off.
+// connections from before a silence are closed, and connections that have
+// received bytes since then stay open. Fails with CloseUnresponsive switched
+// off.
 Test(connection_pool, connections_opened_before_a_silence_are_not_reused) {
   PoolFixture fixture;
   const HttpClientPtr silent = fixture.OpenConnection("u");
@@ -82,7 +83,8 @@
   cr_assert(fixture.pool.OnSilentConnection("u", *silent, BootClock::now()));
   cr_assert_not(fixture.HasIdleConnection("u"));
   fixture.AddIdleConnection("u");
-  // Further connections from before the same silence show nothing new.
+  // A second connection from before the same silence shows nothing new about
+  // the upstream.
   cr_assert_not(
       fixture.pool.OnSilentConnection("u", *silent, BootClock::now()));
   cr_assert(fixture.HasIdleConnection("u"));
@@ -106,9 +108,9 @@
 }
 
 // Guards against losing unrepeatable requests on connections that the upstream
-// has dropped while idle. Repeatable ones may use them, as they are sent again
-// at no cost to the caller. Fails without the comparison with MaxIdle in
-// ConnectionPool::Acquire.
+// has dropped while idle. Repeatable requests may use such connections, as
+// these requests are sent again at no cost to the caller. Fails without the
+// comparison with MaxIdle in ConnectionPool::Acquire.
 Test(connection_pool,
      unrepeatable_requests_avoid_connections_that_may_be_stale) {
   constexpr Duration kIdleTime{200'000};
--- a/src/pathcleat/calls/idempotency_key_store.cpp
+++ b/src/pathcleat/calls/idempotency_key_store.cpp
@@ -16,7 +16,7 @@
 // repeat of a request that still runs may be answered as "unknown"; the request
 // is never run a second time either way.
 constexpr std::uint64_t kClockSkewMicros = 5'000'000;
-// Settling is retried for about a minute.
+// A write that settles or releases a key is retried for about a minute.
 constexpr int kMaxSettleRetries = 30;
 constexpr std::chrono::seconds kSettleRetryInterval{2};
 
--- a/src/pathcleat/calls/idle_reuse_limit.cpp
+++ b/src/pathcleat/calls/idle_reuse_limit.cpp
@@ -12,8 +12,8 @@
 constexpr int kLimitDivisor = 2;
 constexpr Duration kMinLimit{10'000};
 // The limit doubles within this time, as upstreams dropped idle connections for
-// 5 to 6 s in incidents. A new connection costs an upstream a millisecond, a
-// lost request costs its caller the whole work.
+// 5 to 6 s in incidents. A new connection costs an upstream a millisecond; a
+// lost request costs its caller the result of the whole run.
 constexpr double kDoublingTimeMicros = 3'000'000;
 
 }  // namespace
--- a/src/pathcleat/calls/idle_reuse_limit_test.cpp
+++ b/src/pathcleat/calls/idle_reuse_limit_test.cpp
@@ -14,8 +14,8 @@
 }
 
 // Guards against losing several requests to one fault: upstreams drop
-// connections after 0.15 s; one found stale after 0.2 s must stop the reuse of
-// all that were idle for 0.15 s.
+// connections after 0.15 s of idle time. A connection found stale after 0.2 s
+// must stop the reuse of all connections that were idle for 0.15 s.
 Test(idle_reuse_limit, falls_below_the_drop_time_after_one_stale_connection) {
   IdleReuseLimit limit;
   limit.OnStaleConnection(kSecond / 5, kStart);
--- a/src/pathcleat/calls/shutdown_schedule.cpp
+++ b/src/pathcleat/calls/shutdown_schedule.cpp
@@ -6,27 +6,29 @@
 namespace pathcleat {
 namespace {
 
-// Time before the kill of the process at which each phase ends. Callers that
-// located the host before the shutdown still arrive for some seconds; a new
-// connection may take one second to open and be read.
+// Each of the margins below is the time from the end of a phase of the shutdown
+// until the process is killed. New callers are accepted until kAcceptMargin, as
+// callers that located the host before the shutdown still arrive for some
+// seconds; a new connection may take one second to open and be read.
 constexpr Duration kAcceptMargin{1'500'000};
-// Time for an upstream's last answer to pass a long link (35 ms between
-// regions), a connection that needed a second attempt (about 0.3 s) and a busy
-// host.
+// Upstreams may work until this margin. The margin leaves time for an
+// upstream's last answer to pass a long link (35 ms between regions), a
+// connection that needed a second attempt (about 0.3 s) and a busy host.
 constexpr Duration kWorkMargin{1'000'000};
-// Within the last sixth of the usual grace time of 6 s.
+// Requests still open are answered with the outcome as far as it is known. This
+// happens within the last sixth of the usual grace time of 6 s.
 constexpr Duration kFinalAnswerMargin{500'000};
 // Time for the last answers to leave the host and for the process to exit.
 constexpr Duration kExitMargin{250'000};
-// Work may take far longer than expected: the same multiple as in
-// FailoverTimeoutFor (failover_timeout.hpp).
+// Work may take up to this multiple of the expected time. The multiple is the
+// same as in FailoverTimeoutFor (failover_timeout.hpp).
 constexpr int kExpectedMultiple = 4;
 
-// Returns the time that must be left to start work: normally an upper bound of
-// its duration. Repeatable work can run again elsewhere, so it needs no more
-// than its target latency, but at least the expected time; initial estimates of
-// run times are fractions of the target. Other work would be lost for its
-// caller if its upstream ended it early.
+// Returns the time that must be left so that work may be started. For
+// unrepeatable work, this is an upper bound of its duration, as the work would
+// be lost for its caller if it were ended early. Repeatable work can run again
+// elsewhere, so the time is capped at the target latency, but is at least the
+// expected time. Initial estimates of run times are fractions of the target.
 Duration RequiredTime(const WorkTimes& times) {
   const Duration upper_bound = times.expected * kExpectedMultiple;
   return times.repeatable
--- a/src/pathcleat/calls/shutdown_schedule_test.cpp
+++ b/src/pathcleat/calls/shutdown_schedule_test.cpp
@@ -34,8 +34,8 @@
 }
 
 // Guards against work that is cut off by the shutdown: a request arrives 4.38 s
-// after its begin, and the upstream needs more than 1 s. Fails with
-// kExpectedMultiple set to 1.
+// after the begin of the shutdown, and the upstream needs more than 1 s. Fails
+// with kExpectedMultiple set to 1.
 Test(shutdown_schedule, long_work_is_not_started_late) {
   const ShutdownSchedule schedule = MakeStartedSchedule();
   const Time now = kShutdownBegin + Duration(4'380'000);
@@ -46,9 +46,9 @@
   cr_assert(schedule.MayStart({Duration(20'000), kTarget}, deadline, now));
 }
 
-// Guards against losing unrepeatable requests: one that is ended early at its
-// upstream is lost for its caller, while a refused one runs elsewhere. Fails
-// with RequiredTime the same for all work.
+// Guards against losing unrepeatable requests: a request that is ended early at
+// its upstream is lost for its caller, while a refused request runs elsewhere.
+// Fails with RequiredTime the same for all work.
 Test(shutdown_schedule, unrepeatable_work_needs_more_time) {
   const ShutdownSchedule schedule = MakeStartedSchedule();
   const Time now = kShutdownBegin + Duration(3'500'000);
--- a/src/pathcleat/calls/upstream_protocol.cpp
+++ b/src/pathcleat/calls/upstream_protocol.cpp
@@ -33,7 +33,8 @@
   return response;
 }
 
-// No caller waits longer; with larger values, sums of times could overflow.
+// Upper bound of the time-out that a caller states: no caller waits longer, and
+// with larger values, sums of times could overflow.
 constexpr std::chrono::milliseconds kMaxCallerTimeout = std::chrono::hours(24);
 
 bool IsFraction(std::string_view text) {
--- a/src/pathcleat/calls/upstream_protocol_test.cpp
+++ b/src/pathcleat/calls/upstream_protocol_test.cpp
@@ -53,7 +53,7 @@
 }
 
 // Guards against an invalid limit that stops all sending, or that ends a valid
-// one.
+// limit stated before.
 Test(upstream_protocol, invalid_limits_differ_from_missing_ones) {
   cr_assert_not(ParseLimits({}).present);
   for (const std::string bad :
--- a/src/pathcleat/gateway/fleet_sync.cpp
+++ b/src/pathcleat/gateway/fleet_sync.cpp
@@ -17,11 +17,12 @@
 // ignored. Equal to the time after which a host without heartbeats counts as
 // dead.
 constexpr Duration kLagTtl{2'500'000};
-// Upstreams whose entries lapsed while the store was unreachable are listed
-// again within this time of its return, if they are alive.
+// If upstreams whose entries lapsed while the store was unreachable are alive,
+// they are listed again within this time after the store is reachable again.
 constexpr Duration kLapseTimeout{2'000'000};
-// Entries lapse together. If a smaller share of the listed upstreams is removed
-// at once, these upstreams have really left.
+// While the store is unreachable, the entries of many upstreams lapse at about
+// the same time. If less than this share of the listed upstreams is removed at
+// once, these upstreams have really left.
 constexpr double kMinLapseShare = 0.25;
 
 std::uint32_t ToWholeMilliseconds(Duration age) {
@@ -93,8 +94,8 @@
   RestartWatchIfOlder(SourceTopic::kUpstreams, since);
 }
 
-// A watch at another host needs no restart here: versions that other hosts
-// report show whether it still works.
+// A watch at another host is not restarted here: the versions that other hosts
+// report show whether this watch still works.
 void FleetSync::RestartWatchIfOlder(SourceTopic topic, Time since) {
   if (!source_.FollowsPeer(topic)) {
     WatcherOf(topic).RestartIfOlderThan(since);
@@ -141,8 +142,8 @@
   if (!watcher.IsBehind(changed, now) || is_fetching_[topic]) {
     return;
   }
-  // The host to fetch from need not be the sender of these versions: any host
-  // with a newer version will do.
+  // The update can be fetched from any host that has a newer version, not only
+  // from the sender of these versions.
   const KnownHost* up_to_date_host = ChooseUpToDateHost(
       state_.hosts,
       [topic,
@@ -294,8 +295,8 @@
   }
 }
 
-// While the store is unreachable, a pending watch may report entries that
-// merely lapsed, as upstreams could not renew them.
+// While the store is unreachable, a pending watch may report entries as
+// removed that only lapsed because the upstreams could not renew them.
 bool FleetSync::MayBeRelisted(const SourceUpdate& update, Time now) const {
   const bool uncertain = update.relayed
                              ? update.removals_uncertain
@@ -320,8 +321,9 @@
   return listed - std::min(listed, matching_count);
 }
 
-// Brings the deadlines of lapsed upstreams forward to `until`. Entries that
-// lapsed while the store was unreachable get this long from its return.
+// Sets the deadlines of lapsed upstreams to `until` where they are later.
+// Called when the store is reachable again, or another host relays that it is:
+// upstreams whose entries lapsed meanwhile must be listed again by then.
 void FleetSync::LimitLapseDeadlines(Time until) {
   for (const UpstreamPtr& upstream : state_.upstreams.Lapsed()) {
     upstream->lapse_deadline = std::min(*upstream->lapse_deadline, until);
--- a/src/pathcleat/gateway/gateway.cpp
+++ b/src/pathcleat/gateway/gateway.cpp
@@ -23,17 +23,17 @@
 
 constexpr std::chrono::milliseconds kTickInterval{250};
 constexpr std::size_t kMaxLocatedHosts = 16;
-// A request that is past its deadline by more than this is ended. Its own timer
-// fires late after a suspension of the machine; answers that arrived during the
-// suspension are read first.
+// A request that is past its deadline by more than this time is ended. The
+// timer of the request fires too late after a suspension of the machine. Within
+// this time, answers that arrived during the suspension are read.
 constexpr Duration kOverdueGrace{300'000};
-// The first host has a new version within this time of its acknowledgement: a
-// watch gathers changes for 0.25 s, and a transfer of 359 KB takes 0.3 s at 10
-// Mbit/s.
+// After a new configuration version is acknowledged, the first host has the
+// version within this time: a watch gathers changes for 0.25 s, and a transfer
+// of 359 KB takes 0.3 s at 10 Mbit/s.
 constexpr Duration kFirstHostLag{500'000};
 
-// Time for two attempts at reading the rows. A host that has found no other
-// hosts by then reads all that it needs from the store.
+// Time for two attempts at reading the rows of the other hosts. A host that has
+// found no other hosts by then reads all that it needs from the store.
 constexpr Duration kRowReadTimeout{3'000'000};
 
 constexpr const char* kNoConfig = "no configuration yet";
@@ -157,8 +157,8 @@
          caller_server_.CanAccept();
 }
 
-// Past the bound for applying a configuration, requests must not be handled by
-// an older version.
+// Once the bound for applying a new configuration version has passed, requests
+// must not be handled with an older version.
 bool Gateway::IsTooFarBehind() const {
   const Duration bound = state_.settings.bounds.config_apply - kFirstHostLag;
   return fleet_sync_.config_lag().LagDuration(BootClock::now()) >
@@ -226,8 +226,8 @@
       now);
 }
 
-// All hosts evaluate the same tallies; the hash of the host name decides which
-// host acts first.
+// All hosts evaluate the same counts of results; the order of the hashes of the
+// host names decides which host acts first.
 int Gateway::CountHostsAhead(Time now) const {
   const std::uint64_t own = StableHash(state_.settings.host);
   int ahead = 0;
@@ -287,10 +287,11 @@
       http_status::kOk, RenderMetrics(state_, inputs, BootClock::now())));
 }
 
-// Returns zero if another host has the missing version, as it can serve the
-// request at once. Otherwise no host has it, as at the start of a fleet or
-// after a partition, and the store must answer first. When it will is unknown,
-// so the retry is delayed for as long as is useful. A caller without a deadline
+// Returns zero if another host has the missing configuration version, as that
+// host can serve the request at once. Otherwise no host has the version, for
+// example at the start of a fleet or after a partition, and the store must
+// answer first. The time of that answer is unknown, so the retry is delayed for
+// as long as a retry is still useful to the caller. A caller without a deadline
 // queries the entry hosts again after the lifetime of the locate answer.
 Duration Gateway::RetryDelayWithoutConfig(const HttpExchange& exchange) const {
   const std::uint64_t missing =
@@ -319,7 +320,8 @@
   const auto host = FindHeader(request.headers, "Host").value_or("");
   auto route = state_.routes.Find(host, request.target);
   if (!route) {
-    // A newer version may have the route, so 404 could be wrong.
+    // A newer configuration version may have the route, so the status 404 could
+    // be wrong.
     exchange->Respond(
         fleet_sync_.config_lag().IsBehind(BootClock::now())
             ? NotRunResponse(kConfigBehind, RetryDelayWithoutConfig(*exchange))
@@ -340,7 +342,9 @@
       ->Start();
 }
 
-// A newer version may list the key, so "unknown key" could be wrong.
+// While a newer configuration version is due, a key that this host does not
+// list may be valid, so the request is refused as not run instead of with the
+// status 401.
 void Gateway::RefuseApiKey(const HttpExchangePtr& exchange,
                            const Route& route,
                            ApiKeyFault fault) {
@@ -361,8 +365,8 @@
                                  std::string(ReasonOf(fault)) + "\n"));
 }
 
-// Timers stop while the machine is suspended, but the boot clock advances:
-// whatever fell due during the stall is due now.
+// Timers stop while the machine is suspended, but the boot clock advances, so
+// after a stall all actions that fell due during the stall are due at once.
 void Gateway::HandleStall(Time now) {
   state_.hosts.CheckForStall(now);
   const Duration stall_duration = state_.hosts.TakeStallDuration();
--- a/src/pathcleat/gateway/gateway_state.cpp
+++ b/src/pathcleat/gateway/gateway_state.cpp
@@ -15,16 +15,18 @@
 // twice a second, from other regions once a second.
 constexpr Duration kHostTimeout{2'500'000};
 // Shares of the bounds for retries (ratio and burst) that are distributed among
-// the hosts. The rest is reserve: windows slide, and hosts detect each other's
-// start and stop with a delay.
+// the hosts. The rest is a reserve, because the windows in which hosts count
+// retries slide, and because hosts detect each other's start and stop with a
+// delay.
 constexpr double kRetryShare = 0.7;
 constexpr double kRetrySlackShare = 0.6;
 // A host that sees this share of the fleet alive is in the majority: if a
 // partition splits the fleet, at most one part sees two thirds of it.
 constexpr double kMajorityShare = 0.67;
-// A host that starts receives heartbeats of all others within kDiscoveryTime. A
-// host that has sent none by then may be partitioned from this one, or be gone
-// for good; it is counted as never seen until kNeverSeenWindow after the start.
+// A host that starts receives heartbeats of all other hosts within
+// kDiscoveryTime. A host that has sent no heartbeat by then may be partitioned
+// from this host, or may have been removed for good; it counts as never seen
+// until kNeverSeenWindow after the start.
 constexpr Duration kDiscoveryTime{3'000'000};
 constexpr Duration kNeverSeenWindow{10'000'000};
 
@@ -179,8 +181,8 @@
   }
 }
 
-// A host that seems dead may only be partitioned from this one, so it counts as
-// long as it is listed.
+// A host that sends no heartbeats may be alive but partitioned from this host,
+// so each host counts as a sharer of the limits as long as it is listed.
 void GatewayState::UpdateQuotaHosts(Time now) {
   const auto others = hosts.Others();
   QuotaHosts sharers;
@@ -221,8 +223,8 @@
   }
 }
 
-// An upstream may be cold and name a rate limit at the same time; then the
-// lower bound applies.
+// An upstream may be cold and state a rate limit at the same time; then the
+// lower of the two bounds applies.
 std::optional<RateBound> GatewayState::RateBoundOf(
     const UpstreamState& upstream,
     Time now) const {
--- a/src/pathcleat/gateway/idempotency_guard.cpp
+++ b/src/pathcleat/gateway/idempotency_guard.cpp
@@ -19,8 +19,9 @@
                     StableHash(request.target, StableHash(request.method)));
 }
 
-// When the store will answer again is unknown, so the retry is delayed for as
-// long as its caller can wait.
+// Makes the refusal of a request whose key can't be claimed. The time at which
+// the store answers again is unknown, so the retry is delayed for as long as
+// the caller can wait.
 IdempotencyDecision NotRun(const std::string& reason, Duration left) {
   const Duration after = LatestRetry(left, Duration::zero());
   return {false, NotRunResponse(reason, after), RunOutcome::kNotRun};
@@ -45,7 +46,8 @@
               RunOutcome::kNotRun});
     return;
   }
-  // While the store is unreachable, a claim would only delay the same refusal.
+  // While the store is unreachable, an attempt to claim the key would end in
+  // the same refusal, only later.
   if (!state_.store_reachable) {
     callback(NotRun("the key cannot be claimed: no store", left));
     return;
--- a/src/pathcleat/gateway/metrics_page.cpp
+++ b/src/pathcleat/gateway/metrics_page.cpp
@@ -115,7 +115,8 @@
   page.Sample("pathcleat_requests_under_way", {}, state.in_flight_count);
 }
 
-// Only the top accounts are listed, which bounds the size of the page.
+// Only the accounts with the most requests and the most refusals are listed,
+// which bounds the size of the page.
 void AddAccounts(Page& page, const AccountStats& accounts) {
   page.Family("pathcleat_account_requests_total", "counter",
               "Requests of the busiest and the most refused client accounts.");
@@ -223,9 +224,9 @@
                stats.latency);
 }
 
-void AddSilence(Page& page,
-                const GatewayState& state,
-                const MetricsInputs& inputs) {
+void AddSilentConnections(Page& page,
+                          const GatewayState& state,
+                          const MetricsInputs& inputs) {
   page.Family("pathcleat_silent_connections_total", "counter",
               "Connections given up: open, but nothing came, by kind of link.");
   page.Sample("pathcleat_silent_connections_total", {{"link", "upstream"}},
@@ -280,7 +281,7 @@
   }
 }
 
-void AddPeers(Page& page, const PeerTraffic& traffic) {
+void AddPeerTraffic(Page& page, const PeerTraffic& traffic) {
   page.Family("pathcleat_peer_bytes_sent_total", "counter",
               "Bytes sent to other hosts, by kind.");
   for (const PeerMessageKind kind : kPeerMessageKinds) {
@@ -350,11 +351,11 @@
   AddCrashes(page, state);
   AddFleet(page, state, inputs.versions, now);
   AddFeeds(page, inputs, now);
-  AddPeers(page, state.peer_traffic);
+  AddPeerTraffic(page, state.peer_traffic);
   if (inputs.store_calls != nullptr) {
     AddStore(page, *inputs.store_calls);
   }
-  AddSilence(page, state, inputs);
+  AddSilentConnections(page, state, inputs);
   AddProcess(page, state, inputs.dropped_log_lines);
   return page.Text();
 }
--- a/src/pathcleat/gateway/request_handler.cpp
+++ b/src/pathcleat/gateway/request_handler.cpp
@@ -19,12 +19,13 @@
 // another upstream.
 constexpr Duration kFailoverRecheckInterval{250'000};
 constexpr Duration kMinTimeLeft{10'000};
-// An answer later than this multiple of its target latency is logged with its
-// trace.
+// A request whose answer takes longer than this multiple of the route's target
+// latency is logged with its trace.
 constexpr int kSlowMultiple = 3;
-// An answer later than this multiple of the expected latency of a cold run
-// counts as a failure of the version, as it is worth no more to its caller. Run
-// times of one kind vary by half.
+// An answer that takes longer than this multiple of the expected latency of a
+// cold run counts as a failure of the upstream's version, as such an answer is
+// worth no more to the caller than a failure. Run times of requests of the same
+// kind vary by half.
 constexpr int kFailedColdMultiple = 2;
 constexpr const char* kOutcomeHeader = "Pathcleat-Outcome";
 
@@ -141,7 +142,7 @@
 
 // A repeatable request fails over if its upstream stays silent for far longer
 // than expected, another upstream can accept it and time is left. Otherwise it
-// waits on: the work in progress may still be answered.
+// keeps waiting, as the work in progress may still be answered.
 void RequestHandler::StartFailoverTimer(Duration timeout) {
   if (state_.settings.policy.IsEnabled(Mechanism::kPatience)) {
     StartTimer(failover_timer_, timeout, &RequestHandler::OnFailoverTimeout);
@@ -160,8 +161,8 @@
   if (!route_->repeatable || !MayFailOver()) {
     return;
   }
-  // An upstream that answers other requests is busy: work that it has begun
-  // would be thrown away.
+  // An upstream that answers other requests is only busy: a failover would
+  // throw away the work that it has begun.
   Pick next = attempt_.IsBusy() && !silent ? Pick() : ChooseUpstream();
   if (!next.upstream && silent) {
     pick_request_.excluded.erase(attempt_.pick().upstream->info.id);
@@ -251,7 +252,8 @@
   if (IsNotRun(state_.headers, result.response)) {
     run_tracker_.OnNotRun();
     if (result.response.status == http_status::kMisdirected) {
-      // Another upstream has taken over the address; the list will be updated.
+      // Another upstream has taken over the address; an update of the upstream
+      // list will follow.
       state_.OnAttemptFailed(upstream);
     }
     ++upstream.not_run;
--- a/src/pathcleat/gateway/request_handler_crash.cpp
+++ b/src/pathcleat/gateway/request_handler_crash.cpp
@@ -27,7 +27,8 @@
          state_.settings.policy.IsEnabled(Mechanism::kCrashBlock);
 }
 
-// While no request is suspected, no digest is computed.
+// Whether this request may be suspected of crashing upstreams. Needs no digest:
+// while no request at all is suspected, computing digests would be wasted work.
 bool RequestHandler::MayBeSuspected() const {
   return !state_.crashes.IsEmpty() && TracksCrashes();
 }
@@ -37,9 +38,11 @@
                           : CrashDecision();
 }
 
-// A request whose own upstream may have crashed gets no second one if it has
-// crashed upstreams before.
-std::optional<Pick> RequestHandler::PickIfBlocked(Time now) {
+// Returns a pick without an upstream if the request must not be sent, and no
+// value otherwise. The request must not be sent if it is blocked, or if an
+// upstream may have crashed while it ran the request for this caller and a
+// crash by such a request is already recorded.
+std::optional<Pick> RequestHandler::MakeBlockedPick(Time now) {
   const CrashDecision decision = DecideOnCrashes(now);
   if (!decision.blocked &&
       !(may_have_crashed_upstream_ && decision.crash_count > 0)) {
@@ -57,9 +60,9 @@
       MayBeSuspected() && state_.crashes.OnSent(Digest(), BootClock::now());
 }
 
-// A connection may also be lost without an answer because it was reset or idle
-// for too long. The upstream has crashed only if no process listens on its port
-// any more, so the port is probed.
+// A lost connection does not prove a crash: the connection may have been reset,
+// or idle for too long. The upstream has crashed only if no process listens on
+// its port any more, so the port is probed.
 void RequestHandler::ProbeForCrash(const CallResult& result) {
   const bool lost_by_peer = result.outcome == CallOutcome::kConnectionLost &&
                             !result.closed_locally && !result.connection_silent;
@@ -77,8 +80,8 @@
       });
 }
 
-// Any answer counts, with any status: a request that crashes its upstream gets
-// none.
+// Called for an answer with any status, as a request that crashes its upstream
+// gets no answer at all.
 void RequestHandler::ReportNoCrash() {
   if (MayBeSuspected()) {
     state_.crashes.OnAnswer(Digest(), BootClock::now());
--- a/src/pathcleat/gateway/request_handler_left.cpp
+++ b/src/pathcleat/gateway/request_handler_left.cpp
@@ -8,8 +8,8 @@
 
 // Cancels repeatable requests at the upstream, and any request that is not
 // fully written, including the rest of its body. Other requests that the
-// upstream has received in full run to their end, as nobody could tell
-// afterwards how far they had got.
+// upstream has received in full run to their end: if such a request were
+// cancelled, nobody could tell how much of its work was done.
 void RequestHandler::CancelAttempt(AbortCause cause) {
   if (attempt_.IsInFlight() &&
       (route_->repeatable || !attempt_.IsFullySent())) {
@@ -20,8 +20,9 @@
   }
 }
 
-// Starts no further attempt. A caller that has only closed its sending side
-// still gets an answer with the outcome as far as it is known.
+// Cancels the attempt if possible and starts no further attempt. A caller that
+// has only closed its sending side still gets an answer with the outcome as far
+// as it is known.
 void RequestHandler::OnCallerLeft() {
   if (done_ || caller_left_) {
     return;
--- a/src/pathcleat/gateway/request_handler_opened.cpp
+++ b/src/pathcleat/gateway/request_handler_opened.cpp
@@ -5,9 +5,9 @@
 
 namespace pathcleat {
 
-// The choice may be a second old by now, if this host is overloaded or its link
-// is saturated. Nothing has been sent yet, so updates received since then still
-// apply.
+// If this host is overloaded or its link is saturated, the upstream may have
+// been chosen a second ago. Nothing has been sent yet, so updates received
+// since the choice are still taken into account.
 void RequestHandler::OnOpened() {
   const auto self = shared_from_this();
   const Time now = BootClock::now();
--- a/src/pathcleat/gateway/request_handler_stop.cpp
+++ b/src/pathcleat/gateway/request_handler_stop.cpp
@@ -13,20 +13,21 @@
 
 }  // namespace
 
-// Time left for the work of an upstream.
+// Returns the time left for the work of an upstream; a shutdown may shorten it.
 Duration RequestHandler::TimeLeft() const {
   return state_.shutdown.WorkDeadline(deadline_) - BootClock::now();
 }
 
-// A claim is a write that must be undone if the work is not started, so it is
-// made only if the whole target latency is left.
+// Whether the idempotency key may be claimed. A claim must be undone if the
+// work is not started, so during a shutdown a key is claimed only if the whole
+// target latency is left.
 bool RequestHandler::MayClaim() const {
   return !state_.shutdown.ShortensDeadline(deadline_) ||
          TimeLeft() >= route_->target_latency;
 }
 
 Pick RequestHandler::ChooseUpstream() {
-  if (auto blocked_pick = PickIfBlocked(BootClock::now())) {
+  if (auto blocked_pick = MakeBlockedPick(BootClock::now())) {
     return *blocked_pick;
   }
   pick_request_.time_left = TimeLeft();
@@ -37,8 +38,8 @@
   Pick pick = state_.picker.Choose(pick_request_, now);
   if (!pick.upstream && pick_request_.versions &&
       !pick_request_.versions->required_version.empty()) {
-    // Upstreams of the version under trial have no free capacity, which is no
-    // reason to refuse the request: any allowed version may serve it.
+    // Upstreams of the version under trial have no free capacity. The request
+    // is not refused for that reason: any allowed version may serve it.
     pick_request_.versions = rollout->RuleFor(false);
     pick = state_.picker.Choose(pick_request_, now);
   }
@@ -61,8 +62,9 @@
   Refuse(kRetryElsewhere, ReasonOf(PickFailure::kHostStops));
 }
 
-// An upstream at work has had all the time available. The answer to the caller
-// stays true if the work goes on.
+// Called at the final answer time of the shutdown, when no time is left for the
+// upstream's work. The caller is told that the request may have run, which is
+// true whether or not the upstream goes on with the work.
 void RequestHandler::OnHostShutdown() {
   const auto self = shared_from_this();
   if (done_) {
--- a/src/pathcleat/gateway/request_trace.cpp
+++ b/src/pathcleat/gateway/request_trace.cpp
@@ -8,7 +8,7 @@
 namespace pathcleat {
 namespace {
 
-// Longest path with query in the log; longer ones are cut.
+// Maximum length of a path with its query in the log; a longer text is cut.
 constexpr std::size_t kMaxPathBytes = 256;
 
 }  // namespace
--- a/src/pathcleat/gateway/upstream_attempt.cpp
+++ b/src/pathcleat/gateway/upstream_attempt.cpp
@@ -10,7 +10,8 @@
 namespace pathcleat {
 namespace {
 
-// A shorter time-out (0.25 s) shows no advantage.
+// Time-out for opening a connection. A shorter time-out (0.25 s) shows no
+// advantage.
 constexpr Duration kConnectTimeout{600'000};
 
 }  // namespace
@@ -32,7 +33,8 @@
   if (Rollout* rollout = state_.rollouts.Find(upstream.info.service)) {
     rollout->OnSent(upstream.info.version);
   }
-  // Upstreams have warm caches for a key from the start of its first run.
+  // An upstream counts as having warm caches for an affinity key from the start
+  // of the first run of a request with that key.
   upstream.keys.Touch(key);
   state_.picker.links().OnSent(upstream.region);
   upstream.health.OnSent(pick.expected_latency, now);
@@ -93,9 +95,10 @@
   callback(result);
 }
 
-// A 421 answer comes from another upstream that has taken over the address, so
-// it says nothing about this one's limit. A rejection may name a limit, but one
-// without the header doesn't end the limit.
+// An answer with status 421 comes from another upstream that has taken over the
+// address, so it says nothing about the limit of the upstream that was picked.
+// A "not run" answer may state a limit, but if it lacks the header, an earlier
+// limit stays in force.
 void UpstreamAttempt::UpdateRateLimit(const HttpResponse& response) {
   const Time now = BootClock::now();
   const UpstreamPtr& upstream = pick_.upstream;
@@ -127,9 +130,9 @@
   }
 }
 
-// A reused connection that the upstream closed without a byte and sooner than
-// any run ends: the upstream had dropped it while idle. This is no failure of
-// the upstream.
+// Whether the upstream had dropped a reused connection while the connection was
+// idle: the connection was lost before any byte of an answer, and in less than
+// half of the expected latency. This is no failure of the upstream.
 bool UpstreamAttempt::WasStaleConnection(const CallResult& result) const {
   const Duration elapsed = BootClock::now() - sent_at_;
   return idle_time_ && result.outcome == CallOutcome::kConnectionLost &&
@@ -191,7 +194,7 @@
   if (connection_silent_) {
     ReportSilentConnection(*client_);
     // The silent request no longer counts as in flight: the upstream itself may
-    // still answer others.
+    // still answer other requests.
     pick_.upstream->health.OnEnded();
   }
   return connection_silent_;
