--- a/include/pathcleat/routing/pick.hpp
+++ b/include/pathcleat/routing/pick.hpp
@@ -67,8 +67,8 @@
 /// @ingroup routing
 enum class PickFailure {
   kNone,
-  kNoUpstream,  ///< no listed upstream is open, presumed alive and below its
-                ///< rate bound
+  kNoUpstream,  ///< no upstream is left that is listed, open, presumed alive
+                ///< and allowed by rate bounds, link limits, version, region
   kTooLate,     ///< no upstream would answer within the time left
   kOverloaded,  ///< the queue would make the answer late; the caller should
                 ///< retry
--- a/src/pathcleat/lab/faults_test.cpp
+++ b/src/pathcleat/lab/faults_test.cpp
@@ -29,7 +29,7 @@
 
 // Guarantee: "not-run" is true. A repeatable request whose connection broke at
 // every upstream may have run, so the host does not report "not-run". Fails
-// with runs_.OnNotRun called in OnFailure.
+// with run_tracker_.OnNotRun called in OnFailure.
 Test(promise, broken_lookup_that_no_upstream_answers_is_unknown) {
   TestCluster cluster;
   cluster.StartAll();
