--- a/include/pathcleat/routing/admission.hpp
+++ b/include/pathcleat/routing/admission.hpp
@@ -10,15 +10,17 @@
 /// @ingroup routing
 struct AdmissionInput {
   Duration queue_wait{0};  ///< expected time until a slot is free
-  Duration service_time{
-      0};  ///< from then to the response: run time and network time
-  Duration usual_run_time{0};  ///< of the route's requests on a warm upstream
-  int slots = 1;               ///< of the upstream: requests it runs at once
-  Duration target_latency{0};  ///< of the route
+  /// Time from a free slot to the response: run time and network time.
+  Duration service_time{0};
+  /// Usual run time of the route's requests on a warm upstream.
+  Duration usual_run_time{0};
+  int slots = 1;  ///< number of requests that the upstream runs at once
+  Duration target_latency{0};  ///< target latency of the route
   /// Time left until the target latency is over, counted from the caller's
-  /// first attempt; below zero if it is over.
+  /// first attempt; below zero once the target latency is over.
   Duration target_time_left{0};
-  bool is_retry = false;  ///< whether the request was refused before
+  /// Whether a host has already refused an earlier attempt of the request.
+  bool is_retry = false;
 };
 
 /// @brief The time by which each queued request lengthens the wait for a slot.
--- a/include/pathcleat/routing/average_load.hpp
+++ b/include/pathcleat/routing/average_load.hpp
@@ -14,7 +14,8 @@
 class AverageLoad {
  public:
   /// @brief Adds an upstream's report.
-  /// @param other_requests requests in flight there that other hosts sent.
+  /// @param other_requests requests in flight at the upstream that other hosts
+  /// sent.
   void OnReport(double other_requests, Time now);
 
   /// @brief The average; 0 without reports.
@@ -24,8 +25,8 @@
   double DecayFactor(Time now) const;
 
   double reports_ = 0;  ///< number of reports, decayed by age
-  double sum_ = 0;      ///< sum of the reported requests, decayed alike
-  Time decayed_at_;     ///< when both were last decayed
+  double sum_ = 0;      ///< sum of the reported requests, also decayed by age
+  Time decayed_at_;     ///< time at which reports_ and sum_ were last decayed
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/routing/pick.hpp
+++ b/include/pathcleat/routing/pick.hpp
@@ -25,9 +25,10 @@
   std::uint64_t key = 0;  ///< hash of the affinity key, or of the request id
   /// Whether the request runs faster on an upstream that is warm for its key.
   bool sticky = false;
-  /// Until the shorter of the route's and the caller's timeouts is over.
+  /// Time left until the request times out: the shorter of the route's timeout
+  /// and the caller's timeout applies.
   Duration time_left{0};
-  Duration caller_timeout{0};      ///< as the caller sent it
+  Duration caller_timeout{0};      ///< timeout that the caller sent
   std::set<std::string> excluded;  ///< ids of upstreams already tried
   VersionRulePtr versions;         ///< allowed versions of upstreams; null: any
   /// Position of the caller, in [0, 1), by which a shift decides whether to
@@ -66,17 +67,18 @@
 /// @brief Why no upstream was chosen for a request.
 /// @ingroup routing
 enum class PickFailure {
-  kNone,
+  kNone,        ///< no failure: an upstream was chosen
   kNoUpstream,  ///< no upstream is left that is listed, open, presumed alive
                 ///< and allowed by rate bounds, link limits, version, region
   kTooLate,     ///< no upstream would answer within the time left
   kOverloaded,  ///< the queue would make the answer late; the caller should
                 ///< retry
-  kShiftCap,    ///< sending it to another region would exceed a shift's cap
+  kShiftCap,    ///< sending the request to another region would exceed the cap
+                ///< of a shift
   kHostStops,  ///< this host stops too soon; the caller should retry at another
                ///< host
-  kCrashesUpstreams,  ///< upstreams crashed while they ran it, so no other gets
-                      ///< it
+  kCrashesUpstreams,  ///< upstreams crashed while they ran the request, so it
+                      ///< is sent to no other upstream
 };
 
 /// @brief Stable lower-case name of a failure, as used in logs and metrics.
@@ -88,16 +90,18 @@
 struct Pick {
   UpstreamPtr upstream;  ///< null: see failure
   PickFailure failure = PickFailure::kNone;
-  Duration expected_latency{0};  ///< until the answer
+  Duration expected_latency{0};  ///< expected time until the answer
   Duration expected_wait{0};  ///< part of expected_latency until a slot is free
-  Duration expected_latency_if_cold{
-      0};  ///< until the answer, if the upstream is cold for the key
-  Duration retry_after{
-      0};  ///< after a failure: delay until there may be capacity
-  bool warm = false;
+  /// Expected time until the answer if the upstream is cold for the key.
+  Duration expected_latency_if_cold{0};
+  /// After a failure: delay after which the caller should retry, as there may
+  /// be capacity by then.
+  Duration retry_after{0};
+  bool warm = false;  ///< whether the upstream is probably warm for the key
   WarmthEvidence warmth_evidence;  ///< why the upstream may be warm for the key
+  /// Whether the upstream is in another region than this host.
   bool leaves_region = false;
-  int candidates = 0;
+  int candidates = 0;  ///< number of upstreams that were compared
   /// Number of upstreams skipped because this host's share of their bounded
   /// rate was used up.
   int passed_over = 0;
--- a/include/pathcleat/routing/rate_share.hpp
+++ b/include/pathcleat/routing/rate_share.hpp
@@ -16,7 +16,8 @@
   double per_second = 0;  ///< requests a second that the upstream can handle
   double slack = 0;  ///< requests that may exceed the rate in any one window
 
-  /// @brief The highest bound that satisfies this one and `other`.
+  /// @brief Returns the lower rate and the lower slack of this bound and
+  /// `other`.
   RateBound MinWith(const RateBound& other) const {
     return {std::min(per_second, other.per_second),
             std::min(slack, other.slack)};
@@ -24,9 +25,9 @@
 };
 
 /// @brief How many hosts may send to an upstream of bounded rate at the same
-/// time. Each of these hosts may exceed its rate by one request; together these
-/// requests use half of the slack. The other half is reserved, because hosts
-/// learn late of hosts that start or stop.
+/// time. Each of these hosts may exceed its share of the rate by one request;
+/// together these requests use half of the slack. The other half is reserved,
+/// because hosts learn late of hosts that start or stop.
 int RateSenderCount(double slack);
 
 /// @brief Decides which hosts send to an upstream of bounded rate. All hosts
--- a/include/pathcleat/routing/request_profile.hpp
+++ b/include/pathcleat/routing/request_profile.hpp
@@ -16,7 +16,8 @@
   WarmthModel warmth;  ///< run times, warm and cold
   double answer_bytes =
       1'000;  ///< moving average of the size of an answer's body
-  UsualDeadline usual_deadline;  ///< that callers send with first attempts
+  /// Deadline that callers usually send with first attempts.
+  UsualDeadline usual_deadline;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/routing/retry_scheduler.hpp
+++ b/include/pathcleat/routing/retry_scheduler.hpp
@@ -19,12 +19,13 @@
 /// All times count from now.
 /// @ingroup routing
 struct RetryWindow {
-  Duration earliest{0};  ///< until there is capacity for the request
-  /// Longest delay with an answer within the target latency.
+  Duration earliest{0};  ///< delay until there is capacity for the request
+  /// Longest delay after which the answer is still within the target latency.
   Duration latest_in_time{0};
-  Duration latest{
-      0};  ///< longest delay of use to the caller (LatestRetryDelay)
-  /// Between two retries, so that the capacity suffices for both.
+  /// Longest delay after which the caller can still use a retry; see
+  /// LatestRetryDelay.
+  Duration latest{0};
+  /// Time between two retries, so that the capacity suffices for both.
   Duration spacing{0};
 };
 
--- a/include/pathcleat/routing/route.hpp
+++ b/include/pathcleat/routing/route.hpp
@@ -21,17 +21,18 @@
 /// @ingroup routing
 struct Route {
   std::string name;
-  std::string host;         ///< in the Host header, without a port
+  std::string host;         ///< value of the Host header, without a port
   std::string path_prefix;  ///< begins and ends with a slash
   std::vector<RouteSplit> splits;
-  bool repeatable = false;  ///< whether a request may run more than once
+  /// Whether a request may run more than once, for example in a retry.
+  bool repeatable = false;
   bool large_answers = false;
   bool sticky =
       false;  ///< whether requests of one affinity key go to the same upstreams
   /// Whether callers must send the API key of a client account. Not required
   /// if no accounts are configured.
   bool needs_account_key = true;
-  int priority = 0;  ///< 0 is the most urgent
+  int priority = 0;  ///< lower values are served first; 0: the most urgent
   int max_attempts =
       1;  ///< number of upstreams that one request may be sent to
   Duration timeout{5'000'000};
--- a/include/pathcleat/routing/shift_table.hpp
+++ b/include/pathcleat/routing/shift_table.hpp
@@ -18,7 +18,8 @@
   double current_share = 0;
   /// Requests that would stay in this region without the shift.
   std::uint64_t offered = 0;
-  std::uint64_t moved = 0;  ///< of these, sent to another region
+  /// Requests counted in `offered` that the shift sent to another region.
+  std::uint64_t moved = 0;
   RampDecision last_decision = RampDecision::kHeldStaleData;
 };
 
--- a/include/pathcleat/routing/upstream.hpp
+++ b/include/pathcleat/routing/upstream.hpp
@@ -23,15 +23,16 @@
 
   UpstreamInfo info;
   std::string region;
-  std::uint64_t hash = 0;  ///< of the id
+  std::uint64_t hash = 0;  ///< hash of the upstream's id
   UpstreamLoad load;
   UpstreamHealth health;
   RecentKeys keys;
-  /// For requests refused because of the upstream's queue.
+  /// Assigns retry times to requests refused because of the upstream's queue.
   RetryScheduler retry_scheduler;
-  Time cold_until;         ///< until when it accepts only a low request rate
+  /// Time until which the upstream accepts only a low request rate.
+  Time cold_until;
   TokenBucket rate_share;  ///< this host's share of the upstream's bounded rate
-  UpstreamLimit limit;     ///< stated in the upstream's answers
+  UpstreamLimit limit;     ///< rate limit stated in the upstream's answers
   /// Whether the last answer of the upstream stated an invalid limit.
   bool limit_unreadable = false;
   /// Whether UpstreamTable::MaybeRateBounded includes the upstream.
@@ -42,10 +43,12 @@
   /// Number of requests that the upstream reported as not run.
   std::uint64_t not_run = 0;
   Slowness slowness;
-  /// Set while its list entry is missing: until when the entry may return.
+  /// Time until which the upstream's list entry may return; set only while the
+  /// entry is missing.
   std::optional<Time> lapse_deadline;
-  Time open_from;        ///< time before which it gets no requests
-  bool removed = false;  ///< no longer listed; requests in flight continue
+  Time open_from;  ///< time before which the upstream gets no requests
+  /// Whether the upstream is no longer listed; its requests in flight continue.
+  bool removed = false;
 
   bool IsCold(Time now) const { return now < cold_until; }
 
--- a/include/pathcleat/routing/upstream_health.hpp
+++ b/include/pathcleat/routing/upstream_health.hpp
@@ -55,7 +55,7 @@
     return IsSuspect() ? std::optional(retry_at_) : std::nullopt;
   }
 
-  /// @brief Whether a request may be sent now.
+  /// @brief Whether a request may be sent to the upstream now.
   bool MayTry(Time now) const {
     return !IsSilent(now) && (!IsSuspect() || (now >= retry_at_ && !probing_));
   }
--- a/include/pathcleat/routing/upstream_limit.hpp
+++ b/include/pathcleat/routing/upstream_limit.hpp
@@ -65,7 +65,8 @@
 
  private:
   double capacity_ = 0;
-  /// A pointer, as few of a host's thousands of upstreams ever state a limit.
+  /// Kept behind a pointer to save memory: only a few of a host's thousands of
+  /// upstreams ever state a limit.
   std::shared_ptr<const LimitObservation> latest_;
 };
 
--- a/include/pathcleat/routing/upstream_picker.hpp
+++ b/include/pathcleat/routing/upstream_picker.hpp
@@ -56,9 +56,9 @@
   /// @brief Chooses an upstream, or the reason and retry delay of a refusal.
   Pick Choose(const PickRequest& request, Time now);
 
-  /// @brief Time after which the caller of a refused request should retry:
-  /// until the upstream of `next` is expected to have capacity, or any
-  /// upstream if `next` has none.
+  /// @brief Delay after which the caller of a refused request should retry. By
+  /// then the upstream of `next` is expected to have capacity or, if `next` has
+  /// no upstream, any upstream is.
   Duration RetryDelay(const PickRequest& request, const Pick& next, Time now);
 
   /// @brief Headroom and latency of a service's upstreams in a region.
@@ -105,7 +105,8 @@
   struct SharesEntry {
     RegionShares shares;
     std::optional<Time> updated;  ///< empty: not computed yet
-    std::uint64_t revision = 0;   ///< of the table, when slots were counted
+    /// Revision of the upstream table when the slots were counted.
+    std::uint64_t revision = 0;
     std::map<std::string, int> slots;  ///< of open upstreams, by region
     /// Slots that rate limits make unusable, by region.
     std::map<std::string, double> unusable_slots;
--- a/include/pathcleat/routing/urgency_tracker.hpp
+++ b/include/pathcleat/routing/urgency_tracker.hpp
@@ -12,8 +12,9 @@
 /// @brief Order in which requests are served: lower values first.
 /// @ingroup routing
 struct Urgency {
-  int account_priority = 0;  ///< of the account, else of the route
-  int route_priority = 0;    ///< decides between equal account priorities
+  /// Priority of the account; of the route if the account has none.
+  int account_priority = 0;
+  int route_priority = 0;  ///< decides between equal account priorities
 
   auto operator<=>(const Urgency&) const = default;
 };
@@ -33,15 +34,18 @@
   /// @brief Counts a request of a kind that was sent to an upstream.
   void OnSent(const std::string& kind, Time now);
 
-  /// @brief Whether a higher share of this kind is sent than of any one more
-  /// urgent kind.
+  /// @brief Whether the share of this kind's requests that is sent is higher
+  /// than that of at least one more urgent kind.
   bool IsOverServed(const std::string& kind, Time now) const;
 
  private:
   struct Counts {
     Urgency urgency;
-    double offered = 0;  ///< first attempts, weighted by age as of updated_at
-    double sent = 0;     ///< requests sent, weighted in the same way
+    /// Number of first attempts; each counts less with its age at updated_at.
+    double offered = 0;
+    /// Number of requests sent, which count less with their age in the same
+    /// way.
+    double sent = 0;
     Time updated_at;
 
     void DecayTo(Time now);
--- a/include/pathcleat/routing/usual_deadline.hpp
+++ b/include/pathcleat/routing/usual_deadline.hpp
@@ -10,7 +10,7 @@
 /// @brief Learns the deadline that a route's callers send with their first
 /// attempts. First attempts repeat the same value, while the deadlines of
 /// retries differ from each other. A single caller with an unusual deadline
-/// does not change it. Not thread-safe.
+/// does not change the learned deadline. Not thread-safe.
 /// @ingroup routing
 class UsualDeadline {
  public:
@@ -36,15 +36,15 @@
   Duration value() const { return value_; }
 
  private:
-  // A matching deadline outweighs this many different ones, so that the value
-  // is kept while at least one request in five is a first attempt.
+  // Number of other deadlines that one matching deadline outweighs. The learned
+  // value is kept while at least one request in five is a first attempt.
   static constexpr int kVotesPerMatch = 4;
-  // Bounds how long a value outlasts its use: it is replaced at the latest by
-  // the first request after this many consecutive requests with other
-  // deadlines.
+  // Bounds how long a value is kept after callers have stopped sending it: the
+  // value is replaced at the latest by the first request after this many
+  // consecutive requests with other deadlines.
   static constexpr int kMaxVotes = 64;
   // Clock differences and queues at callers shorten a deadline by up to this
-  // part of it.
+  // share of the deadline.
   static constexpr double kMatchTolerance = 0.03;
 
   bool Matches(Duration deadline) const {
--- a/include/pathcleat/routing/warmth.hpp
+++ b/include/pathcleat/routing/warmth.hpp
@@ -15,13 +15,15 @@
 /// key in the same order.
 /// @ingroup routing
 struct WarmthEvidence {
-  bool sent_recently = false;  ///< whether this host sent the key to it
+  /// Whether this host recently sent the key to the upstream.
+  bool sent_recently = false;
   /// Rank of the upstream by distance from the key; 0: nearest.
   std::size_t rank = 0;
 };
 
-/// @brief Learns from run times how often an upstream is warm for a key, by
-/// evidence, and how long warm and cold runs take. Not thread-safe.
+/// @brief Learns from run times how often an upstream is warm for a key, for
+/// each kind of evidence, and how long warm and cold runs take. Not
+/// thread-safe.
 /// @ingroup routing
 class WarmthModel {
  public:
--- a/include/pathcleat/store/fleet_source.hpp
+++ b/include/pathcleat/store/fleet_source.hpp
@@ -35,11 +35,12 @@
   std::uint64_t version = 0;  ///< version from which to watch
   /// Version of the newest change in the answer, or 0.
   std::uint64_t newest_change_version = 0;
-  /// Of a read: start of the next page; empty: no more pages.
+  /// For a read: start of the next page; empty: no more pages.
   std::string next_page;
-  bool is_full = false;  ///< of a watch: `changes` is the complete state
-  bool relayed = false;  ///< answered by another host instead of the store
-  /// Missing entries may have expired instead of having been removed.
+  bool is_full = false;  ///< for a watch: `changes` is the complete state
+  bool relayed = false;  ///< whether another host answered instead of the store
+  /// Whether entries missing from the answer may have expired instead of having
+  /// been removed.
   bool removals_uncertain = false;
   Transfer transfer;  ///< size, origin and times of the answer
 };
--- a/include/pathcleat/store/rollout_status.hpp
+++ b/include/pathcleat/store/rollout_status.hpp
@@ -42,7 +42,8 @@
   virtual void Read(const std::string& service,
                     std::function<void(RolloutStatusReadResult)> callback) = 0;
 
-  /// @brief Writes if the row has the expected version (0: there is no row).
+  /// @brief Writes a status only if its row has the expected version (0: there
+  /// is no row).
   virtual void Write(const RolloutStatus& status,
                      std::uint64_t expected_version,
                      std::function<void(TableWriteResult)> callback) = 0;
--- a/include/pathcleat/store/table_store.hpp
+++ b/include/pathcleat/store/table_store.hpp
@@ -30,7 +30,7 @@
 /// @ingroup store
 struct TableWriteResult {
   StoreOutcome outcome = StoreOutcome::kNotDone;
-  std::uint64_t version = 0;  ///< of the row, for kDone
+  std::uint64_t version = 0;  ///< new version of the row if outcome is kDone
 };
 
 /// @brief The platform's transactional table service, reduced to the operations
@@ -47,18 +47,19 @@
                     int max_rows,
                     std::function<void(TableScanResult)> callback) = 0;
 
-  /// @brief Writes if the row has the expected version (0: there is no row).
+  /// @brief Writes a row only if it has the expected version (0: there is no
+  /// row).
   virtual void Write(const std::string& key,
                      std::uint64_t expected_version,
                      const std::string& value,
                      std::function<void(TableWriteResult)> callback) = 0;
 
-  /// @brief Writes without a condition on the version.
+  /// @brief Writes a row without a condition on its version.
   virtual void Overwrite(const std::string& key,
                          const std::string& value,
                          std::function<void(TableWriteResult)> callback) = 0;
 
-  /// @brief Deletes if the row has the expected version.
+  /// @brief Deletes a row only if it has the expected version.
   virtual void Delete(const std::string& key,
                       std::uint64_t expected_version,
                       std::function<void(TableWriteResult)> callback) = 0;
--- a/src/pathcleat/routing/pinned_capacity.cpp
+++ b/src/pathcleat/routing/pinned_capacity.cpp
@@ -13,13 +13,13 @@
 // Weight of each new figure of the demand. Figures arrive four times a second,
 // so the estimate follows the demand within about 2 s.
 constexpr double kDemandWeight = 0.12;
-// Step of the reported share.
+// The reported share changes in steps of this size, as a share of the slots.
 constexpr double kStep = 0.125;
 // The reported share changes once the exact share is more than this many steps
 // away from it.
 constexpr double kHysteresisSteps = 0.75;
-// Some slots are always left to other requests, as each region has callers of
-// its own.
+// Maximum share of a region's slots that is reported. The other slots are left
+// to requests that may run elsewhere, as each region has callers of its own.
 constexpr double kMaxShare = 0.875;
 
 }  // namespace
--- a/src/pathcleat/routing/rate_share_test.cpp
+++ b/src/pathcleat/routing/rate_share_test.cpp
@@ -33,7 +33,7 @@
 constexpr Duration kStep{10'000};
 constexpr Duration kWindow{1'000'000};
 
-// One host of a fleet with its share of the rate of a cold upstream.
+// One host of a fleet and the host's share of the rate of a cold upstream.
 struct Sender {
   RateSender candidate;
   TokenBucket bucket{0, 1};
@@ -106,8 +106,8 @@
   }));
 }
 
-// Reference ranking by the definition: near hosts first, then by hash; the
-// highest ranked hosts send.
+// Reference for RateSenders, without its early end: ranks all hosts, near hosts
+// first, then by hash. The highest ranked hosts send.
 bool IsSender(const RateBound& bound,
               std::uint64_t upstream_hash,
               const std::vector<Sender>& fleet,
--- a/src/pathcleat/routing/split_balancer.cpp
+++ b/src/pathcleat/routing/split_balancer.cpp
@@ -9,10 +9,11 @@
 namespace pathcleat {
 namespace {
 
-// Requests move from a split to another once the split exceeds its share by
-// this part of all recent requests.
+// Requests move from one split to another once the first exceeds its share by
+// this share of all recent requests.
 constexpr double kMaxExcessShare = 0.02;
-// Number of requests in which a count decays to about a third.
+// Number of requests after which an earlier request counts about a third as
+// much as a new request.
 constexpr double kDecayRequests = 200;
 
 }  // namespace
--- a/src/pathcleat/routing/upstream_picker.cpp
+++ b/src/pathcleat/routing/upstream_picker.cpp
@@ -21,15 +21,17 @@
 constexpr double kSlotSecondCost = 0.3;
 // Answers of at least this size stay in their region if it has an upstream.
 constexpr double kLargeAnswerBytes = 32'768;
+// An upstream counts as warm for a key from this probability.
 constexpr double kWarmThreshold = 0.5;
 // Cost per rank, in values of one answer in time: a key leaves its nearest
-// upstream only if the answer of the other one has a value higher by this much
-// per rank. With a lower cost, more upstreams than necessary become warm
-// for the key, and the region that is short of slots fills up.
+// upstream only if the answer of a farther upstream has a value higher by this
+// much per rank. With a lower cost, more upstreams than necessary become warm
+// for the key, and the region that is short of slots becomes overloaded.
 constexpr double kRankCost = 0.08;
 // Ranks beyond those of a key's few upstreams cost no more than this rank.
 constexpr std::size_t kMaxPricedRank = 2;
 constexpr Duration kInitialRoundTrip{2'000};
+// Weight of each new answer in the moving average of a route's answer sizes.
 constexpr double kAnswerBytesWeight = 0.05;
 
 double Seconds(Duration duration) {
--- a/src/pathcleat/routing/upstream_table.cpp
+++ b/src/pathcleat/routing/upstream_table.cpp
@@ -165,7 +165,8 @@
         !upstream->removed && upstream->IsRateBounded(now);
     return !upstream->may_be_rate_bounded;
   });
-  // A limit may have ended, which changes the usable slots.
+  // A rate limit of an upstream dropped above may have ended, which changes the
+  // number of usable slots.
   revision_ += maybe_rate_bounded_.size() < count_before ? 1 : 0;
   return maybe_rate_bounded_;
 }
--- a/src/pathcleat/routing/version_filter.cpp
+++ b/src/pathcleat/routing/version_filter.cpp
@@ -33,8 +33,9 @@
 
 }  // namespace
 
-// In a trial of a version, a few upstreams of each region get all requests to
-// that version, so that they are as busy as the upstreams of other versions.
+// In a trial of a version, all requests to that version go to only a few of its
+// upstreams in each region, so that these upstreams are as busy as the
+// upstreams of other versions.
 void FilterByVersion(std::vector<Candidate>& candidates,
                      const VersionRule& rule) {
   std::erase_if(candidates, [&rule](const Candidate& candidate) {
