--- a/include/pathcleat/routing/admission_control.hpp
+++ b/include/pathcleat/routing/admission_control.hpp
@@ -21,7 +21,8 @@
   explicit AdmissionControl(const PolicySwitches& policy) : policy_(policy) {}
 
   /// @brief Whether a request may go to the upstream chosen for it. A request
-  /// that this host has already tried at another upstream always may. Where
+  /// that this host has already tried at another upstream is always admitted.
+  /// Where
   /// there is a queue, a request is refused if a larger share of its kind is
   /// sent than of a more urgent kind of the same service.
   bool TryAdmit(const Pick& pick,
--- a/include/pathcleat/routing/key_placement.hpp
+++ b/include/pathcleat/routing/key_placement.hpp
@@ -14,9 +14,11 @@
 /// @ingroup routing
 struct Candidate {
   UpstreamPtr upstream;
-  double distance = 0;  ///< from the key; the nearest is the first choice
-  WarmthEvidence warmth_evidence;  ///< why it may be warm for the key
-  double warm_probability = 0;     ///< probability that it is warm
+  /// Distance of the upstream from the key; the nearest upstream is the first
+  /// choice.
+  double distance = 0;
+  WarmthEvidence warmth_evidence;  ///< why the upstream may be warm for the key
+  double warm_probability = 0;     ///< probability that the upstream is warm
 };
 
 /// @brief Distance of an upstream from a key in weighted rendezvous hashing:
--- a/include/pathcleat/routing/list_delta.hpp
+++ b/include/pathcleat/routing/list_delta.hpp
@@ -16,13 +16,13 @@
 /// @ingroup routing
 using ListHashes = std::vector<std::uint64_t>;
 
-/// @brief A part of a new list: some entries of the old list in their order,
-/// then some that the old list lacks.
+/// @brief A part of a new list: consecutive entries of the old list in their
+/// order, then entries that the old list lacks.
 /// @ingroup routing
 template <class Entry>
 struct ListDeltaStep {
   std::uint32_t copy_from = 0;   ///< index in the old list
-  std::uint32_t copy_count = 0;  ///< number of entries copied from there
+  std::uint32_t copy_count = 0;  ///< number of entries copied from copy_from on
   std::vector<Entry> added;
 };
 
@@ -51,8 +51,8 @@
 
 /// @brief Computes the steps that turn an old list into a new one. Of the old
 /// list, only the hashes are needed.
-/// @param entries of the new list.
-/// @param hashes of the new list.
+/// @param entries all entries of the new list.
+/// @param hashes hashes of the new list's entries.
 /// @ingroup routing
 template <class Entry>
 std::vector<ListDeltaStep<Entry>> ComputeListDelta(
@@ -82,7 +82,7 @@
 }
 
 /// @brief Builds the new list from the old list and the steps.
-/// @param digest of the new list's hashes.
+/// @param digest DigestOf the new list's hashes.
 /// @return empty if the steps, applied to this old list, do not result in the
 /// new list.
 /// @ingroup routing
--- a/include/pathcleat/routing/pinned_capacity.hpp
+++ b/include/pathcleat/routing/pinned_capacity.hpp
@@ -33,7 +33,7 @@
 
   /// @brief Share of a region's slots of a service that is used by pinned
   /// accounts, from 0 to 0.875.
-  /// @param slots number of these slots.
+  /// @param slots number of slots that the service has in the region.
   double ShareOf(const std::string& service,
                  const std::string& region,
                  double slots);
--- a/include/pathcleat/routing/slowness.hpp
+++ b/include/pathcleat/routing/slowness.hpp
@@ -8,9 +8,9 @@
 
 namespace pathcleat {
 
-/// @brief Ratio of an upstream's run times to the usual ones, estimated from
-/// completed runs and from requests left unanswered. The estimate decays to 1
-/// without new samples, so that a recovered upstream is used again. Not
+/// @brief Ratio of an upstream's run times to the usual run times, estimated
+/// from completed runs and from requests left unanswered. The estimate decays
+/// to 1 without new samples, so that a recovered upstream is used again. Not
 /// thread-safe.
 /// @ingroup routing
 class Slowness {
@@ -25,8 +25,8 @@
   void OnRun(double ratio, Time now) { AddSample(ratio, now); }
 
   /// @brief Adds a request that had no answer after `ratio` times the usual
-  /// time. Its full run time may be longer still, so the sample never lowers
-  /// the estimate.
+  /// time. The request's full run time may be longer still, so the sample never
+  /// lowers the estimate.
   void OnNoAnswer(double ratio, Time now) {
     if (ratio > Value(now)) {
       AddSample(ratio, now);
--- a/src/pathcleat/routing/admission_control.cpp
+++ b/src/pathcleat/routing/admission_control.cpp
@@ -39,7 +39,8 @@
          profile.usual_deadline.TimeSinceFirstAttempt(request.caller_timeout);
 }
 
-// When an unavailable upstream accepts requests again, and at what interval.
+// Delay until an unavailable upstream accepts requests again, and the interval
+// between the requests that it accepts then.
 struct Availability {
   Duration delay{0};
   Duration interval{0};
@@ -89,7 +90,7 @@
     urgency.OnFirstAttempt(kind, request.urgency(), now);
   }
   // A wait of at most one queue position counts as a free slot: no kind has to
-  // yield to a more urgent one.
+  // yield to a more urgent kind.
   const bool yields = input.queue_wait > WaitPerQueuedRequest(input) &&
                       urgency.IsOverServed(kind, now);
   if (yields || DecideAdmission(input) == AdmissionDecision::kRefuse) {
--- a/src/pathcleat/routing/key_placement.cpp
+++ b/src/pathcleat/routing/key_placement.cpp
@@ -11,8 +11,8 @@
 namespace pathcleat {
 namespace {
 
-// Upstreams of a key that are chosen by the regions' shares; one instead of two
-// made little difference on three sites.
+// Number of a key's upstreams that are chosen by the regions' shares. One
+// upstream instead of two made little difference on three sites.
 constexpr std::size_t kNearestUpstreams = 2;
 
 // Added to the distance of upstreams without a share, so that they rank after
--- a/src/pathcleat/routing/limit_exchange.cpp
+++ b/src/pathcleat/routing/limit_exchange.cpp
@@ -11,9 +11,9 @@
 // Each observation is reported in four rounds of heartbeats, as datagrams may
 // be lost.
 constexpr Duration kReportWindow{2'000'000};
-// A report takes less than this to arrive. The receiver adds it to the age of
-// each entry: an observation that looked newer than it is would be kept alive
-// by hosts that repeat it to each other.
+// A report takes less than this time to arrive. The receiver adds this time to
+// the age of each entry: hosts that forward an observation to each other would
+// otherwise make it look newer each time and keep reporting it.
 constexpr Duration kMaxTransitTime{100'000};
 
 std::uint32_t AgeMs(Time at, Time now) {
--- a/src/pathcleat/routing/upstream_load.cpp
+++ b/src/pathcleat/routing/upstream_load.cpp
@@ -11,14 +11,15 @@
 // Decay time of a report's difference from the usual load: about the run time
 // of the other hosts' requests that it counts.
 constexpr double kReportDecayMicros = 600'000;
-// Time constants of the usual load by other hosts: of its average over reports,
-// and of its decay without reports.
+// Time constants of the usual load by other hosts: the first for its average
+// over reports, the second for its decay without reports.
 constexpr double kUsualAverageMicros = 2'000'000;
 constexpr double kUsualDecayMicros = 6'000'000;
-// A report stands for at most this time, however old the previous report is.
+// A report counts for at most this much time in the average of the usual load,
+// however old the previous report is.
 constexpr double kMaxReportSpanMicros = 1'000'000;
-// Reports come in bursts, so each moves the estimate by this part of the
-// difference.
+// Reports arrive in bursts, so each report moves the estimate by only this
+// share of the difference between report and estimate.
 constexpr double kReportWeight = 0.6;
 
 }  // namespace
--- a/src/pathcleat/routing/upstream_picker.cpp
+++ b/src/pathcleat/routing/upstream_picker.cpp
@@ -151,9 +151,8 @@
   }
 }
 
-// While a shift moves traffic away from this region, requests leave it only as
-// the shift permits: those that it moves, and those for which the region has no
-// upstream.
+// While a shift moves traffic away from this region, a request leaves it only
+// if the shift moves the request or the region has no upstream for the request.
 PickFailure UpstreamPicker::ApplyShift(std::vector<Candidate>& candidates,
                                        const PickRequest& request) {
   ShiftControl* shift = shifts_.Find(request.service);
--- a/src/pathcleat/routing/urgency_tracker.cpp
+++ b/src/pathcleat/routing/urgency_tracker.cpp
@@ -7,10 +7,12 @@
 namespace pathcleat {
 namespace {
 
-// Longer than callers wait before a retry (0.4 to 1 s), so that a retry counts
-// together with its first attempt; short enough to follow a burst of 3 s.
+// Time in which the counts decay by the factor e. It is longer than callers
+// wait before a retry (0.4 to 1 s), so that a retry counts together with its
+// first attempt, and short enough to follow a burst of 3 s.
 constexpr double kDecaySeconds = 2;
-// A share of fewer first attempts is unreliable: its spread is 0.1 or more.
+// Minimum number of first attempts for a reliable share. With fewer attempts
+// the spread of the share is 0.1 or more.
 constexpr double kMinOffered = 20;
 // Kinds with a lower decayed count are dropped.
 constexpr double kMinCount = 0.1;
@@ -41,8 +43,8 @@
   counts.offered += 1;
 }
 
-// Drops decayed kinds; called when a new kind appears, as there are many routes
-// but few in use.
+// Drops decayed kinds. Called when a new kind appears: there are many routes,
+// but only few of them are in use at a time.
 void UrgencyTracker::DropDecayed(Time now) {
   std::erase_if(kinds_, [now](const auto& kind) {
     Counts decayed = kind.second;
