--- a/include/pathcleat/query/command.hpp
+++ b/include/pathcleat/query/command.hpp
@@ -23,7 +23,7 @@
 /// @ingroup query
 struct WhereQuery {
   std::string service;
-  std::string caller;
+  std::string caller;  ///< the caller's IPv4 address
 };
 
 /// @brief The command "why REQUEST-ID".
--- a/include/pathcleat/query/log_line.hpp
+++ b/include/pathcleat/query/log_line.hpp
@@ -32,7 +32,7 @@
 /// @ingroup query
 struct MergedLog {
   std::vector<LogLine> lines;  ///< sorted by hybrid time after SortByTime()
-  int unreadable = 0;          ///< number of lines that are not events
+  int unreadable = 0;  ///< number of non-empty lines that are not events
 };
 
 /// @brief Appends log lines to `log`. The lines may be in any order and come
--- a/include/pathcleat/query/request_diagnosis.hpp
+++ b/include/pathcleat/query/request_diagnosis.hpp
@@ -11,10 +11,13 @@
 /// @brief Causes that explain the course of a request.
 /// @ingroup query
 enum class RequestCause {
-  kNotLogged,    ///< the logs have no event of the request
-  kNone,         ///< the request was answered without a detected problem
-  kStaleConfig,  ///< another host had already applied a newer configuration
-  /// Sent to an upstream that another host had already seen leave.
+  kNotLogged,  ///< the logs have no event of the request
+  kNone,       ///< the request was answered without a detected problem
+  /// Another host had applied a newer configuration before this host accepted
+  /// the request.
+  kStaleConfig,
+  /// A host had logged that the upstream was leaving or gone before the request
+  /// was sent to the upstream.
   kLeavingUpstream,
   kOverload,    ///< refused: the expected wait was too long
   kNoUpstream,  ///< refused: no upstream accepted the request
@@ -37,7 +40,7 @@
 struct RequestDiagnosis {
   std::vector<LogLine> lines;          ///< events of the request, by time
   std::vector<DiagnosedCause> causes;  ///< root cause first
-  std::vector<std::string> missing;    ///< known gaps in the logs
+  std::vector<std::string> missing;    ///< gaps found in the logs
 };
 
 /// @brief Finds the events of a request and the causes of its outcome.
--- a/include/pathcleat/telemetry/account_stats.hpp
+++ b/include/pathcleat/telemetry/account_stats.hpp
@@ -16,8 +16,8 @@
   std::uint64_t over_limit = 0;  ///< refused above the account's limit
 };
 
-/// @brief Counts requests by client account. The number of accounts is bounded:
-/// the first ones to send a request are counted. Not thread-safe.
+/// @brief Counts requests by client account. Counts only a limited number of
+/// accounts: those that send a request first. Not thread-safe.
 /// @ingroup telemetry
 class AccountStats {
  public:
@@ -26,15 +26,16 @@
   void OnAccepted(const std::string& account);
   void OnOverLimit(const std::string& account);
 
-  /// @brief Counts of one account; zero if it is not counted.
+  /// @brief Counts of one account; all zero if the account is not counted.
   AccountCounts CountsOf(const std::string& account) const;
 
   /// @brief The ten accounts with the most accepted requests, followed by up to
-  /// ten others with the most refusals: few enough for a page of metrics.
+  /// ten other accounts with the most refused requests. The number is limited
+  /// to keep the page of metrics short.
   std::vector<Row> TopAccounts() const;
 
   /// @brief Number of requests from accounts that are not counted because the
-  /// bound was reached.
+  /// maximum number of counted accounts was reached.
   std::uint64_t uncounted() const { return uncounted_; }
 
  private:
--- a/include/pathcleat/telemetry/metrics.hpp
+++ b/include/pathcleat/telemetry/metrics.hpp
@@ -33,7 +33,7 @@
   kRunsOn,  ///< not cancelled: fully sent, and the request is not repeatable
 };
 
-/// @brief Name of the state, as in the metrics.
+/// @brief Name of the state, as printed in the metrics.
 const char* ToString(AbandonedWork work);
 
 /// @brief Outcomes and latencies of requests by route, and counters of this
@@ -46,7 +46,8 @@
   /// @brief Counts a request that was refused and certainly not run.
   void OnRefused(const std::string& reason) { ++refusals_[reason]; }
 
-  /// @brief Counts a request at an upstream whose process ended.
+  /// @brief Counts a request whose connection was lost because the process of
+  /// its upstream ended.
   void OnUpstreamCrashed() { ++upstream_crashes_; }
   std::uint64_t upstream_crashes() const { return upstream_crashes_; }
 
@@ -78,8 +79,8 @@
     Latency latency;
     Histogram buckets;  ///< the same latencies in fixed buckets
     std::uint64_t answered = 0;
-    std::uint64_t not_run = 0;
-    std::uint64_t unknown = 0;
+    std::uint64_t not_run = 0;  ///< requests that were certainly not run
+    std::uint64_t unknown = 0;  ///< requests that may have been run
   };
 
   const std::map<std::string, RouteMetrics>& by_route() const {
@@ -91,8 +92,8 @@
   const std::map<AbandonedWork, std::uint64_t>& callers_left() const {
     return callers_left_;
   }
-  /// @brief Counts a request that had no answer from its upstream when the host
-  /// shut down, and was answered by the host.
+  /// @brief Counts a request that had no answer from its upstream when this
+  /// host shut down, and that this host answered itself.
   void OnGivenUpAtShutdown() { ++given_up_at_shutdown_; }
   std::uint64_t given_up_at_shutdown() const { return given_up_at_shutdown_; }
 
--- a/include/pathcleat/telemetry/request_log.hpp
+++ b/include/pathcleat/telemetry/request_log.hpp
@@ -12,17 +12,18 @@
 namespace pathcleat {
 
 /// @brief Decides, after a request has ended, whether its events are logged.
-/// Failed requests are logged up to a rate limit. Of the others a sample is
-/// logged, chosen by request id, so that all hosts log the same requests. Not
-/// thread-safe.
+/// Failed requests are logged up to a rate limit. Of the successful requests a
+/// sample is logged. The sample is selected by request id, so that all hosts
+/// log the same requests. Not thread-safe.
 /// @ingroup telemetry
 class RequestLog {
  public:
   RequestLog(EventLog& events, const RequestLogSettings& settings);
 
-  /// @brief Logs the events of a request that has ended, if it is chosen.
-  /// @param failed whether the request was refused, retried or slow, its caller
-  /// disconnected, or it may have run without an answer.
+  /// @brief Logs the events of a request that has ended, if the rate limit or
+  /// the sample admits the request.
+  /// @param failed true if the request was refused, retried or slow, if its
+  /// caller disconnected, or if the request may have run without an answer.
   void LogRequest(const std::string& request_id,
                   bool failed,
                   const std::vector<Event>& events,
--- a/src/pathcleat/app/operator_client.hpp
+++ b/src/pathcleat/app/operator_client.hpp
@@ -25,7 +25,7 @@
                                 const std::string& token,
                                 const std::string& command);
 
-/// @brief Fetches the events that a host keeps, one JSON object a line.
+/// @brief Fetches the events that a host keeps, one JSON object per line.
 /// @return the lines; the same errors as SendCommand().
 Result<std::string> FetchTimeline(const OperatorEndpoint& host,
                                   const std::string& token);
--- a/src/pathcleat/app/pathcleat.cpp
+++ b/src/pathcleat/app/pathcleat.cpp
@@ -74,7 +74,8 @@
 constexpr int kDone = 0;
 constexpr int kFailed = 1;
 constexpr int kWrongUsage = 2;
-// Log lines queued for a slow reader of standard output.
+// Maximum size of the log lines that are queued while the reader of standard
+// output is slow.
 constexpr std::size_t kMaxQueuedLogBytes = 256UL * 1024;
 
 using Arguments = std::map<std::string, docopt::value>;
@@ -213,7 +214,8 @@
   return kDone;
 }
 
-// Parses the time of an event, "micros.counter", into a sort key.
+// Parses the time of an event into a sort key. The time has the form
+// "micros.counter": microseconds, a point and a counter.
 std::pair<std::uint64_t, std::uint64_t> TimeKey(const std::string& line) {
   const auto event = nlohmann::json::parse(line, nullptr, false);
   if (!event.is_object()) {
--- a/src/pathcleat/query/log_line.cpp
+++ b/src/pathcleat/query/log_line.cpp
@@ -19,7 +19,8 @@
   return number;
 }
 
-// Parses "micros.counter".
+// Parses a hybrid time of the form "micros.counter": microseconds, a point and
+// a counter.
 HybridTime ParseTime(std::string_view text) {
   HybridTime time;
   time.micros = ParseNumber<std::uint64_t>(text);
--- a/src/pathcleat/telemetry/account_stats.cpp
+++ b/src/pathcleat/telemetry/account_stats.cpp
@@ -6,7 +6,7 @@
 namespace pathcleat {
 namespace {
 
-// Bounds memory: each counted account takes 120 bytes.
+// Limits the memory use: each counted account takes 120 bytes.
 constexpr std::size_t kMaxCountedAccounts = 512;
 constexpr std::size_t kTopAccountCount = 10;
 
--- a/src/pathcleat/telemetry/request_log.cpp
+++ b/src/pathcleat/telemetry/request_log.cpp
@@ -6,8 +6,9 @@
 namespace pathcleat {
 namespace {
 
-// Burst size of the failure rate limit, in seconds of the configured rate: the
-// failures of an incident of a few seconds are all logged.
+// The rate limit allows a burst of as many failures as the configured rate
+// allows in this number of seconds, so that all failures of an incident of a
+// few seconds are logged.
 constexpr double kFailureBurstSeconds = 4;
 
 }  // namespace
