--- a/include/pathcleat/lab/caller_retry_model.hpp
+++ b/include/pathcleat/lab/caller_retry_model.hpp
@@ -29,11 +29,12 @@
 struct CallerRetryFault {
   Duration starts_after{10'000'000};  ///< from the start of the run
   Duration duration{3'000'000};
-  double load_factor = 1;     ///< arrival rate is multiplied by this
+  double load_factor = 1;     ///< factor on the arrival rate
   bool domain_fails = false;  ///< all upstreams of the first domain fail
   double cold_requests_per_second =
       0;  ///< rate that each restarted upstream bears; 0: warm at once
-  Duration cold_duration{4'000'000};  ///< after the restart
+  Duration cold_duration{
+      4'000'000};  ///< time after the restart for which an upstream is cold
 };
 
 /// @brief A run of the model: callers that are refused retry at a random host,
@@ -54,7 +55,8 @@
   int max_retries = 1;  ///< retries of one caller
   double requests_per_second = 200;
   CallerRetryFault fault;
-  Duration warm_up{8'000'000};  ///< requests that arrive in it are not counted
+  Duration warm_up{
+      8'000'000};  ///< requests that arrive in this time are not counted
   Duration duration{20'000'000};
   std::uint64_t seed = 1;
 };
@@ -102,8 +104,9 @@
 std::map<std::string, CallerRetryCounts> RunCallerRetryModel(
     const CallerRetryPlan& plan);
 
-/// @brief Measures how refused callers fare after a burst and after the outage
-/// of a domain, and urgent and less urgent requests under overload.
+/// @brief Measures the outcomes of refused callers after a burst and after the
+/// outage of a domain, and the outcomes of urgent and less urgent requests
+/// under overload.
 /// @param seeds runs of each case, with the seeds 1 to `seeds`.
 /// @return a Markdown table of medians over the seeds.
 /// @ingroup lab
--- a/include/pathcleat/lab/cost_curve.hpp
+++ b/include/pathcleat/lab/cost_curve.hpp
@@ -36,7 +36,7 @@
 /// @ingroup lab
 CostCurve FitLine(CostCurve curve);
 
-/// @brief Curves as a Markdown table.
+/// @brief Formats curves as a Markdown table.
 /// @ingroup lab
 std::string ToText(const std::vector<CostCurve>& curves);
 
--- a/include/pathcleat/lab/crash_model.hpp
+++ b/include/pathcleat/lab/crash_model.hpp
@@ -21,7 +21,8 @@
   Duration mean_run_time{500'000};  ///< of a request
   /// Interval at which the request that crashes upstreams arrives. Zero: never.
   Duration fatal_interval{0};
-  Duration fatal_crash_delay{30'000};  ///< from its arrival to the crash
+  Duration fatal_crash_delay{
+      30'000};  ///< from the arrival of the fatal request to the crash
   /// Share of the upstreams that crash together for another reason, once each
   /// crash_interval. They are available again after restart_delay.
   double crashing_share = 0;
@@ -30,9 +31,9 @@
   Duration one_way_delay{12'000};  ///< between hosts
   Duration duration{60'000'000};
   bool answer_clears_request =
-      true;  ///< an answer ends the suspicion of a request
+      true;  ///< whether an answer ends the suspicion of a request
   bool retry_suspected =
-      false;  ///< retry a request also if it is already suspected
+      false;  ///< whether hosts retry a request that they already suspect
   std::uint64_t seed = 1;
 };
 
@@ -41,11 +42,13 @@
 struct CrashModelResult {
   int fatal_crashes = 0;      ///< upstreams that the fatal request crashed
   int repeated_requests = 0;  ///< requests of the repeating callers
-  int wrongly_refused = 0;    ///< of these, blocked as suspected of crashes
+  int wrongly_refused =
+      0;  ///< repeated requests blocked as suspected of crashes
   int with_two_crashes =
-      0;  ///< of these, with two crashes or more: blocked if two sufficed
+      0;  ///< repeated requests with at least two counted crashes, which would
+          ///< be blocked if two crashes sufficed
   int max_tracked_requests =
-      0;  ///< most requests tracked by one host at a time
+      0;  ///< largest number of requests that one host tracked at a time
 };
 
 /// @brief Runs the model in virtual time.
--- a/include/pathcleat/lab/limit_model.hpp
+++ b/include/pathcleat/lab/limit_model.hpp
@@ -14,7 +14,8 @@
   kEqualShare,  ///< each informed host uses the limit divided by the host count
   kReportedUsage,  ///< hosts report to each other what they sent, and stop at
                    ///< the limit
-  kFewSenders,     ///< as RateSenders does: few hosts send, all are informed
+  kFewSenders,     ///< as RateSenders does: few hosts send to the upstream, and
+                   ///< all hosts are informed of the limit
 };
 
 /// @brief A simulated fleet of hosts, without a network, in front of upstreams
@@ -34,30 +35,35 @@
   Duration limited_until{24'000'000};
   Duration duration{40'000'000};
   Duration one_way_delay{12'000};  ///< between hosts
-  /// From then until limited_until, hosts of the first half of the domains and
-  /// hosts of the other half get no messages of each other. Zero: no partition.
+  /// From this time until limited_until, hosts of the first half of the domains
+  /// and hosts of the other half receive no messages from each other. Zero: no
+  /// partition.
   Duration partition_from{0};
-  /// One of so many hosts restarts without state, halfway between limited_from
-  /// and limited_until. Zero: none.
+  /// Every n-th host, where n is this number, restarts without state halfway
+  /// between limited_from and limited_until. Zero: no host restarts.
   int restart_one_in = 0;
   std::uint64_t seed = 1;
 };
 
-/// @brief Result of a run of the limit model. Windows are 4 s long. They are
-/// counted from 3 s after a host first received the limit of the upstream until
-/// limited_until.
+/// @brief Result of a run of the limit model. Windows are 4 s long. Requests to
+/// an upstream are counted from 3 s after a host first received the limit of
+/// the upstream until limited_until.
 /// @ingroup lab
 struct LimitModelResult {
-  double max_window_ratio = 0;  ///< fullest window / allowed requests
+  double max_window_ratio =
+      0;  ///< requests in the fullest window / requests allowed in a window
   double max_informed_window_ratio =
-      0;  ///< the same for requests of hosts that have had the limit for 0.5 s
-  double used_share = 0;  ///< share of the limits that was used
+      0;  ///< the same ratio, only for requests of hosts that have had the
+          ///< limit for 0.5 s
+  double used_share = 0;  ///< requests sent / requests that the limits allow,
+                          ///< mean over the limited upstreams
   double refused_share =
       0;  ///< share of the requests that no upstream accepted
-  /// Seconds from limited_until until no host had a limit in force any more.
+  /// Seconds from limited_until until no host applied a limit any more.
   double end_delay_seconds = 0;
   double bytes_per_host_per_second =
-      0;  ///< limit reports sent, per second of the limited time
+      0;  ///< bytes of limit reports sent, per second from limited_from to
+          ///< limited_until
 };
 
 /// @brief Runs the model in virtual time.
--- a/include/pathcleat/lab/load_audit.hpp
+++ b/include/pathcleat/lab/load_audit.hpp
@@ -14,7 +14,7 @@
 /// @ingroup lab
 struct LoadAudit {
   int duplicate_runs = 0;  ///< idempotency keys that ran more than once
-  int false_not_run = 0;   ///< tries reported as "not-run" that ran
+  int false_not_run = 0;   ///< tries that ran although reported as "not-run"
   int upstreams_over_slots =
       0;             ///< upstreams with more runs at a time than slots
   int rejected = 0;  ///< requests that an upstream rejected
@@ -29,7 +29,8 @@
 Result<LoadAudit> AuditLoad(const LoadGenerator& load,
                             const std::string& ledger_json);
 
-/// @brief Figures of a load as text, one line per kind, then the audit.
+/// @brief Formats the results of a load as text: one line per kind of request,
+/// followed by the audit.
 /// @ingroup lab
 std::string ReportLoad(const LoadGenerator& load, const LoadAudit& audit);
 
--- a/include/pathcleat/lab/load_generator.hpp
+++ b/include/pathcleat/lab/load_generator.hpp
@@ -59,7 +59,7 @@
   std::vector<double>
       latency_ms;  ///< of answered requests, from the scheduled arrival
   std::vector<double>
-      refusal_ms;  ///< the same, of requests refused as "not-run"
+      refusal_ms;  ///< the same time for requests refused as "not-run"
 };
 
 /// @brief One try of a request, for comparison with the ledgers of upstreams.
@@ -67,11 +67,12 @@
 struct LoadRecord {
   std::string run_id;
   std::string key;
-  bool reported_not_run = false;  ///< by the result of this try
+  bool reported_not_run =
+      false;  ///< whether this try was answered as "not-run"
 };
 
-/// @brief Sends a load from many local addresses, as callers would: asks a
-/// locator for the entry hosts to use, tries the next host when one does not
+/// @brief Sends a load from many local addresses, as callers would: queries a
+/// locator for the entry hosts to use, tries the next host when a host does not
 /// answer, and repeats keyed requests with their key.
 /// @ingroup lab
 class LoadGenerator {
--- a/include/pathcleat/lab/quota_model.hpp
+++ b/include/pathcleat/lab/quota_model.hpp
@@ -15,7 +15,8 @@
 enum class QuotaPolicy {
   kAdaptive,    ///< by QuotaControl, as entry hosts do
   kEqualShare,  ///< each host has an equal part of the rate and burst
-  kOwner,       ///< one host, chosen by hash, admits for all; queried each time
+  kOwner,  ///< one host, chosen by hash, admits requests for all hosts, which
+           ///< query it for each request
 };
 
 /// @brief Load and faults during a model run with one account. Times are
@@ -30,15 +31,18 @@
   double peak_seconds = 6.5;
   /// Number of hosts that receive the requests of the peak; 0: all.
   int peak_hosts = 0;
-  /// From then on each half of the domains receives nothing from the other.
+  /// Start of a partition: each half of the domains receives nothing from the
+  /// other half.
   double partition_from = 0;
   double partition_seconds = 0;
-  double kill_at = 0;          ///< when hosts stop and lose their state
-  double killed_share = 0;     ///< share of all hosts
-  double down_seconds = 0.8;   ///< until the killed hosts have restarted
-  double limit_change_at = 0;  ///< when rate and burst are multiplied
+  double kill_at = 0;         ///< time at which hosts stop and lose their state
+  double killed_share = 0;    ///< share of all hosts that stop at kill_at
+  double down_seconds = 0.8;  ///< time until the stopped hosts have restarted
+  double limit_change_at = 0;  ///< time at which rate and burst of the limit
+                               ///< are multiplied by limit_factor
   double limit_factor = 1;
-  double callers_move_at = 0;  ///< a third of the callers move to one domain
+  double callers_move_at = 0;  ///< time at which a third of the callers move
+                               ///< to one domain
 };
 
 /// @brief Fleet size, packet loss and random seed of a model run.
@@ -52,7 +56,7 @@
   std::uint64_t seed = 1;
 };
 
-/// @brief Measures over the admitted and refused requests of all hosts.
+/// @brief Result of a model run, over the requests of all hosts.
 /// @ingroup lab
 struct QuotaModelResult {
   /// Requests admitted in the fullest window / requests allowed in a window.
--- a/include/pathcleat/lab/routing_model.hpp
+++ b/include/pathcleat/lab/routing_model.hpp
@@ -15,8 +15,8 @@
   kPicker,          ///< UpstreamPicker, as entry hosts do
   kPickerNoKey,     ///< UpstreamPicker without affinity keys
   kRandomInRegion,  ///< a random upstream of the host's region
-  /// Ideal for comparison: one unbounded queue for all slots of all regions,
-  /// without network delay.
+  /// All slots of all regions serve one unbounded queue without network delay:
+  /// an ideal for comparison.
   kSharedQueue,
 };
 
@@ -40,13 +40,15 @@
   Duration round_trip_between_regions{24'000};
   /// Mean run time of a request whose key was not served recently.
   Duration mean_cold_run_time{640'000};
-  /// Factor on the run time where the key was served recently.
+  /// Factor on the run time of a request whose key was served recently.
   double warm_run_share = 0.3;
   Duration target_latency{400'000};
   Duration timeout{3'000'000};
   double requests_per_second = 200;
-  std::vector<double> region_shares{0.5, 0.3, 0.2};  ///< of requests, by region
-  Duration warm_up{10'000'000};  ///< at the start, not counted
+  /// Share of the requests that arrive in each region.
+  std::vector<double> region_shares{0.5, 0.3, 0.2};
+  Duration warm_up{
+      10'000'000};  ///< requests that arrive in this time are not counted
   Duration duration{40'000'000};
   std::uint64_t seed = 1;
 };
--- a/include/pathcleat/lab/upstream_stand_in.hpp
+++ b/include/pathcleat/lab/upstream_stand_in.hpp
@@ -22,11 +22,12 @@
 struct UpstreamLedger {
   int runs = 0;
   int peak_in_flight = 0;
-  double slot_seconds = 0;  ///< sum of busy times, up to the last start or end
+  double slot_seconds = 0;  ///< sum of the busy times of all slots, up to the
+                            ///< last start or end of a run
   int rejected = 0;         ///< requests answered as not run
   std::map<std::string, int> runs_by_id;       ///< by the caller's X-Run-Id
   std::map<std::string, int> runs_by_key;      ///< by Idempotency-Key
-  std::map<std::string, int> runs_by_account;  ///< by the account named
+  std::map<std::string, int> runs_by_account;  ///< by account name
   int requests_with_authorization = 0;         ///< with an Authorization field
   std::vector<Time> arrivals;  ///< of all requests, also rejected ones
 };
@@ -38,10 +39,11 @@
   HeaderNames headers;
   int slots = 2;
   int queue_capacity = 4;  ///< requests that may wait for a slot
-  std::chrono::microseconds mean_service_time{20'000};  ///< exponential
+  /// Mean of exponentially distributed service times.
+  std::chrono::microseconds mean_service_time{20'000};
   std::uint64_t seed = 1;
-  /// Ends requests at the deadline that they state: a queued request is
-  /// rejected as not run, a running request is answered with 504.
+  /// The stand-in ends requests at the deadline that they state: a queued
+  /// request is rejected as not run, a running request is answered with 504.
   bool enforces_deadlines = false;
 };
 
@@ -142,10 +144,11 @@
   std::vector<HttpExchangePtr> queue_;
   ActionChooser action_chooser_;
   AnswerCorruption corruption_ = AnswerCorruption::kNone;
-  std::string limit_header_;  ///< rate limit header of answers; empty: none
-  std::string crash_target_;  ///< crash target; empty: none
+  std::string limit_header_;  ///< rate limit header sent; empty: no header
+  std::string crash_target_;  ///< target that causes a crash; empty: none
   int in_flight_ = 0;
-  Time slot_seconds_until_;  ///< time up to which slot_seconds is counted
+  /// Time up to which ledger_.slot_seconds is summed.
+  Time slot_seconds_until_;
   bool hold_answers_ = false;
   bool reject_requests_ = false;
 };
--- a/src/pathcleat/lab/caller_retry_cases.cpp
+++ b/src/pathcleat/lab/caller_retry_cases.cpp
@@ -17,9 +17,9 @@
   CallerRetryPlan plan;
 };
 
-// The short kind is mostly warm, the urgent kind long and always cold, as each
-// of its requests has its own key. The load is a multiple of the slot time
-// available.
+// Requests of the short kind mostly have a cached key. Requests of the urgent
+// kind run for long and never have a cached key, as each has its own key.
+// `load` is the run time of the arriving requests / the available slot time.
 CallerRetryPlan OverloadPlan(double load) {
   CallerRetryPlan plan = UrgentAndShortPlan();
   plan.requests_per_second *= load;
@@ -61,7 +61,8 @@
   short_kind.priority = 2;
   short_kind.weight = 3;
   plan.kinds = {urgent, short_kind};
-  // 72 slots; one request of four takes 0.4 s, three take 0.144 s each.
+  // Load near the capacity of 72 slots: of every four requests, one runs for a
+  // mean of 0.4 s and the other three for a mean of 0.144 s each.
   plan.requests_per_second = 345;
   return plan;
 }
--- a/src/pathcleat/lab/config_behind_test.cpp
+++ b/src/pathcleat/lab/config_behind_test.cpp
@@ -54,9 +54,10 @@
   cluster.platform().PutConfig(cluster.config());
 }
 
-// Requests bound to regions reached an upstream outside of them 3.0 and 4.6 s
-// after the configuration that binds them: their hosts went on by the older
-// version, though every heartbeat announced the newer one.
+// Guards against hosts that continue to use an older version although every
+// heartbeat announces a newer version: requests bound to regions reached an
+// upstream outside these regions 3.0 and 4.6 s after the configuration that
+// binds them.
 Test(config_behind, host_long_behind_its_peers_refuses) {
   TestCluster cluster;
   cluster.StartAll();
@@ -77,10 +78,10 @@
 }
 
 // After a freeze or a partition a host first receives a newer version long
-// after its peers applied it. The age at the peers counts, so the host refuses
-// at once: counted from the first heartbeat, the lag would stay within the
-// bound until the announcement expires. Fails with the age ignored in
-// FleetSync::OnPeerVersions.
+// after its peers applied the version. The host measures its lag by the age
+// that the peers report, so it refuses requests at once. If the host measured
+// the lag from the first heartbeat, the lag would stay within the bound until
+// the announcement expires. Fails if FleetSync::OnPeerVersions ignores the age.
 Test(config_behind,
      version_long_applied_at_peers_makes_the_host_refuse_at_once) {
   TestCluster cluster;
@@ -99,7 +100,7 @@
   cr_assert(cluster.Await([&] { return cluster.host(0).IsReady(); }));
 }
 
-// Fails with routes_applied_at not set in FleetSync::ApplyConfig.
+// Fails if FleetSync::ApplyConfig does not set routes_applied_at.
 Test(config_behind, heartbeats_report_the_age_of_the_applied_version) {
   TestCluster cluster;
   cluster.StartAll();
--- a/src/pathcleat/lab/faults_test.cpp
+++ b/src/pathcleat/lab/faults_test.cpp
@@ -46,7 +46,8 @@
   }
 }
 
-// The same if the second upstream rejects the request: the first has run it.
+// The host also does not report "not-run" if the second upstream rejects the
+// request, because the first upstream has run the request.
 Test(promise, lookup_that_ran_once_is_unknown_if_another_upstream_rejects_it) {
   TestClusterPlan plan;
   plan.upstreams_in_domain = 2;
--- a/src/pathcleat/lab/foreign_entries_test.cpp
+++ b/src/pathcleat/lab/foreign_entries_test.cpp
@@ -62,7 +62,7 @@
   return false;
 }
 
-// Fails with the removal in FleetSync::OnUpstreams switched off.
+// Fails if FleetSync::OnUpstreams does not remove the upstream.
 Test(foreign_entries, invalid_row_removes_its_upstream_only) {
   TestCluster cluster;
   cluster.StartAll();
@@ -87,7 +87,7 @@
   cr_assert_not(IsListed(cluster, "stray"));
 }
 
-// Fails with the removal in UpstreamTable::Put switched off.
+// Fails if UpstreamTable::Put does not remove the earlier entry.
 Test(foreign_entries, restarted_upstream_keeps_no_state) {
   constexpr std::uint64_t kKey = 7;
   UpstreamTable table(std::map<std::string, std::string>{{"d", "r"}});
--- a/src/pathcleat/lab/heartbeat_costs.cpp
+++ b/src/pathcleat/lab/heartbeat_costs.cpp
@@ -23,8 +23,8 @@
   return heartbeat;
 }
 
-// CPU microseconds to seal the heartbeats of so many hosts, and to verify,
-// decode and record them, once each.
+// CPU time in microseconds to seal one heartbeat of each of the given number of
+// hosts, and to verify, decode and record it once.
 double RoundMicros(int hosts) {
   HostTable table(HeartbeatOf(-1).host, Duration(2'500'000));
   const double started = CpuMicros();
--- a/src/pathcleat/lab/leaving_upstream_test.cpp
+++ b/src/pathcleat/lab/leaving_upstream_test.cpp
@@ -1,9 +1,9 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-// Guards against a request that is sent by an outdated choice: opening the
-// connection took up to a second, and two submissions reached an upstream 3.25
-// and 3.37 s after it announced that it leaves (3 s are allowed). The first
-// test fails without the second check of the choice in
-// RequestHandler::OnOpened.
+// Guards against a request that is sent to an upstream chosen before an update
+// about this upstream: opening the connection took up to a second, and two
+// submissions reached an upstream 3.25 and 3.37 s after it announced that it
+// leaves (3 s are allowed). The first test fails without the second check of
+// the choice in RequestHandler::OnOpened.
 
 #include <functional>
 
@@ -86,7 +86,7 @@
   }
 }
 
-// The same for upstreams that operators drain.
+// Guarantee: an upstream that operators drain receives no new requests.
 Test(promise, drained_upstream_gets_nothing_over_an_opening_connection) {
   OpeningConnection opening;
   const UpstreamPtr chosen = opening.SendAndAwaitChoice(kPost);
--- a/src/pathcleat/lab/limit_model.cpp
+++ b/src/pathcleat/lab/limit_model.cpp
@@ -68,7 +68,8 @@
     std::unique_ptr<UpstreamTable> table;
     std::unique_ptr<LimitExchange> exchange;
     std::vector<UpstreamPtr> upstreams;
-    std::vector<Time> informed_at;  ///< first answer with a limit; by upstream
+    std::vector<Time> informed_at;  ///< time of the first answer with a
+                                    ///< limit, by upstream
     Time next_tick;
     Time next_report;
   };
@@ -163,7 +164,7 @@
         upstream.hash, "r");
   }
 
-  // Hosts learn the usage of other hosts by reports, one per kReportInterval.
+  // Hosts receive the usage of other hosts in reports, one per kReportInterval.
   bool HasUsageLeft(const Upstream& upstream,
                     const UpstreamState& state,
                     std::size_t host) const {
--- a/src/pathcleat/lab/limit_model_test.cpp
+++ b/src/pathcleat/lab/limit_model_test.cpp
@@ -15,8 +15,9 @@
   return plan;
 }
 
-// Guards against a bound that holds for small fleets only: if each host may
-// save up one request, all hosts of a large fleet can send at once.
+// Guards against limits that are kept in small fleets only: if each host may
+// save one unused request for later, all hosts of a large fleet can send their
+// saved requests at the same time.
 Test(limit_model, limits_hold_over_all_hosts_of_any_fleet) {
   for (const int hosts_in_domain : {2, 12, 50}) {
     for (const double limit : {0.5, 1.7, 10.0}) {
@@ -29,7 +30,8 @@
 }
 
 // Guards against unused limits: only a few hosts send to a limited upstream,
-// and the other hosts must leave its requests to them.
+// and the other hosts must leave the requests to this upstream to these few
+// hosts.
 Test(limit_model, limits_are_used) {
   LimitModelPlan plan = MakePlan(2, 24);
   plan.limited_upstreams = 24;
@@ -63,8 +65,8 @@
   }
 }
 
-// Checks that the model tells the strategies apart: these two exceed the bound
-// that few senders keep.
+// Checks that the model distinguishes the strategies: kNone and kEqualShare
+// exceed the bound that kFewSenders keeps.
 Test(limit_model, other_strategies_exceed_the_bound) {
   LimitModelPlan plan = MakePlan(50, 24);
   plan.strategy = LimitStrategy::kNone;
--- a/src/pathcleat/lab/limit_windows.hpp
+++ b/src/pathcleat/lab/limit_windows.hpp
@@ -34,14 +34,16 @@
   Time until;
 };
 
-/// @brief How a limit was used.
+/// @brief Use of a limit by the requests that arrived in a LimitSpan.
 struct LimitUse {
-  double max_window_ratio = 0;           ///< fullest window / allowed requests
-  double max_informed_window_ratio = 0;  ///< the same, for informed hosts
-  double used_share = 0;                 ///< share of the limit
+  double max_window_ratio =
+      0;  ///< requests in the fullest window / requests allowed in a window
+  double max_informed_window_ratio =
+      0;  ///< the same ratio, only for requests of informed hosts
+  double used_share = 0;  ///< arrivals / (limit * length of the span)
 };
 
-/// @brief The most arrivals in one window of length kLimitWindow.
+/// @brief The largest number of arrivals in any window of length kLimitWindow.
 /// @param arrivals in ascending order.
 inline double MaxInWindow(const std::vector<Time>& arrivals) {
   std::size_t max_count = 0;
@@ -55,7 +57,8 @@
   return static_cast<double>(max_count);
 }
 
-/// @brief Measures the use of a limit by the arrivals at its upstream.
+/// @brief Computes the use of an upstream's limit from the arrivals of requests
+/// at the upstream.
 inline LimitUse MeasureLimitUse(const std::vector<LimitArrival>& arrivals,
                                 const LimitSpan& span) {
   std::vector<Time> all;
--- a/src/pathcleat/lab/limited_upstream_test.cpp
+++ b/src/pathcleat/lab/limited_upstream_test.cpp
@@ -31,7 +31,7 @@
   }
 }
 
-// The most arrivals in one window among the arrivals after a given time.
+// The largest number of arrivals in any window after a given time.
 double MaxInWindow(const std::vector<Time>& arrivals, Time after) {
   std::ptrdiff_t max_count = 0;
   for (auto first = std::lower_bound(arrivals.begin(), arrivals.end(), after);
@@ -69,8 +69,9 @@
       .contains(upstream);
 }
 
-// Guards against hosts that learn the limit, and its end, from answers to their
-// own requests only: hosts that send nothing to the upstream would miss both.
+// Guards against hosts that receive the limit and its end only in answers to
+// their own requests: hosts that send nothing to the upstream would receive
+// neither.
 Test(limited_upstream, hosts_without_answers_receive_the_limit_and_its_end) {
   TestClusterPlan plan = MakePlan();
   plan.upstreams_in_domain = 1;
--- a/src/pathcleat/lab/planned_stop_test.cpp
+++ b/src/pathcleat/lab/planned_stop_test.cpp
@@ -243,8 +243,8 @@
   cr_assert_eq(cluster.host(0).state().idempotency_keys.pending_writes(), 0);
 }
 
-// A request pipelined behind the last one that a stopping host answers is never
-// started: the connection closes after that answer.
+// A stopping host closes a connection after its last answer. It never starts a
+// request that is pipelined behind the last answered request.
 Test(promise, planned_stop_runs_no_request_pipelined_behind_the_last_answer) {
   TestCluster cluster(BusyUpstreamPlan());
   WarmUp(cluster);
--- a/src/pathcleat/lab/quota_model_test.cpp
+++ b/src/pathcleat/lab/quota_model_test.cpp
@@ -8,9 +8,11 @@
 namespace pathcleat {
 namespace {
 
-// A window may be filled completely, but not exceeded.
+// Largest allowed max_window_ratio: hosts may admit as many requests as a
+// window allows, but no more.
 constexpr double kFullWindowRatio = 1.0;
-// Share of the requests of an account whose demand is below its limit.
+// Largest allowed share of refused requests while the demand of an account is
+// below its limit.
 constexpr double kMaxRefusedShare = 0.005;
 
 QuotaModelPlan MakePlan(std::uint64_t seed) {
@@ -41,7 +43,7 @@
 }
 
 // A third of the callers move to one failure domain at the same time. The
-// shares of its hosts must grow with them.
+// shares of the hosts in that domain must grow with the number of callers.
 Test(quota_model, limit_follows_callers_that_move) {
   QuotaScenario scenario = MakeScenario(250);
   scenario.callers_move_at = 10;
@@ -96,8 +98,8 @@
   cr_assert_leq(RunAdaptive(scenario).max_window_ratio, kFullWindowRatio);
 }
 
-// Over account sizes, peaks, partitions, killed hosts and lost datagrams. Fails
-// without HostShare() in AccountLimiter::Advance.
+// The limit holds for any account size, with peaks, partitions, killed hosts
+// and lost datagrams. Fails without HostShare() in AccountLimiter::Advance.
 Test(quota_model, no_window_exceeds_the_allowed_requests) {
   cr_assert(Holds(
       "(rate x window + burst) x (1 + overage) + slack",
--- a/src/pathcleat/lab/refusal_test.cpp
+++ b/src/pathcleat/lab/refusal_test.cpp
@@ -25,7 +25,7 @@
 }
 
 // Callers ignore a Retry-After of more than a third of their deadline. Fails
-// with a constant of 250 ms in RequestHandler::RetryOrGiveUp.
+// with a constant Retry-After of 250 ms in RequestHandler::RetryOrGiveUp.
 Test(refusals, retry_after_is_at_most_a_third_of_the_deadline) {
   TestCluster cluster;
   cluster.StartAll();
@@ -42,8 +42,8 @@
   }
 }
 
-// A host without a configuration asks its callers to return at the last time at
-// which they still follow Retry-After. Fails with a constant of 0.3 s in
+// A host without a configuration sends the longest Retry-After that its callers
+// still follow. Fails with a constant Retry-After of 0.3 s in
 // Gateway::HandleCaller.
 Test(refusals, host_without_configuration_sends_the_latest_retry_after) {
   TestClusterPlan plan;
@@ -90,9 +90,9 @@
   cr_assert_eq(retry_after("early"), kDeadlineMs / kRetryAfterDivisor);
 }
 
-// A keyed request that is refused because the store is down must return while
-// it can still be served. Fails with a constant of 1 s in IdempotencyGuard:
-// callers shorten such a wait.
+// A keyed request that is refused because the store is down gets a Retry-After
+// that leaves enough time to serve the retry. Fails with a constant Retry-After
+// of 1 s in IdempotencyGuard: callers do not wait that long.
 Test(refusals, keyed_request_without_a_store_retries_while_it_can_be_served) {
   TestCluster cluster;
   cluster.StartAll();
--- a/src/pathcleat/lab/routing_costs.cpp
+++ b/src/pathcleat/lab/routing_costs.cpp
@@ -11,8 +11,8 @@
 constexpr std::size_t kChoices = 2'000;
 constexpr double kNanosPerMicro = 1e3;
 
-// CPU time of one choice among the given number of upstreams, in nanoseconds,
-// one value for each run.
+// CPU time in nanoseconds in which a picker chooses one upstream among the
+// given number of upstreams. Returns one value for each run.
 std::vector<double> ChoiceNanos(int upstreams) {
   UpstreamTable table(std::map<std::string, std::string>{{"domain", "region"}});
   const Time now = BootClock::now();
--- a/src/pathcleat/lab/silence_test.cpp
+++ b/src/pathcleat/lab/silence_test.cpp
@@ -77,7 +77,7 @@
 }
 
 // The claim of a key sent over a silent connection has an unknown outcome. The
-// host reads it back over a new connection, and the request runs once. Of the
+// host reads the key over a new connection, and the request runs once. Of the
 // kept connections, the host waits for the first one only. Fails (more than one
 // wait) without StoreClient::CloseStaleConnections.
 Test(silence, kept_connections_to_the_store_are_not_trusted_after_one_fails) {
--- a/src/pathcleat/lab/simulated_upstream.hpp
+++ b/src/pathcleat/lab/simulated_upstream.hpp
@@ -28,14 +28,16 @@
 /// @ingroup lab
 struct ModelWork {
   std::uint64_t key = 0;
-  Duration mean_run_time{0};  ///< of a key that was not served recently
-  double warm_run_share = 1;  ///< factor on it if the key was served recently
+  /// Mean run time of work whose key was not served recently.
+  Duration mean_run_time{0};
+  /// Factor on the run time of work whose key was served recently.
+  double warm_run_share = 1;
   Time deadline;
   std::function<void(ModelWorkOutcome outcome)> done;
 };
 
-/// @brief An upstream in virtual time with slots and a short queue. Runs work
-/// faster whose key was served recently.
+/// @brief An upstream in virtual time with slots and a short queue. It runs
+/// work faster if the key of the work was served recently.
 /// @ingroup lab
 class SimulatedUpstream {
  public:
--- a/src/pathcleat/lab/store_faults_test.cpp
+++ b/src/pathcleat/lab/store_faults_test.cpp
@@ -55,8 +55,8 @@
   leaving.leaving = true;
   cluster.platform().PutUpstream(leaving);
   cluster.platform().SetDomainDrained("domain-0", true);
-  // One change may still have arrived by watches that were open at the
-  // platform.
+  // The rejected host may still have received one change directly, over the
+  // watches that it had opened at the platform before.
   cr_assert(cluster.Await([&] {
     const GatewayState& state = cluster.host(1).state();
     const auto all = state.upstreams.All();
--- a/src/pathcleat/lab/suspended_machine_test.cpp
+++ b/src/pathcleat/lab/suspended_machine_test.cpp
@@ -33,8 +33,8 @@
 }
 
 // Guards against a deadline timer that stops while the machine is suspended:
-// callers would wait, after the machine resumes, for all the time that was left
-// to their deadline before.
+// after the machine resumes, callers would wait for the whole time that was
+// left until their deadline when the machine was suspended.
 Test(suspended_machine, requests_past_their_deadline_end_on_resume) {
   SuspensionFixture fixture(Duration(60'000'000));
   TestCluster& cluster = fixture.cluster;
--- a/src/pathcleat/lab/truthful_test.cpp
+++ b/src/pathcleat/lab/truthful_test.cpp
@@ -1,5 +1,6 @@
 // Copyright 2026 The pathcleat authors. SPDX-License-Identifier: MIT
-// An answer "not run" is true in every order of events.
+// A host answers "not run" only if the request has not run, in every order of
+// events.
 
 #include "raw_client.hpp"
 #include "test_cluster.hpp"
@@ -20,7 +21,7 @@
 struct Order {
   bool repeatable = true;
   milliseconds deadline{0};
-  /// By order of arrival, at any upstream.
+  /// Actions in the order in which requests arrive, at any upstream.
   std::vector<UpstreamAction> actions;
   Event event = Event::kNothing;
   milliseconds event_after{0};
@@ -36,8 +37,8 @@
   }
 }
 
-// At once, around the time at which a host gives up on a silent upstream (1 s),
-// and around the deadline.
+// Delays of events: short, around the time at which a host gives up on a silent
+// upstream (1 s), and around the deadline.
 rc::Gen<milliseconds> Delays() {
   return rc::gen::element(milliseconds(0), milliseconds(30), milliseconds(970),
                           milliseconds(1'050), milliseconds(1'900));
@@ -124,16 +125,16 @@
   cr_assert(Holds(
       "no promise after a run",
       [&statuses] { ++statuses[RunOrder(DrawOrder())]; }, 60));
-  // The orders drawn have led to all kinds of answers.
+  // The generated orders have led to all kinds of answers.
   cr_assert_gt(statuses[http_status::kOk], 0);
   cr_assert_gt(statuses[http_status::kUnavailable], 0);
   cr_assert_gt(statuses[http_status::kBadGateway], 0);
   cr_assert_gt(statuses[http_status::kGatewayTimeout], 0);
 }
 
-// The same where the host gives up on a silent first upstream and sends the
-// request to another. Fails with a call of run_tracker_.OnNotRun in
-// RequestHandler::OnFailoverTimeout.
+// Promise: "not run" is also true if the host gives up on a silent first
+// upstream and sends the request to another upstream. Fails with a call of
+// run_tracker_.OnNotRun in RequestHandler::OnFailoverTimeout.
 Test(promise, refusals_are_true_after_giving_up_on_a_silent_upstream) {
   cr_assert(Holds(
       "no promise after patience",
--- a/src/pathcleat/lab/whole_path_test.cpp
+++ b/src/pathcleat/lab/whole_path_test.cpp
@@ -86,8 +86,8 @@
   cr_assert(!next.HasReceived("left"));
 }
 
-// A submission is not cancelled when its caller leaves, because nobody could
-// tell afterwards how far it had run.
+// A host does not cancel a submission when its caller disconnects, because it
+// would then be unknown how far the submission had run.
 Test(whole_path, submission_goes_on_when_its_caller_leaves) {
   TestCluster cluster;
   cluster.StartAll();
--- a/src/pathcleat/testing/heartbeat_fleet.hpp
+++ b/src/pathcleat/testing/heartbeat_fleet.hpp
@@ -194,7 +194,8 @@
     return count;
   }
 
-  // Sum of the shares that all running hosts use of a shared limit of 1.
+  // Sum, over all running hosts, of the share of a shared limit that the host
+  // uses. The sum is 1 if the hosts use exactly the limit.
   double TotalShare() const {
     double sum = 0;
     for (const HeartbeatNode& node : nodes) {
--- a/src/pathcleat/testing/test_cluster.hpp
+++ b/src/pathcleat/testing/test_cluster.hpp
@@ -382,7 +382,7 @@
   std::string store_address_;
   std::string isolated_store_address_;
   platform::PlatformStandIn platform_;
-  /// Uses other secrets than platform_.
+  /// Platform stand-in with other secrets than platform_.
   platform::PlatformStandIn isolated_platform_;
   RoutingConfig config_;
   std::vector<UpstreamInfo> infos_;
