--- a/include/pathcleat/accounts/account_limiter.hpp
+++ b/include/pathcleat/accounts/account_limiter.hpp
@@ -25,26 +25,26 @@
       false;  ///< a host that may be using a share sends no reports now
 };
 
-/// @brief One host's part in the enforcement of one account's limit. All hosts
-/// together keep the limit without a request to each other.
+/// @brief One host's part in the enforcement of one account's limit. The hosts
+/// keep the limit together, and send no requests to each other to do so.
 ///
 /// Far below the limit no shares are enforced: each host admits all requests as
 /// long as its own demand is near the demand that it reported last. Shares are
 /// enforced when the demand that all hosts reported exceeds the limit, when few
 /// tokens of the fleet are left, or when the demand at this host is far above
-/// its last report. A
-/// host's share is proportional to the demand that it reported last, plus a
-/// small equal part for hosts where the account is new. The shares of all hosts
-/// sum to 1, as each host computes with its own last report and with the
-/// reports received from the others. While a host is silent, no share grows.
-/// Not thread-safe.
+/// its last report. A host's share is proportional to the demand that the host
+/// reported last, plus a small part that is equal for all hosts, so that hosts
+/// where the account is new get a share. The shares of all hosts sum to 1, as
+/// each host computes with its own last report and with the reports received
+/// from the other hosts. While a host is silent, no share grows. Not
+/// thread-safe.
 /// @ingroup accounts
 class AccountLimiter {
  public:
   /// @param seed differs from host to host. It determines the random fraction
   /// of a token that a host keeps when it starts to enforce its share, so that
-  /// many hosts with a share of less than one request each do not all admit one
-  /// at the same time.
+  /// many hosts with a share of less than one request each do not all admit a
+  /// request at the same time.
   AccountLimiter(const AccountLimit& limit,
                  const QuotaBounds& bounds,
                  std::uint64_t seed);
@@ -111,7 +111,7 @@
   bool share_enforced_ = false;
   bool started_ = false;
   Time updated_at_;     ///< time of fleet_tokens_ and tokens_
-  Time near_limit_at_;  ///< last time demand was near the limit
+  Time near_limit_at_;  ///< last time at which demand was near the limit
   std::uint64_t random_state_;
 };
 
--- a/include/pathcleat/accounts/account_table.hpp
+++ b/include/pathcleat/accounts/account_table.hpp
@@ -35,7 +35,8 @@
 
  private:
   Accounts accounts_;
-  /// Sorted by digest. Takes 20 bytes a key; a hash table would take 64 bytes.
+  /// Sorted by digest. The vector takes 20 bytes per key; a hash table would
+  /// take 64 bytes per key.
   std::vector<std::pair<KeyedDigest, std::uint32_t>> by_key_;
 };
 
--- a/include/pathcleat/accounts/keyed_hasher.hpp
+++ b/include/pathcleat/accounts/keyed_hasher.hpp
@@ -41,7 +41,8 @@
   /// already in use must stay valid.
   void SetSecret(std::string_view secret);
 
-  /// @brief Calls back at once if the secret is set, otherwise when it is set.
+  /// @brief Runs the callback at once if the secret has been set, otherwise
+  /// when SetSecret is called.
   void WhenReady(std::function<void()> callback);
 
   /// @brief The digest of a key. The secret must have been set.
--- a/include/pathcleat/accounts/quota_bounds.hpp
+++ b/include/pathcleat/accounts/quota_bounds.hpp
@@ -13,7 +13,7 @@
       5'000'000};  ///< length of each time span in which the limit is checked
   double overage =
       0.1;            ///< allowed excess, as a share of the limit of a window
-  double slack = 20;  ///< requests a window allowed in addition to the overage
+  double slack = 20;  ///< requests per window allowed above the overage
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/accounts/quota_control.hpp
+++ b/include/pathcleat/accounts/quota_control.hpp
@@ -22,7 +22,7 @@
       0;  ///< requests a second of all hosts, by the reports that this host has
   double share = 1;  ///< this host's part of the limit
   Duration time_until_available{
-      0};                     ///< until this host may admit one more request
+      0};  ///< time until this host may admit one more request
   Duration mean_interval{0};  ///< average time between two admitted requests
 };
 
@@ -37,7 +37,7 @@
 };
 
 /// @brief Enforces the limits of all accounts at this host and reports the
-/// host's usage to the others. Not thread-safe.
+/// host's usage to the other hosts. Not thread-safe.
 /// @ingroup accounts
 class QuotaControl final : public UsagePublisher {
  public:
--- a/include/pathcleat/accounts/rate_average.hpp
+++ b/include/pathcleat/accounts/rate_average.hpp
@@ -25,11 +25,11 @@
   }
 
  private:
-  // Two report intervals. With a shorter time, single events at a few requests
-  // a second look like a surge. With a longer time, a surge is detected late:
-  // with 2 s, the window with the most requests in the model's scenario "60%
-  // killed in a rush" has 1.11 times the requests that a window may have; with
-  // 1 s, 0.97 times.
+  // The decay time is two report intervals. With a shorter time, single events
+  // at a few requests a second look like a surge. With a longer time, a surge
+  // is detected late: with 2 s, the window with the most requests in the
+  // model's scenario "60% killed in a rush" has 1.11 times the requests that a
+  // window may have; with 1 s, 0.97 times.
   static constexpr double kDecaySeconds = 1;
 
   double value_ = 0;
--- a/include/pathcleat/crashes/crash_report.hpp
+++ b/include/pathcleat/crashes/crash_report.hpp
@@ -19,11 +19,11 @@
 /// @ingroup crashes
 inline constexpr std::size_t kCrashBlockThreshold = 3;
 
-/// @brief One upstream that ended while it had a request.
+/// @brief One upstream that ended while it was running a request.
 /// @ingroup crashes
 struct CrashObservation {
   std::uint64_t upstream_hash = 0;  ///< hash of the upstream's id
-  std::uint32_t age_ms = 0;         ///< since the upstream ended
+  std::uint32_t age_ms = 0;         ///< milliseconds since the upstream ended
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -31,7 +31,8 @@
   }
 };
 
-/// @brief Value of CrashEntry::answer_age_ms if no upstream has answered.
+/// @brief Value of CrashEntry::answer_age_ms if no upstream has answered the
+/// request.
 /// @ingroup crashes
 inline constexpr std::uint32_t kNeverAnswered =
     std::numeric_limits<std::uint32_t>::max();
@@ -43,7 +44,8 @@
   std::vector<CrashObservation>
       observations;  ///< since the last answer; at most kCrashBlockThreshold
   std::uint32_t answer_age_ms =
-      kNeverAnswered;  ///< since an upstream last answered the request
+      kNeverAnswered;  ///< milliseconds since an upstream last answered the
+                       ///< request
   std::uint8_t failed_trials =
       0;  ///< trials of the blocked request that crashed an upstream
 
--- a/include/pathcleat/crashes/crash_tracker.hpp
+++ b/include/pathcleat/crashes/crash_tracker.hpp
@@ -24,7 +24,7 @@
   std::size_t crash_count =
       0;  ///< upstreams that ended while running the request
   int failed_trials = 0;
-  Duration age{0};  ///< since the last of these upstreams ended
+  Duration age{0};  ///< time since the last of these upstreams ended
   Duration retry_after{
       0};  ///< if blocked: time until the request may be tried again
   std::string
@@ -63,23 +63,24 @@
  public:
   CrashTracker(std::string domain, std::string host);
 
-  /// @brief Called when a change should be sent to other hosts at once.
+  /// @brief Sets the callback for a change that should be sent to other hosts
+  /// at once.
   void SetOnUpdate(std::function<void()> callback) {
     on_update_ = std::move(callback);
   }
 
-  /// @brief Called when a request is blocked or unblocked here.
+  /// @brief Sets the callback for a request that this host blocks or unblocks.
   void SetOnBlockChange(std::function<void(const CrashBlockChange&)> callback) {
     on_block_change_ = std::move(callback);
   }
 
-  /// @brief Whether no request is suspected. If so, no digests of requests
-  /// are needed.
+  /// @brief Whether no request is suspected. In this case the caller of this
+  /// class need not compute digests of requests.
   bool IsEmpty() const { return suspects_.empty(); }
   std::size_t size() const { return suspects_.size(); }
   std::size_t BlockedCount() const;
 
-  /// @brief Records that an upstream ended while it had the request.
+  /// @brief Records that an upstream ended while it was running the request.
   /// @param upstream hash of the upstream's id.
   void OnCrash(RequestDigest request, std::uint64_t upstream, Time now);
 
--- a/include/pathcleat/rollouts/rollout.hpp
+++ b/include/pathcleat/rollouts/rollout.hpp
@@ -21,7 +21,7 @@
 /// @ingroup rollouts
 struct RolloutInput {
   bool is_order_active = true;  ///< false: the order was withdrawn
-  Duration elapsed{0};          ///< since the start of the rollout
+  Duration elapsed{0};          ///< time since the start of the rollout
   int host_count = 1;  ///< hosts that may send requests, this host included
 };
 
--- a/include/pathcleat/rollouts/rollout_tally.hpp
+++ b/include/pathcleat/rollouts/rollout_tally.hpp
@@ -13,7 +13,9 @@
 /// @ingroup rollouts
 struct AnswerCounts {
   std::uint64_t good = 0;
-  std::uint64_t bad = 0;  ///< failures, and answers that took far too long
+  /// Failures, and answers that took more than twice the expected latency of a
+  /// cold run.
+  std::uint64_t bad = 0;
 
   std::uint64_t total() const { return good + bad; }
   void Add(const AnswerCounts& other);
--- a/include/pathcleat/rollouts/tally_table.hpp
+++ b/include/pathcleat/rollouts/tally_table.hpp
@@ -32,7 +32,7 @@
                      Time now);
 
   /// @brief Handles the sum over the own failure domain, from a host that
-  /// receives the reports of all its hosts.
+  /// receives the reports of all hosts of this domain.
   void OnOwnDomainTally(const RolloutTally& tally, Time now);
 
   /// @brief Sum over the own failure domain, to report to other domains.
@@ -53,7 +53,8 @@
   std::uint64_t order_;
   std::map<std::uint64_t, Received> hosts_;  ///< by incarnation
   Received own_domain_;                      ///< as reported by another host
-  std::map<std::string, Received> domains_;  ///< all domains but the own one
+  std::map<std::string, Received>
+      domains_;  ///< all failure domains except the own domain
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/rollouts/version_evaluator.hpp
+++ b/include/pathcleat/rollouts/version_evaluator.hpp
@@ -20,14 +20,15 @@
 class VersionEvaluator {
  public:
   /// @brief Adds the answers since the last call.
-  /// @param usual share of bad answers at the other versions in that time.
+  /// @param usual share of bad answers at the other versions since the last
+  /// call.
   void Add(const AnswerCounts& answers, double usual);
 
   bool IsBad() const;
   bool IsGood() const;
 
-  /// @brief Weaker than IsGood: the version is more likely good than bad, and
-  /// its cumulative sum is below half of the threshold for bad.
+  /// @brief A weaker condition than IsGood: the version is more likely good
+  /// than bad, and its cumulative sum is below half of the threshold for bad.
   bool IsLikelyGood() const;
 
  private:
--- a/include/pathcleat/steer/config_state.hpp
+++ b/include/pathcleat/steer/config_state.hpp
@@ -16,7 +16,7 @@
 /// that version.
 /// @ingroup steer
 struct ConfigState {
-  std::uint64_t version = 0;  ///< 0: the settings, before any change
+  std::uint64_t version = 0;  ///< 0: no change has been applied to the settings
   std::set<std::string> drained_upstreams;
   std::set<std::string> drained_regions;
   std::map<std::pair<std::string, std::string>, ShiftPlan>
--- a/include/pathcleat/steer/key_claim.hpp
+++ b/include/pathcleat/steer/key_claim.hpp
@@ -34,7 +34,7 @@
 enum class KeyAction {
   kPut,             ///< write the claim to the store, if the key has no row
   kRead,            ///< read the row
-  kRun,             ///< this request owns the key: run it, once
+  kRun,             ///< this request owns the key: run the request, once
   kReplayAnswer,    ///< send the stored response
   kAnswerRunning,   ///< answer that the request is still running
   kAnswerUnknown,   ///< answer that the request may have run
--- a/include/pathcleat/steer/shift.hpp
+++ b/include/pathcleat/steer/shift.hpp
@@ -82,7 +82,8 @@
   }
 
   /// @brief Counts one request sent away from the source region, if the cap
-  /// allows it. Requests that were shifted, spilled over or retried all count.
+  /// allows it. Requests that were shifted, spilled over or retried all count
+  /// as moved.
   bool TryMove();
 
   /// @brief Increases the moved share if the target's state allows it. Call
--- a/include/pathcleat/steer/token_bucket.hpp
+++ b/include/pathcleat/steer/token_bucket.hpp
@@ -31,7 +31,7 @@
 
   double rate_per_second() const { return per_second_; }
 
-  /// @brief Changes the long-term rate; the saved tokens stay.
+  /// @brief Changes the long-term rate. The tokens in the bucket are kept.
   void SetRate(double per_second, Time now);
 
  private:
--- a/src/pathcleat/accounts/account.cpp
+++ b/src/pathcleat/accounts/account.cpp
@@ -10,7 +10,8 @@
 namespace pathcleat {
 namespace {
 
-// No fleet admits more requests a second; a larger number is a mistake.
+// Maximum rate and burst of a limit. No fleet admits so many requests a second,
+// so a larger number is a mistake.
 constexpr double kMaxPerSecond = 1e9;
 
 bool IsInRange(double number) {
--- a/src/pathcleat/accounts/account_limiter.cpp
+++ b/src/pathcleat/accounts/account_limiter.cpp
@@ -14,10 +14,12 @@
 // requests, divided by the number that a window may have. Each ratio was
 // measured with seeds 1 and 2, with only that constant changed.
 
-// Parts of the overage and of the slack that are used up because hosts compute
-// their shares at slightly different times. The rest is left for requests that
-// are in flight when a surge begins. The part of the slack is large because at
-// a few requests a second random variation alone exceeds the limit at times.
+// Parts of QuotaBounds::overage and QuotaBounds::slack that are added to the
+// fleet's capacity. They are used up because hosts compute their shares at
+// slightly different times. The rest of overage and slack is left for requests
+// that are in flight when a surge begins. The part of the slack is large
+// because at a few requests a second random variation alone exceeds the limit
+// at times.
 constexpr double kUsedOverageRatio = 0.1;
 constexpr double kUsedSlackRatio = 0.5;
 // Shares have a part that is proportional to demand and a part that is equal
@@ -38,7 +40,7 @@
 // Shares are enforced when less than this part of the fleet's tokens is left.
 constexpr double kLowTokensRatio = 0.4;
 // Part of the fleet's tokens assumed to be left when a host starts: the other
-// hosts may have used them up.
+// hosts may have used up the rest.
 constexpr double kInitialFleetTokensRatio = 0.5;
 // While shares are not enforced, a host's token capacity is
 // kUnenforcedCapacityRatio times its share of the fleet's capacity, but at
@@ -47,8 +49,8 @@
 constexpr double kUnenforcedCapacityRatio = 0.7;
 constexpr double kUnenforcedMinRequests = 4;
 constexpr double kUnenforcedRateFactor = 1.3;
-// Part of the host's token capacity that is available when the host starts, and
-// at least available when the host no longer enforces shares.
+// Part of the host's token capacity that is available when the host starts.
+// When the host no longer enforces shares, at least this part is available.
 constexpr double kInitialHostTokensRatio = 0.25;
 // A local surge: with r as the last reported demand in requests a second, the
 // demand at this host exceeds kLocalSurgeFactor * r, plus kLocalSurgeNoise *
@@ -60,7 +62,7 @@
 // Time until every host has included a request in its figures: a heartbeat
 // interval, a report interval, and the averaging time.
 constexpr double kReportDelaySeconds = 1.2;
-// Time in which the tokens left are to be used up. About twice
+// Time in which the tokens left are to be used up. It is about twice
 // kReportDelaySeconds, so that the hosts' rates do not oscillate together.
 constexpr double kSpendSeconds = 2.5;
 // Tokens kept in reserve for use by other hosts that is not reported yet, as
@@ -179,8 +181,8 @@
 }
 
 // Pseudo-random fraction in [0, 1). It differs between hosts, so that hosts
-// with a share of less than one request each do not all admit one at the same
-// time.
+// with a share of less than one request each do not all admit a request at the
+// same time.
 double AccountLimiter::NextRandomFraction() {
   random_state_ = MixHashes(random_state_, random_state_ + 1);
   return ToUnitInterval(random_state_);
@@ -261,9 +263,9 @@
 }
 
 // A host that sends no reports may not have received this host's last report
-// either, and its own demand may have grown meanwhile. So while a host is
-// silent, this host reports the lowest demand of the time in which the silent
-// host was still considered alive.
+// either, and the demand at the silent host may have grown meanwhile. So while
+// a host is silent, this host reports the lowest demand of the time in which
+// the silent host was still considered alive.
 AccountUsage AccountLimiter::ReportUsage(bool has_silent_host, Time now) {
   const double demand = demand_.PerSecond(now);
   if (has_silent_host) {
--- a/src/pathcleat/accounts/quota_control.cpp
+++ b/src/pathcleat/accounts/quota_control.cpp
@@ -14,7 +14,7 @@
 // not report adds up to at most this part of the limit.
 constexpr double kMinReportedRatio = 0.1;
 
-// The entries with the highest demand, as many as fit one report.
+// Returns the entries with the highest demand, at most kMaxUsageEntries.
 std::vector<UsageEntry> TopEntries(
     const std::unordered_map<std::uint64_t, AccountUsage>& usages) {
   std::vector<UsageEntry> entries;
--- a/src/pathcleat/crashes/crash_tracker.cpp
+++ b/src/pathcleat/crashes/crash_tracker.cpp
@@ -9,8 +9,8 @@
 namespace pathcleat {
 namespace {
 
-// An entry takes about 150 bytes. If more requests are suspected, the entries
-// with the most crashes are kept.
+// An entry takes about 150 bytes of memory. If more requests are suspected, the
+// entries with the most crashes are kept.
 constexpr std::size_t kMaxSuspects = 1'024;
 // Length of a turn, in which one host may try a blocked request. It is longer
 // than any trial takes, so that two trials do not overlap.
@@ -25,8 +25,8 @@
 // kRepeatWindow, when callers are unlikely to send the request again.
 constexpr Duration kRepeatInterval{2'000'000};
 constexpr Duration kRepeatWindow = std::chrono::minutes(2);
-// A change received within the own domain is kept for other domains this long,
-// in case this host becomes the one that reports to them.
+// A change received within the own domain is kept for reports to other domains
+// for kUpdateTtl, in case this host starts to report for its domain.
 constexpr Duration kUpdateTtl = std::chrono::seconds(5);
 
 int ReportCountOf(const SuspectRequest& suspect) {
@@ -206,7 +206,8 @@
   return again || (remaining > 0 && now >= due);
 }
 
-// Entries that do not fit are sent with the next report.
+// A report has at most kMaxCrashEntries entries. Entries above this number are
+// sent with the next report.
 CrashReport CrashTracker::MakeReport(bool forward_to_domain,
                                      PublishState Suspect::*publish_state,
                                      bool repeats_blocked,
--- a/src/pathcleat/crashes/crash_tracker_test.cpp
+++ b/src/pathcleat/crashes/crash_tracker_test.cpp
@@ -135,8 +135,8 @@
                                        At(seconds(1))));
 }
 
-// Guards against a host that was cut off when others were notified, and sends a
-// blocked request after it is connected again.
+// Guards against a host that was cut off when other hosts were notified, and
+// sends a blocked request after it is connected again.
 Test(crash_tracker, reporters_repeat_blocked_requests) {
   CrashTracker reporter("a", "a-1");
   Block(reporter, At(seconds(0)));
--- a/src/pathcleat/crashes/request_digest.cpp
+++ b/src/pathcleat/crashes/request_digest.cpp
@@ -27,7 +27,8 @@
   Append(text, FindHeader(request.headers, "Host").value_or(""));
   Append(text, request.target);
   Append(text, account);
-  // Bodies may be large: their digest is appended, so that they are not copied.
+  // The digest of the body is appended instead of the body, so that a large
+  // body is not copied.
   const KeyedDigest body = hasher.Digest(request.body);
   text.append(body.begin(), body.end());
   const KeyedDigest digest = hasher.Digest(text);
--- a/src/pathcleat/crashes/suspect_request.cpp
+++ b/src/pathcleat/crashes/suspect_request.cpp
@@ -7,7 +7,8 @@
 namespace pathcleat {
 namespace {
 
-// Long enough for a request that is sent rarely to cause its third crash.
+// Time after the last crash for which a request that is not blocked is kept. It
+// is long enough for a request that is sent rarely to cause its third crash.
 constexpr Duration kSuspectTtl = std::chrono::minutes(10);
 constexpr Duration kBlockedTtl = std::chrono::hours(2);
 // Time for which an answer is kept. A report of an earlier crash may still be
--- a/src/pathcleat/rollouts/rollout_test.cpp
+++ b/src/pathcleat/rollouts/rollout_test.cpp
@@ -21,7 +21,7 @@
 // Quality of a version's answers.
 struct AnswerModel {
   double bad = 0;        ///< share of bad answers among the affected answers
-  Duration bad_from{0};  ///< all answers before that are good
+  Duration bad_from{0};  ///< all answers before this time are good
   std::uint64_t only_route =
       0;  ///< bad answers on this route only; 0: on all routes
 };
@@ -209,7 +209,8 @@
   }
 }
 
-// Number of bad answers that the users' limit allows in any case.
+// Number of bad answers that the users' limit allows regardless of the number
+// of requests.
 constexpr int kMaxBadAnswers = 50;
 
 // Fails if Rollout::IsBad always returns false.
@@ -366,9 +367,9 @@
   cr_assert(rollout.IsVersionAllowed("v2"));
 }
 
-// If the list has only one version, that version gets the requests, also after
-// a rollback; an old version that is the only one listed does not count as
-// ended.
+// If the list of upstreams has only one version, that version gets the
+// requests, also after a rollback; an old version that is the only one listed
+// does not count as ended.
 Test(rollout, only_listed_version_gets_requests) {
   RolloutControl control("d", 1);
   control.SetOrders({MakeOrder()});
--- a/src/pathcleat/rollouts/tally_table.cpp
+++ b/src/pathcleat/rollouts/tally_table.cpp
@@ -6,8 +6,8 @@
 namespace pathcleat {
 namespace {
 
-// Tallies are sent twice a second. A tally that is older than this may be from
-// a dead host, and its requests in flight no longer count.
+// Tallies are sent twice a second. A tally that is older than kInFlightTtl
+// may be from a dead host, so its requests in flight no longer count.
 constexpr Duration kInFlightTtl{2'500'000};
 
 void MergeMaxAnswers(RolloutTally& kept, const RolloutTally& received) {
--- a/src/pathcleat/rollouts/version_evaluator.cpp
+++ b/src/pathcleat/rollouts/version_evaluator.cpp
@@ -9,7 +9,7 @@
 
 // Excess of the share of bad answers over the usual share. Up to kGoodExcess a
 // version counts as good, so that random variation alone does not make it bad.
-// From kBadExcess on (with kBadUsualFactor) it counts as bad.
+// From kBadExcess on (with kBadUsualFactor) the version counts as bad.
 constexpr double kGoodExcess = 0.02;
 constexpr double kBadExcess = 0.07;
 // The share of a bad version also grows with the usual share by this factor:
--- a/src/pathcleat/steer/key_claim.cpp
+++ b/src/pathcleat/steer/key_claim.cpp
@@ -6,7 +6,8 @@
 namespace pathcleat {
 namespace {
 // Store calls that a claim may make after the first put: one to read the row,
-// one to put the row again if the read found none, and one to read it again.
+// one to put the row again if the read found no row, and one to read the row
+// again.
 constexpr int kMaxRetries = 3;
 }  // namespace
 
@@ -31,7 +32,8 @@
     case StoreOutcome::kConflict:
     case StoreOutcome::kUnknown:
       // The row belongs to another claim, or to this claim if the answer to its
-      // put was lost. The token in the row shows which of the two it is.
+      // put was lost. The token in the row shows to which claim the row
+      // belongs.
       return Retry(KeyAction::kRead);
     case StoreOutcome::kNotDone:
     case StoreOutcome::kHistoryGone:
--- a/src/pathcleat/steer/key_claim_test.cpp
+++ b/src/pathcleat/steer/key_claim_test.cpp
@@ -124,7 +124,7 @@
     const bool certainly_not_run = choice % 6 == 0;
     if (certainly_not_run) {
       attempt.result = CallerResult::kNotRun;
-      // Deleted only if the version is still that of the claim.
+      // The host deletes the row only if the row still has the claim's version.
       if (row_.version == attempt.claim.version()) {
         row_ = {};
       }
--- a/src/pathcleat/steer/shift.cpp
+++ b/src/pathcleat/steer/shift.cpp
@@ -6,14 +6,15 @@
 namespace pathcleat {
 namespace {
 
-// A target state older than this is ignored.
+// A target state older than kMaxStateAge is not used: the shift is held.
 constexpr Duration kMaxStateAge{2'000'000};
 // Minimum free share of the target's slots at which a shift still advances.
 constexpr double kMinHeadroom = 0.15;
 // Maximum ratio of the target's latency to its latency at the start of the
 // shift. Above this ratio the moved share does not grow.
 constexpr double kMaxLatencyRatio = 1.5;
-// Ramp time of a plan without one: the moved share reaches the cap in one step.
+// Ramp time that is used for a plan whose ramp time is 0: the moved share
+// reaches the cap in one step.
 constexpr Duration kMinRampTime{1};
 
 }  // namespace
