--- a/include/pathcleat/calls/idempotency_key_row.hpp
+++ b/include/pathcleat/calls/idempotency_key_row.hpp
@@ -20,7 +20,7 @@
   HttpResponse answer;                     ///< for kFinished
 };
 
-/// @brief Name of the row of a key of a service.
+/// @brief Name of the row that stores an idempotency key of a service.
 /// @ingroup calls
 std::string IdempotencyKeyRowName(const std::string& service,
                                   const std::string& key);
--- a/include/pathcleat/calls/idle_reuse_limit.hpp
+++ b/include/pathcleat/calls/idle_reuse_limit.hpp
@@ -7,10 +7,10 @@
 
 /// @brief How long a connection may have been idle before it is reused for a
 /// request that must not be repeated. Upstreams may drop an idle connection
-/// silently: a request sent on it is lost, and nobody can tell whether it has
-/// run. The limit is learned from connections that broke at their first use
-/// after an idle time, and rises again while no further connection breaks. Not
-/// thread-safe.
+/// silently: a request sent on it is lost, and the host cannot tell whether the
+/// request has run. The limit is learned from connections that broke at their
+/// first use after an idle time, and rises again while no further connection
+/// breaks. Not thread-safe.
 /// @ingroup calls
 class IdleReuseLimit {
  public:
--- a/include/pathcleat/feeds/change_journal.hpp
+++ b/include/pathcleat/feeds/change_journal.hpp
@@ -38,7 +38,8 @@
   };
 
   std::size_t capacity_;
-  std::uint64_t complete_after_ = 0;  ///< no later change is missing
+  /// All changes after this version are kept.
+  std::uint64_t complete_after_ = 0;
   std::deque<Change> changes_;
 };
 
--- a/include/pathcleat/feeds/config_history.hpp
+++ b/include/pathcleat/feeds/config_history.hpp
@@ -10,10 +10,10 @@
 
 namespace pathcleat {
 
-/// @brief Encodes the newest configuration for other hosts, as an update of the
-/// version that the receiver has in force. Each update is encoded once for all
-/// hosts with the same version. Of older versions only the hashes of routes and
-/// accounts are kept. Not thread-safe.
+/// @brief Encodes the newest configuration for other hosts, as an update from
+/// the version that the receiver has in force. Each update is encoded once for
+/// all hosts with the same version. Of older versions only the hashes of routes
+/// and accounts are kept. Not thread-safe.
 /// @ingroup feeds
 class ConfigHistory {
  public:
--- a/include/pathcleat/feeds/fleet_snapshot.hpp
+++ b/include/pathcleat/feeds/fleet_snapshot.hpp
@@ -21,7 +21,7 @@
 struct FleetSnapshot {
   SourceTopic topic = SourceTopic::kOrders;
   std::uint64_t version = 0;  ///< version up to which the data is complete
-  std::uint64_t newest_change_version = 0;  ///< seen by the host
+  std::uint64_t newest_change_version = 0;  ///< seen by the sending host
   bool is_full = true;  ///< false: only changes since a version
   /// The store was unreachable recently: missing entries may have expired
   /// instead of having been removed.
--- a/include/pathcleat/feeds/relayed_source.hpp
+++ b/include/pathcleat/feeds/relayed_source.hpp
@@ -78,7 +78,8 @@
   std::map<SourceTopic, bool> store_answers_;
   /// Topics whose last watch at the store got no answer.
   std::set<SourceTopic> broken_watches_;
-  /// By topic: since when this host has waited for other hosts to read it.
+  /// By topic: since when this host has waited for other hosts to read the
+  /// topic.
   std::map<SourceTopic, Time> waiting_since_;
   std::optional<Time> store_failed_at_;
 };
--- a/include/pathcleat/feeds/snapshot_provider.hpp
+++ b/include/pathcleat/feeds/snapshot_provider.hpp
@@ -12,8 +12,9 @@
 /// @ingroup feeds
 struct FeedRequest {
   SourceTopic topic = SourceTopic::kOrders;
-  std::uint64_t after = 0;  ///< version the requester has; 0: send all
-  Duration wait{0};         ///< how long to wait if there is no change yet
+  /// Version that the requester has; 0: none, so all data is sent.
+  std::uint64_t after = 0;
+  Duration wait{0};  ///< how long to wait if there is no change yet
   std::uint64_t config_version = 0;  ///< in force at the requester; 0: none
 };
 
--- a/include/pathcleat/feeds/source_watcher.hpp
+++ b/include/pathcleat/feeds/source_watcher.hpp
@@ -100,7 +100,7 @@
   Handler handler_;
   ReachabilityHandler on_reachability_;
   boost::asio::steady_timer timer_;
-  SourceAnswer collected_pages_;  ///< of the read in progress
+  SourceAnswer collected_pages_;  ///< read so far by the read in progress
   std::uint64_t first_page_version_ = 0;
   std::uint64_t version_ = 0;
   std::uint64_t newest_change_version_ = 0;
@@ -110,10 +110,12 @@
   Time last_restart_;  ///< when a watch last counted as dead
   Time watch_started_at_;
   Time answered_at_;
-  bool last_call_failed_ = false;  ///< or the watch counted as dead
-  bool reading_ = false;           ///< a read of the whole topic is in progress
-  bool store_reachable_ = false;   ///< the last call to the store was answered
-  bool last_call_answered_ = false;  ///< by the store or by another host
+  /// Whether the last call got no answer, or the last watch counted as dead.
+  bool last_call_failed_ = false;
+  bool reading_ = false;          ///< a read of the whole topic is in progress
+  bool store_reachable_ = false;  ///< the last call to the store was answered
+  /// Whether the store or another host answered the last call.
+  bool last_call_answered_ = false;
   bool loaded_ = false;
 };
 
--- a/include/pathcleat/fleet/domain_report.hpp
+++ b/include/pathcleat/fleet/domain_report.hpp
@@ -24,7 +24,7 @@
 /// @ingroup fleet
 struct MemberObservation {
   std::uint64_t id = 0;      ///< IncarnationId
-  std::uint16_t age_ms = 0;  ///< age of its last heartbeat, at most 32,767 ms
+  std::uint16_t age_ms = 0;  ///< of the last heartbeat, at most 32,767 ms
   bool leaving = false;
 
   // The age and the flag share two bytes, as every byte of an observation is
@@ -60,15 +60,16 @@
   }
 };
 
-/// @brief What one failure domain reports to another about its hosts: from
-/// which of them heartbeats arrived and how long ago. A host that is missing in
-/// a report is not declared dead: it times out once no report lists it any
-/// more.
+/// @brief The report of one failure domain on its hosts, sent to the other
+/// domains: the hosts from which heartbeats arrived, and the time since each
+/// heartbeat. A host that is missing in a report does not count as dead at
+/// once: the host times out when its last reported heartbeat is too old.
 /// @ingroup fleet
 struct DomainReport {
   std::string domain;  ///< domain of the reported hosts
   HybridTime time;
-  bool forward_to_domain = false;  ///< receiver sends it on in its own domain
+  /// Whether the receiver must forward the report within its own domain.
+  bool forward_to_domain = false;
   std::vector<MemberGroup> groups;
   std::vector<HostInfo> host_infos;  ///< complete records of a few hosts
   RolloutTallies rollout_tallies;  ///< of all hosts of the domain; in the first
--- a/include/pathcleat/fleet/domain_reporter.hpp
+++ b/include/pathcleat/fleet/domain_reporter.hpp
@@ -41,8 +41,8 @@
 
   /// @brief Peer addresses of the hosts that receive the reports of this
   /// round: one host of each other domain. The choice changes from round to
-  /// round, so that a host that is cut off or does not forward reports keeps
-  /// them from its domain for that round only.
+  /// round: if the receiver is cut off or does not forward reports, its domain
+  /// misses the reports of that round only.
   std::vector<std::string> Receivers(Time now);
 
  private:
@@ -54,8 +54,9 @@
   const HostTable& hosts_;
   Time started_;
   std::uint64_t round_ = 0;
-  std::size_t next_new_host_ = 0;    ///< round-robin position among new hosts
-  std::size_t next_other_host_ = 0;  ///< round-robin position among other hosts
+  std::size_t next_new_host_ = 0;  ///< round-robin position among new hosts
+  /// Round-robin position among the hosts that are not new.
+  std::size_t next_other_host_ = 0;
 };
 
 }  // namespace pathcleat
--- a/include/pathcleat/fleet/host_table.hpp
+++ b/include/pathcleat/fleet/host_table.hpp
@@ -22,7 +22,7 @@
   Time last_seen;    ///< last heartbeat, or when its record arrived
   Time alive_since;  ///< first heartbeat or record of this incarnation
   bool alive_at_last_check = false;
-  bool has_heartbeat = false;  ///< false: only its record came, no heartbeat
+  bool has_heartbeat = false;  ///< false: only the host's record arrived
   HostVersions versions;
 };
 
@@ -42,7 +42,8 @@
   /// @brief Detects that this host was stalled since the last call. Call this
   /// a few times a second, and before any decision that depends on which hosts
   /// are alive. A machine that was suspended or stalled received no heartbeats
-  /// meanwhile, so that time does not count towards the timeout of others.
+  /// during the stall, so the stall does not count towards other hosts'
+  /// time-outs.
   void CheckForStall(Time now);
 
   /// @brief Returns the duration of the last stall of this host and resets it
@@ -88,7 +89,7 @@
   std::vector<const HostEntry*> Others() const;
 
   /// @brief Number of hosts that share a region's limits, this host included
-  /// if it is in the region; at least one, as limits are divided by it.
+  /// if it is in the region; at least 1, as limits are divided by this number.
   int LimitSharerCountIn(const std::string& region, Time now) const;
 
   /// @brief Number of hosts that share limits, by region, this host included.
--- a/include/pathcleat/fleet/host_versions.hpp
+++ b/include/pathcleat/fleet/host_versions.hpp
@@ -12,8 +12,8 @@
 struct HostVersions {
   std::uint64_t config = 0;     ///< routing configuration in force
   std::uint64_t commands = 0;   ///< operators' commands in force
-  std::uint64_t orders = 0;     ///< newest change of the orders seen
-  std::uint64_t upstreams = 0;  ///< newest change of the upstreams seen
+  std::uint64_t orders = 0;     ///< version of the newest order change seen
+  std::uint64_t upstreams = 0;  ///< version of the newest upstream change seen
   StoreAccess store_access = StoreAccess::kFollowingPeer;
   std::uint32_t config_age_ms = 0;  ///< time since `config` came into force
 
--- a/include/pathcleat/fleet/peer_datagram.hpp
+++ b/include/pathcleat/fleet/peer_datagram.hpp
@@ -9,8 +9,8 @@
 namespace pathcleat {
 
 /// @brief Message type and format version of a datagram between hosts: a
-/// changed format gets a new number. It is the first byte of the authenticated
-/// payload.
+/// changed format gets a new number. The number is the first byte of the
+/// authenticated payload.
 /// @ingroup fleet
 enum class DatagramKind : std::uint8_t {
   kHeartbeat = 0x21,
--- a/include/pathcleat/fleet/store_access.hpp
+++ b/include/pathcleat/fleet/store_access.hpp
@@ -9,7 +9,7 @@
 /// @ingroup fleet
 enum class StoreAccess : std::uint8_t {
   kFollowingPeer,  ///< from another host
-  kWatching,       ///< from the store, which answers
+  kWatching,       ///< from the store, which answered the last calls
   kFailing,        ///< a recent call to the store got no answer
 };
 
--- a/include/pathcleat/fleet/up_to_date_host.hpp
+++ b/include/pathcleat/fleet/up_to_date_host.hpp
@@ -11,7 +11,7 @@
 
 /// @brief Chooses the host from which this host fetches missing data, among all
 /// living hosts that have the data: the nearest host, and among equally near
-/// ones the host with the widest link.
+/// hosts the one with the highest link capacity.
 /// @param has_data predicate: whether a host with these versions has the data.
 /// @param salt spreads the choice among equal hosts. Use another salt for each
 /// fetch, so that a host that does not answer is not chosen every time.
--- a/include/pathcleat/gateway/fleet_sync.hpp
+++ b/include/pathcleat/gateway/fleet_sync.hpp
@@ -13,8 +13,8 @@
 
 namespace pathcleat {
 
-/// @brief Keeps the host's configuration, drains, rollouts and list of
-/// upstreams in step with the tables of the platform. It watches the store or
+/// @brief Updates the host's configuration, drains, rollouts and list of
+/// upstreams when the tables of the platform change. Watches the store or
 /// another host, publishes this host's state to other hosts, and fetches
 /// updates from a host that has a newer version.
 /// @ingroup gateway
--- a/include/pathcleat/gateway/upstream_attempt.hpp
+++ b/include/pathcleat/gateway/upstream_attempt.hpp
@@ -82,7 +82,8 @@
   void CountFailure();
 
   /// @brief Counts a missing answer if the upstream has taken too long and has
-  /// answered no other request meanwhile, so that later requests go elsewhere.
+  /// answered no other request meanwhile, so that later requests go to other
+  /// upstreams.
   /// An upstream that answers other requests is only busy.
   void CountMissingAnswer();
 
--- a/src/pathcleat/calls/shutdown_schedule.cpp
+++ b/src/pathcleat/calls/shutdown_schedule.cpp
@@ -15,8 +15,9 @@
 // upstream's last answer to pass a long link (35 ms between regions), a
 // connection that needed a second attempt (about 0.3 s) and a busy host.
 constexpr Duration kWorkMargin{1'000'000};
-// Requests still open are answered with the outcome as far as it is known. This
-// happens within the last sixth of the usual grace time of 6 s.
+// Time before the end of the grace time at which the requests still open are
+// answered with the outcome as far as it is known. The margin lies within the
+// last sixth of the usual grace time of 6 s.
 constexpr Duration kFinalAnswerMargin{500'000};
 // Time for the last answers to leave the host and for the process to exit.
 constexpr Duration kExitMargin{250'000};
--- a/src/pathcleat/feeds/config_history_test.cpp
+++ b/src/pathcleat/feeds/config_history_test.cpp
@@ -58,7 +58,7 @@
   cr_assert(ContentHashes(applied->routes) == ContentHashes(config.routes));
 }
 
-// Guards against an update that is encoded again for each follower.
+// Guards against an update that is encoded again for each host that gets it.
 Test(config_history, update_is_encoded_once_for_hosts_with_the_same_version) {
   ConfigHistory history;
   const RoutingConfig config = LargeConfig();
--- a/src/pathcleat/feeds/config_lag_test.cpp
+++ b/src/pathcleat/feeds/config_lag_test.cpp
@@ -20,8 +20,8 @@
   cr_assert(lag.LagDuration(kStart + kSecond) == 3 * kSecond);
 }
 
-// A host that always lacks the newest version of a series must not count as up
-// to date.
+// Versions come into force one after another. A host that applies each version
+// only after a newer one is in force must not count as up to date.
 Test(config_lag, newer_versions_do_not_hide_the_first_one_missing) {
   ConfigLag lag(kReportTtl);
   lag.OnApplied(5);
--- a/src/pathcleat/feeds/peer_feed.cpp
+++ b/src/pathcleat/feeds/peer_feed.cpp
@@ -42,7 +42,7 @@
 constexpr std::chrono::milliseconds kSweepInterval{500};
 // Answers are cached because encoding 10,000 entries takes 3 ms. Times in an
 // answer (how long an upstream is still cold, whether entries may have lapsed)
-// are out of date by at most this much.
+// are out of date by at most this time.
 constexpr Duration kAnswerTtl{200'000};
 // At any time the followers of a host have about this many different versions.
 constexpr std::size_t kMaxCachedAnswers = 4;
--- a/src/pathcleat/fleet/domain_reporter.cpp
+++ b/src/pathcleat/fleet/domain_reporter.cpp
@@ -13,8 +13,8 @@
 
 constexpr int kReporterCount = 2;
 // A reporter that missed two heartbeats (0.5 s apart) is replaced. Other
-// domains then get reports on this domain again before its hosts time out
-// there, 2.5 s after their last heartbeat.
+// domains then get reports on this domain again before they count its hosts as
+// dead, 2.5 s after the last heartbeat of a host.
 constexpr Duration kReporterTimeout{1'100'000};
 // At 10 bytes per host and 45 bytes per group, this many hosts in three groups
 // fit a datagram of 1,472 bytes. More groups are rare and need a second packet.
--- a/src/pathcleat/fleet/domain_reporter_test.cpp
+++ b/src/pathcleat/fleet/domain_reporter_test.cpp
@@ -205,7 +205,8 @@
   cr_assert_eq(reports.front().groups.size(), 2U);
   const MemberGroup& group = reports.front().groups.front();
   cr_assert_eq(group.members.size(), 3U);
-  // The group has the largest configuration age of its members, as of now.
+  // The group has the largest configuration age of its members, computed for
+  // the time of the report.
   cr_assert_eq(group.versions.config_age_ms, 950U);
 }
 
--- a/src/pathcleat/fleet/host_table.cpp
+++ b/src/pathcleat/fleet/host_table.cpp
@@ -108,7 +108,8 @@
   HostEntry& host = others_.at(name->second);
   const Time last_heartbeat = now - std::chrono::milliseconds(member.age_ms);
   const bool was_alive = IsAlive(host, now);
-  // A heartbeat from the host itself or from a faster report is newer.
+  // The last recorded heartbeat of the host is at least as new: it came from
+  // the host itself or in a report that arrived earlier.
   if (host.has_heartbeat && last_heartbeat <= host.last_seen) {
     return nullptr;
   }
--- a/src/pathcleat/gateway/gateway.cpp
+++ b/src/pathcleat/gateway/gateway.cpp
@@ -320,8 +320,8 @@
   const auto host = FindHeader(request.headers, "Host").value_or("");
   auto route = state_.routes.Find(host, request.target);
   if (!route) {
-    // A newer configuration version may have the route, so the status 404 could
-    // be wrong.
+    // If this host lacks a newer configuration version, that version may
+    // contain the route, and the status 404 could be wrong.
     exchange->Respond(
         fleet_sync_.config_lag().IsBehind(BootClock::now())
             ? NotRunResponse(kConfigBehind, RetryDelayWithoutConfig(*exchange))
