--- a/include/pathcleat/fleet/peer_link.hpp
+++ b/include/pathcleat/fleet/peer_link.hpp
@@ -53,6 +53,7 @@
       std::function<HostVersions()> versions,
       std::function<void(const std::string&, const HostVersions&)> on_versions);
 
+  /// @brief Binds the UDP socket that exchanges messages with other hosts.
   Result<void> Open(const std::string& address, std::uint16_t port);
 
   /// @brief Sets the key that authenticates messages. Without a key no message
--- a/src/pathcleat/calls/idempotency_key_store.cpp
+++ b/src/pathcleat/calls/idempotency_key_store.cpp
@@ -12,9 +12,9 @@
 namespace pathcleat {
 namespace {
 
-// Largest expected difference between the clocks of hosts. With a larger one, a
-// repeat of a request that still runs may be answered as "unknown"; the request
-// is never run a second time either way.
+// Largest expected difference between the clocks of hosts. With a larger
+// difference, a repeat of a request that still runs may be answered as
+// "unknown"; the request is never run a second time either way.
 constexpr std::uint64_t kClockSkewMicros = 5'000'000;
 // A write that settles or releases a key is retried for about a minute.
 constexpr int kMaxSettleRetries = 30;
--- a/src/pathcleat/feeds/peer_feed.cpp
+++ b/src/pathcleat/feeds/peer_feed.cpp
@@ -24,9 +24,9 @@
 // The first byte of an answer must arrive within the request's wait time plus
 // this timeout, as hosts answer at once or at the end of the wait time.
 constexpr Duration kAnswerTimeout{1'000'000};
-// Once an answer has begun, it is given up if no byte of it arrives for this
-// long. The time covers two TCP retransmissions. A full configuration takes
-// 0.15 s at 10 Mbit/s, so an answer that still arrives has shorter gaps.
+// A transfer whose answer has begun is abandoned if no further byte arrives for
+// this time. The time covers two TCP retransmissions. A full configuration
+// takes 0.15 s at 10 Mbit/s, so an answer that still arrives has shorter gaps.
 constexpr Duration kProgressTimeout{1'500'000};
 // Time without an acknowledgement after which a connection counts as dead. With
 // the probes' interval, a dead watch is found after 2 s, as for watches of the
@@ -104,8 +104,8 @@
              : "not an answer of this fleet";
 }
 
-// A snapshot with version 0, older than any data that a host has, so that it
-// changes nothing.
+// A snapshot with version 0, older than any data that a host has. So the
+// snapshot changes nothing at its receiver.
 FleetSnapshot EmptySnapshot(SourceTopic topic) {
   FleetSnapshot snapshot;
   snapshot.topic = topic;
--- a/src/pathcleat/feeds/source_watcher.cpp
+++ b/src/pathcleat/feeds/source_watcher.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-// After a change the watch pauses before it waits for the next one: changes
+// After a change the watch pauses before it waits for the next change: changes
 // come in series, and each answer of the store is billed.
 struct SourceWatcher::Timing {
   Duration pause_after_change;      ///< pause of the watch after a change
--- a/src/pathcleat/fleet/domain_reporter.cpp
+++ b/src/pathcleat/fleet/domain_reporter.cpp
@@ -27,11 +27,11 @@
 constexpr std::size_t kMaxHostInfosWithoutMembers = 6;
 // Maximum number of new hosts whose records are sent in one round. If 33 hosts
 // of a domain start at the same moment and each has read the rows of only a few
-// others, a reporter sends all their records in two rounds. When 295 hosts of a
-// fleet started in this way, each had all records within 3 s.
+// other hosts, a reporter sends all their records in two rounds. When 295 hosts
+// of a fleet started in this way, each had all records within 3 s.
 constexpr std::size_t kMaxNewHostInfosPerRound = 21;
 // For this long after its start the record of a new host is sent repeatedly, so
-// that other domains get it even if one or two datagrams are lost.
+// that other domains get the record even if one or two datagrams are lost.
 constexpr Duration kNewHostWindow{3'000'000};
 // Once in this many rounds a reporter also sends the record of one host that is
 // not new, a different host each time, for receivers that missed the record
--- a/src/pathcleat/fleet/host_table.cpp
+++ b/src/pathcleat/fleet/host_table.cpp
@@ -77,7 +77,7 @@
   const bool was_alive = found != others_.end() && IsAlive(found->second, now);
   // Incarnation numbers are taken from the time of day, which may have been set
   // back. So once an incarnation has timed out, any other incarnation replaces
-  // it, even one with a lower number.
+  // the old one, even an incarnation with a lower number.
   if (was_alive && host.incarnation < found->second.info.incarnation) {
     return false;
   }
--- a/src/pathcleat/fleet/peer_link_publishers.cpp
+++ b/src/pathcleat/fleet/peer_link_publishers.cpp
@@ -59,7 +59,7 @@
 }
 
 // Sends the usage of all domains to a host that has just started, which would
-// otherwise get it one round of reports later.
+// otherwise get the usage one round of reports later.
 void PeerLink::SendUsageSnapshot(const std::string& address) {
   for (const UsageReport& report : publishers_.usage.UsageSnapshot()) {
     SendUsage(address, SealUsage(report));
--- a/src/pathcleat/gateway/fleet_sync.cpp
+++ b/src/pathcleat/gateway/fleet_sync.cpp
@@ -322,8 +322,9 @@
 }
 
 // Sets the deadlines of lapsed upstreams to `until` where they are later.
-// Called when the store is reachable again, or another host relays that it is:
-// upstreams whose entries lapsed meanwhile must be listed again by then.
+// Called when the store is reachable again, or another host reports that the
+// store is reachable: upstreams whose entries lapsed while the store was
+// unreachable must be listed again by `until`.
 void FleetSync::LimitLapseDeadlines(Time until) {
   for (const UpstreamPtr& upstream : state_.upstreams.LapsedUpstreams()) {
     upstream->lapse_deadline = std::min(*upstream->lapse_deadline, until);
--- a/src/pathcleat/gateway/gateway.cpp
+++ b/src/pathcleat/gateway/gateway.cpp
@@ -33,7 +33,7 @@
 constexpr Duration kFirstHostLag{500'000};
 
 // Time for two attempts at reading the rows of the other hosts. A host that has
-// found no other hosts by then reads all that it needs from the store.
+// found no other hosts after this time reads all that it needs from the store.
 constexpr Duration kRowReadTimeout{3'000'000};
 
 constexpr const char* kNoConfig = "no configuration yet";
--- a/src/pathcleat/gateway/request_handler.cpp
+++ b/src/pathcleat/gateway/request_handler.cpp
@@ -141,8 +141,8 @@
 }
 
 // A repeatable request fails over if its upstream stays silent for far longer
-// than expected, another upstream can accept it and time is left. Otherwise it
-// keeps waiting, as the work in progress may still be answered.
+// than expected, another upstream can accept the request and time is left.
+// Otherwise the request keeps waiting, as the upstream may still answer.
 void RequestHandler::StartFailoverTimer(Duration timeout) {
   if (state_.settings.policy.IsEnabled(Mechanism::kPatience)) {
     StartTimer(failover_timer_, timeout, &RequestHandler::OnFailoverTimeout);
--- a/src/pathcleat/gateway/upstream_attempt.cpp
+++ b/src/pathcleat/gateway/upstream_attempt.cpp
@@ -96,9 +96,9 @@
 }
 
 // An answer with status 421 comes from another upstream that has taken over the
-// address, so it says nothing about the limit of the upstream that was picked.
-// A "not run" answer may state a limit, but if it lacks the header, an earlier
-// limit stays in force.
+// address, so the answer does not state the limit of the upstream that was
+// picked. A "not run" answer may state a limit, but if the answer lacks the
+// header, an earlier limit stays in force.
 void UpstreamAttempt::UpdateRateLimit(const HttpResponse& response) {
   const Time now = BootClock::now();
   const UpstreamPtr& upstream = pick_.upstream;
--- a/src/pathcleat/records/rollout_writer.cpp
+++ b/src/pathcleat/records/rollout_writer.cpp
@@ -6,12 +6,12 @@
 namespace pathcleat {
 namespace {
 
-// A host waits for this long per host that is ahead of it. In that time the
+// A host waits for this time per host that is ahead of it. In that time the
 // host ahead can scan and write the store. If the first three hosts are dead,
 // the fourth acts after 0.6 s.
 constexpr Duration kDelayPerHostAhead{200'000};
-// A host with more hosts than this ahead of it does nothing, as so many hosts
-// are not expected to die at the same moment.
+// A host does nothing if more than this number of hosts are ahead of it, as so
+// many hosts are not expected to die at the same moment.
 constexpr int kMaxHostsAhead = 30;
 
 RolloutOutcome OutcomeOf(RolloutPhase phase) {
