--- a/src/pathcleat/fleet/domain_reporter.cpp
+++ b/src/pathcleat/fleet/domain_reporter.cpp
@@ -13,8 +13,8 @@
 
 constexpr int kReporterCount = 2;
 // A reporter that missed two heartbeats (0.5 s apart) is replaced. Other
-// domains then get reports on this domain again before its hosts time out
-// there, 2.5 s after their last heartbeat.
+// domains then get reports on this domain again before they count its hosts as
+// dead, 2.5 s after the last heartbeat of a host.
 constexpr Duration kReporterTimeout{1'100'000};
 // At 10 bytes per host and 45 bytes per group, this many hosts in three groups
 // fit a datagram of 1,472 bytes. More groups are rare and need a second packet.
@@ -27,11 +27,11 @@
 constexpr std::size_t kMaxHostInfosWithoutMembers = 6;
 // Maximum number of new hosts whose records are sent in one round. If 33 hosts
 // of a domain start at the same moment and each has read the rows of only a few
-// others, a reporter sends all their records in two rounds. When 295 hosts of a
-// fleet started in this way, each had all records within 3 s.
+// other hosts, a reporter sends all their records in two rounds. When 295 hosts
+// of a fleet started in this way, each had all records within 3 s.
 constexpr std::size_t kMaxNewHostInfosPerRound = 21;
 // For this long after its start the record of a new host is sent repeatedly, so
-// that other domains get it even if one or two datagrams are lost.
+// that other domains get the record even if one or two datagrams are lost.
 constexpr Duration kNewHostWindow{3'000'000};
 // Once in this many rounds a reporter also sends the record of one host that is
 // not new, a different host each time, for receivers that missed the record
--- a/src/pathcleat/fleet/host_table.cpp
+++ b/src/pathcleat/fleet/host_table.cpp
@@ -77,7 +77,7 @@
   const bool was_alive = found != others_.end() && IsAlive(found->second, now);
   // Incarnation numbers are taken from the time of day, which may have been set
   // back. So once an incarnation has timed out, any other incarnation replaces
-  // it, even one with a lower number.
+  // the old one, even an incarnation with a lower number.
   if (was_alive && host.incarnation < found->second.info.incarnation) {
     return false;
   }
@@ -108,7 +108,8 @@
   HostEntry& host = others_.at(name->second);
   const Time last_heartbeat = now - std::chrono::milliseconds(member.age_ms);
   const bool was_alive = IsAlive(host, now);
-  // A heartbeat from the host itself or from a faster report is newer.
+  // The last recorded heartbeat of the host is at least as new: it came from
+  // the host itself or in a report that arrived earlier.
   if (host.has_heartbeat && last_heartbeat <= host.last_seen) {
     return nullptr;
   }
--- a/src/pathcleat/gateway/gateway.cpp
+++ b/src/pathcleat/gateway/gateway.cpp
@@ -33,7 +33,7 @@
 constexpr Duration kFirstHostLag{500'000};
 
 // Time for two attempts at reading the rows of the other hosts. A host that has
-// found no other hosts by then reads all that it needs from the store.
+// found no other hosts after this time reads all that it needs from the store.
 constexpr Duration kRowReadTimeout{3'000'000};
 
 constexpr const char* kNoConfig = "no configuration yet";
@@ -320,8 +320,8 @@
   const auto host = FindHeader(request.headers, "Host").value_or("");
   auto route = state_.routes.Find(host, request.target);
   if (!route) {
-    // A newer configuration version may have the route, so the status 404 could
-    // be wrong.
+    // If this host lacks a newer configuration version, that version may
+    // contain the route, and the status 404 could be wrong.
     exchange->Respond(
         fleet_sync_.config_lag().IsBehind(BootClock::now())
             ? NotRunResponse(kConfigBehind, RetryDelayWithoutConfig(*exchange))
