--- a/include/pathcleat/routing/retry_scheduler.hpp
+++ b/include/pathcleat/routing/retry_scheduler.hpp
@@ -44,8 +44,9 @@
   std::size_t reserved_count() const { return reserved_.size(); }
 
  private:
-  // Bounds memory and search time: a host of typical size refuses fewer
-  // requests within the longest delay that callers accept.
+  // Maximum number of reserved times, which bounds memory and search time.
+  // Within the longest delay that callers accept, a host of typical size
+  // refuses fewer requests than this.
   static constexpr std::size_t kMaxReserved = 1'024;
 
   // Number of spacings that are tried: the full spacing, then a half, a quarter
--- a/include/pathcleat/routing/slowness.hpp
+++ b/include/pathcleat/routing/slowness.hpp
@@ -39,8 +39,8 @@
   static constexpr double kSampleWeight = 0.25;
   static constexpr double kMinRatio = 0.8;
   static constexpr double kMaxRatio = 8;
-  // Slightly above the 4 to 7 s for which upstreams stayed slow in known
-  // incidents.
+  // Incidents slow an upstream down for 4 to 7 s; the decay time is slightly
+  // longer.
   static constexpr double kDecaySeconds = 8;
 
   void AddSample(double ratio, Time now) {
--- a/src/pathcleat/accounts/account_limiter.cpp
+++ b/src/pathcleat/accounts/account_limiter.cpp
@@ -11,8 +11,7 @@
 
 // The reasons for some constants below name a scenario of pathcleat-lab quotas
 // and a window ratio: the number of requests in the window with the most
-// requests, divided by the number that a window may have. Each ratio was
-// measured with seeds 1 and 2, with only that constant changed.
+// requests, divided by the number that a window may have.
 
 // Parts of QuotaBounds::overage and QuotaBounds::slack that are added to the
 // fleet's capacity. They are used up because hosts compute their shares at
--- a/src/pathcleat/calls/idle_reuse_limit.cpp
+++ b/src/pathcleat/calls/idle_reuse_limit.cpp
@@ -7,13 +7,14 @@
 namespace pathcleat {
 namespace {
 
-// An upstream may have dropped a connection long before its reuse: the limit is
-// set to half of the idle time, and lower after the next stale connection.
+// An upstream may have dropped a connection long before the connection is
+// reused. So the limit is set to half of the idle time, and is lowered again
+// after the next stale connection.
 constexpr int kLimitDivisor = 2;
 constexpr Duration kMinLimit{10'000};
-// The limit doubles within this time, as upstreams dropped idle connections for
-// 5 to 6 s in incidents. A new connection costs an upstream a millisecond; a
-// lost request costs its caller the result of the whole run.
+// The limit doubles within this time, as incidents in which upstreams drop idle
+// connections last 5 to 6 s. A new connection costs an upstream a millisecond;
+// a lost request costs its caller the result of the whole run.
 constexpr double kDoublingTimeMicros = 3'000'000;
 
 }  // namespace
--- a/src/pathcleat/feeds/config_history.cpp
+++ b/src/pathcleat/feeds/config_history.cpp
@@ -8,7 +8,7 @@
 
 // Each version takes 8 bytes for each route and account: 0.2 MB in total for
 // 1,400 routes. At the fastest rate of changes, four versions in 3 s, this
-// covers a host that is 12 s behind.
+// number of versions covers a host that is 12 s behind.
 constexpr std::size_t kMaxVersions = 16;
 
 template <class Entry>
--- a/src/pathcleat/feeds/peer_feed.cpp
+++ b/src/pathcleat/feeds/peer_feed.cpp
@@ -31,8 +31,8 @@
 // Time without an acknowledgement after which a connection counts as dead. With
 // the probes' interval, a dead watch is found after 2 s, as for watches of the
 // store. So even if no heartbeat reports a newer version, a follower gets each
-// configuration in time where the bound on this delay is 2.5 s or 3 s. A bound
-// of 2 s is exceeded in that case.
+// configuration within a bound of 2.5 s or 3 s on this delay, but not within a
+// bound of 2 s.
 constexpr Duration kPeerAckTimeout{1'000'000};
 // Time for the largest snapshot at 10 Mbit/s.
 constexpr Duration kTransferTimeout{14'000'000};
--- a/src/pathcleat/feeds/source_watcher.cpp
+++ b/src/pathcleat/feeds/source_watcher.cpp
@@ -28,9 +28,9 @@
 // While a relay pauses, other hosts may have a change that the relay's
 // followers get only after the pause. So both lag limits exceed the pause by
 // the time of two hops at 10 Mbit/s. The pause is longer for upstreams, because
-// upstreams that join or leave continue to serve for seconds, and they do so in
-// long series: with hundreds of upstreams, all day. Orders must be applied
-// within 2 s.
+// upstreams that join or leave continue to serve for seconds, and because
+// upstreams join and leave in long series: with hundreds of upstreams, all day.
+// Orders must be applied within 2 s.
 constexpr SourceWatcher::Timing kOrdersTiming{
     Duration(250'000), Duration(400'000), Duration(700'000)};
 constexpr SourceWatcher::Timing kUpstreamsTiming{
--- a/src/pathcleat/fleet/domain_reporter.cpp
+++ b/src/pathcleat/fleet/domain_reporter.cpp
@@ -27,8 +27,8 @@
 constexpr std::size_t kMaxHostInfosWithoutMembers = 6;
 // Maximum number of new hosts whose records are sent in one round. If 33 hosts
 // of a domain start at the same moment and each has read the rows of only a few
-// other hosts, a reporter sends all their records in two rounds. When 295 hosts
-// of a fleet started in this way, each had all records within 3 s.
+// other hosts, a reporter sends all their records in two rounds. If 295 hosts
+// of a fleet start in this way, each has all records within 3 s.
 constexpr std::size_t kMaxNewHostInfosPerRound = 21;
 // For this long after its start the record of a new host is sent repeatedly, so
 // that other domains get the record even if one or two datagrams are lost.
--- a/src/pathcleat/gateway/fleet_sync.cpp
+++ b/src/pathcleat/gateway/fleet_sync.cpp
@@ -17,8 +17,9 @@
 // ignored. Equal to the time after which a host without heartbeats counts as
 // dead.
 constexpr Duration kLagTtl{2'500'000};
-// If upstreams whose entries lapsed while the store was unreachable are alive,
-// they are listed again within this time after the store is reachable again.
+// Entries of upstreams may lapse while the store is unreachable. Upstreams that
+// are alive are listed again within this time after the store is reachable
+// again.
 constexpr Duration kLapseTimeout{2'000'000};
 // While the store is unreachable, the entries of many upstreams lapse at about
 // the same time. If less than this share of the listed upstreams is removed at
--- a/src/pathcleat/gateway/gateway.cpp
+++ b/src/pathcleat/gateway/gateway.cpp
@@ -23,8 +23,8 @@
 
 constexpr std::chrono::milliseconds kTickInterval{250};
 constexpr std::size_t kMaxLocatedHosts = 16;
-// A request that is past its deadline by more than this time is ended. The
-// timer of the request fires too late after a suspension of the machine. Within
+// After a suspension of the machine, the timer of a request fires too late. So
+// a request that is past its deadline by more than this time is ended. Within
 // this time, answers that arrived during the suspension are read.
 constexpr Duration kOverdueGrace{300'000};
 // After a new configuration version is acknowledged, the first host has the
@@ -43,7 +43,8 @@
 // runtime, the rest for the store, other hosts, readiness, metrics and
 // operators.
 constexpr rlim_t kReservedDescriptors = 300;
-// Lower bound where the limit of descriptors is below kReservedDescriptors.
+// Minimum number of callers' connections, also where the limit of descriptors
+// is below kReservedDescriptors.
 constexpr rlim_t kMinCallerConnections = 64;
 
 // Half of the remaining descriptors, as each request in flight holds a second
--- a/src/pathcleat/gateway/upstream_attempt.cpp
+++ b/src/pathcleat/gateway/upstream_attempt.cpp
@@ -10,8 +10,6 @@
 namespace pathcleat {
 namespace {
 
-// Time-out for opening a connection. A shorter time-out (0.25 s) shows no
-// advantage.
 constexpr Duration kConnectTimeout{600'000};
 
 }  // namespace
--- a/src/pathcleat/routing/average_load.cpp
+++ b/src/pathcleat/routing/average_load.cpp
@@ -7,7 +7,8 @@
 namespace pathcleat {
 namespace {
 
-// Bursts last a few seconds, as for the usual load of one upstream.
+// Decay time of the average: bursts last a few seconds, as for the usual load
+// of one upstream.
 constexpr double kDecayMicros = 2'000'000;
 // The average includes this many assumed reports of an idle upstream. They
 // limit the effect of a single report, and let the average fall to zero without
--- a/src/pathcleat/routing/key_placement.cpp
+++ b/src/pathcleat/routing/key_placement.cpp
@@ -11,8 +11,7 @@
 namespace pathcleat {
 namespace {
 
-// Number of a key's upstreams that are chosen by the regions' shares. One
-// upstream instead of two made little difference on three sites.
+// Number of a key's upstreams that are determined by the regions' shares.
 constexpr std::size_t kNearestUpstreams = 2;
 
 // Added to the distance of upstreams without a share, so that they rank after
--- a/src/pathcleat/routing/region_shares.cpp
+++ b/src/pathcleat/routing/region_shares.cpp
@@ -7,10 +7,9 @@
 namespace {
 
 // Share of a region's keys that is placed by capacity; the others go to all
-// upstreams alike. Keeping all keys in their region saves the most bytes
-// between regions, but regions are busy at different times, and each region
-// alone has less capacity to balance load with. Of 0, 0.5, 0.75 and 1, 0.75
-// gave the best results on three sites.
+// upstreams alike. With a larger share, fewer bytes are sent between regions.
+// With a smaller share, load is balanced better: regions are busy at different
+// times, and each region alone has less capacity to balance load with.
 constexpr double kCapacityPlacedShare = 0.75;
 // Minimum share of a region's slots that may serve spilled requests of other
 // regions: a region without spare slots by this computation still has upstreams
--- a/src/pathcleat/routing/split_balancer.cpp
+++ b/src/pathcleat/routing/split_balancer.cpp
@@ -9,8 +9,8 @@
 namespace pathcleat {
 namespace {
 
-// Requests move from one split to another once the first exceeds its share by
-// this share of all recent requests.
+// Requests move from one split to another once the first split would exceed its
+// share by more than one request plus this part of all recent requests.
 constexpr double kMaxExcessShare = 0.02;
 // Number of requests after which an earlier request counts about a third as
 // much as a new request.
--- a/src/pathcleat/routing/upstream_limit.cpp
+++ b/src/pathcleat/routing/upstream_limit.cpp
@@ -12,8 +12,9 @@
 // slightly inaccurate, and an upstream may omit the field from some answers.
 constexpr Duration kMinAgeToEnd{1'000'000};
 constexpr Duration kProbeAfter{3'000'000};
-// Without an answer a limit applies as stated for kLimitTtl, which is longer
-// than most requests run, then doubles once per kDoublingInterval.
+// Without an answer, a limit applies as stated for kLimitTtl, which is longer
+// than the run time of most requests. After that, the limit doubles once per
+// kDoublingInterval.
 constexpr Duration kLimitTtl{10'000'000};
 constexpr Duration kDoublingInterval{5'000'000};
 // An upstream with a limit of 0 still gets a request now and then, to learn if
--- a/src/pathcleat/routing/warmth.cpp
+++ b/src/pathcleat/routing/warmth.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 // Initial estimates weigh as much as kInitialRuns runs. Older runs decay to
-// keep the total near kMaxRuns, so that a changed fleet shows within as many
-// runs.
+// keep the total near kMaxRuns, so that the estimates reflect a changed fleet
+// within as many runs.
 constexpr double kInitialRuns = 6;
 constexpr double kMaxRuns = 60;
 constexpr double kInitialSent = 0.95;
